--- a/logic/cases_test.go
+++ b/logic/cases_test.go
@@ -7,15 +7,15 @@
 )
 
 // stand is a sentry with some workers of build 10 and some of build 11, on trial, served one at a time.
-type stand struct {
-	s    *Sentry
-	now  Micros
-	n    int
-	back bool
-	last Result
+type trialHarness struct {
+	sentry           *Sentry
+	now              Micros
+	transactionCount int
+	votedRollBack    bool
+	lastResult       Result
 }
 
-func newStand(earlier, trial int) *stand {
+func newTrialHarness(earlier, trial int) *trialHarness {
 	o := StandingOrders{
 		Sentries: 1, MostHandOffs: 1, Tick: 5000, ColdFrom: 0.4, WarmUp: 4 * second,
 		FallMultiple: 4, FallSpan: 2 * second,
@@ -25,51 +25,51 @@
 		Profiles: []Profile{{DueTime: second / 2, OuterLimit: 2 * second, Value: 1},
 			{DueTime: second / 2, OuterLimit: 2 * second, Value: 1, Repeat: Irreversible}},
 	}
-	b := &stand{s: New(o, 1), now: 1000 * second}
+	b := &trialHarness{sentry: New(o, 1), now: 1000 * second}
 	var list []Worker
 	for i := range earlier {
 		list = append(list, Worker{ID: WorkerID(fmt.Sprint("e", i)), Build: 10, Size: 1})
 	}
-	b.s.Listed(b.now, ListWhole, list)
-	b.tell(News{Valid: true, Build: 10, Phase: Released, Cap: 1})
-	b.serve(400, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+	b.sentry.Listed(b.now, ListWhole, list)
+	b.updateRelease(News{Valid: true, Build: 10, Phase: Released, Cap: 1})
+	b.serveTransactions(400, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
 	for i := range trial {
 		list = append(list, Worker{ID: WorkerID(fmt.Sprint("t", i)), Build: 11, Size: 1})
 	}
-	b.s.Listed(b.now, ListWhole, list)
-	b.tell(News{Valid: true, Build: 11, Phase: OnTrial, Cap: 0.5})
+	b.sentry.Listed(b.now, ListWhole, list)
+	b.updateRelease(News{Valid: true, Build: 11, Phase: OnTrial, Cap: 0.5})
 	return b
 }
 
-func (b *stand) tell(n News) { b.see(b.s.Told(b.now, n)) }
+func (b *trialHarness) updateRelease(n News) { b.record(b.sentry.Told(b.now, n)) }
 
-func (b *stand) see(r Result) {
-	b.last = r
+func (b *trialHarness) record(r Result) {
+	b.lastResult = r
 	for _, v := range r.Votes {
-		b.back = b.back || v.Verdict == GoBack
+		b.votedRollBack = b.votedRollBack || v.Verdict == GoBack
 	}
 }
 
 // serve takes n transactions, 20 ms apart, each ended as the worker's answer says.
-func (b *stand) serve(n int, answer func(w WorkerID, n int) (Ending, Micros)) {
+func (b *trialHarness) serveTransactions(n int, answer func(w WorkerID, n int) (Ending, Micros)) {
 	for range n {
-		b.n++
+		b.transactionCount++
 		b.now += 20_000
-		id := TransactionID(fmt.Sprint(b.n))
-		b.see(b.s.Arrive(b.now, Transaction{ID: id, Profile: ProfileID(b.n % 2), Account: NoAccount,
-			Key: Key(fmt.Sprintf("%x", b.n*7919)), Limit: b.now + 2*second}))
-		for _, r := range b.last.Rulings {
+		id := TransactionID(fmt.Sprint(b.transactionCount))
+		b.record(b.sentry.Arrive(b.now, Transaction{ID: id, Profile: ProfileID(b.transactionCount % 2), Account: NoAccount,
+			Key: Key(fmt.Sprintf("%x", b.transactionCount*7919)), Limit: b.now + 2*second}))
+		for _, r := range b.lastResult.Rulings {
 			if r.Kind != HandOff {
 				continue
 			}
-			e, took := answer(r.Worker, b.n)
-			b.see(b.s.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: r.Worker, Ending: e, Took: took,
+			e, took := answer(r.Worker, b.transactionCount)
+			b.record(b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: r.Worker, Ending: e, Took: took,
 				Closed: e == Answered, Load: NoLoad}))
 		}
 	}
 }
 
-func trialWorker(w WorkerID) bool { return w[0] == 't' }
+func isTrialWorker(w WorkerID) bool { return w[0] == 't' }
 
 // The wanted slots were reckoned with md5sum.
 func TestSlotOf(t *testing.T) {
@@ -91,13 +91,13 @@
 	}{
 		{"a good build", func(w WorkerID, n int) (Ending, Micros) { return Answered, 50_000 }, false},
 		{"a build that fails one in ten", func(w WorkerID, n int) (Ending, Micros) {
-			if trialWorker(w) && every(n, 10) {
+			if isTrialWorker(w) && every(n, 10) {
 				return Errored, 5_000
 			}
 			return Answered, 50_000
 		}, true},
 		{"a build that fails half of one profile", func(w WorkerID, n int) (Ending, Micros) {
-			if trialWorker(w) && n%4 == 1 {
+			if isTrialWorker(w) && n%4 == 1 {
 				return Errored, 5_000
 			}
 			return Answered, 50_000
@@ -115,7 +115,7 @@
 			return Answered, 50_000
 		}, false},
 		{"a build that works four times as long", func(w WorkerID, n int) (Ending, Micros) {
-			if trialWorker(w) {
+			if isTrialWorker(w) {
 				return Answered, 200_000
 			}
 			return Answered, 50_000
@@ -132,10 +132,10 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newStand(8, 8)
-			b.serve(1200, c.answer)
-			if b.back != c.back {
-				t.Errorf("voted back: %v, want %v", b.back, c.back)
+			b := newTrialHarness(8, 8)
+			b.serveTransactions(1200, c.answer)
+			if b.votedRollBack != c.back {
+				t.Errorf("voted back: %v, want %v", b.votedRollBack, c.back)
 			}
 		})
 	}
@@ -143,20 +143,20 @@
 
 // A released build is not sent back for slowness that comes long after its release.
 func TestLateSlownessAfterRelease(t *testing.T) {
-	b := newStand(8, 8)
+	b := newTrialHarness(8, 8)
 	quick := func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 }
-	b.serve(300, quick)
-	b.tell(News{Valid: true, Build: 11, Stage: 1, Phase: Released, Cap: 1})
-	b.serve(600, quick)
-	b.serve(600, func(WorkerID, int) (Ending, Micros) { return Answered, 300_000 })
-	if b.back {
+	b.serveTransactions(300, quick)
+	b.updateRelease(News{Valid: true, Build: 11, Stage: 1, Phase: Released, Cap: 1})
+	b.serveTransactions(600, quick)
+	b.serveTransactions(600, func(WorkerID, int) (Ending, Micros) { return Answered, 300_000 })
+	if b.votedRollBack {
 		t.Error("a released build was voted back for late slowness")
 	}
 }
 
 // Over the exposure counter a key that met the trial is deferred with a time to come back, never sent back.
-func TestHotKeyOverTheCounter(t *testing.T) {
-	b := newStand(8, 8)
+func TestHotKeyAboveExposureBound(t *testing.T) {
+	b := newTrialHarness(8, 8)
 	key := Key("hot")
 	for n := 0; slotOf(key, 10, 11) >= 40; n++ {
 		key = Key(fmt.Sprint("hot", n))
@@ -165,15 +165,15 @@
 	for n := range 400 {
 		b.now += 5_000
 		id := TransactionID(fmt.Sprint("h", n))
-		r := b.s.Arrive(b.now, Transaction{ID: id, Key: key, Account: NoAccount, Limit: b.now + second})
+		r := b.sentry.Arrive(b.now, Transaction{ID: id, Key: key, Account: NoAccount, Limit: b.now + second})
 		for _, x := range r.Rulings {
 			switch {
 			case x.Kind == Defer && x.ComeBack > 0:
 				deferred++
-			case n > 0 && !trialWorker(x.Worker):
+			case n > 0 && !isTrialWorker(x.Worker):
 				t.Fatalf("transaction %d of a met key: %v", n, x)
 			default:
-				b.s.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: x.Worker, Closed: true, Took: 50_000,
+				b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: x.Worker, Closed: true, Took: 50_000,
 					Load: NoLoad})
 			}
 		}
@@ -186,7 +186,7 @@
 // When nothing comes back, what is taken is bounded: the rest is deferred in good time, with a time to
 // come back.
 func TestOverload(t *testing.T) {
-	b := newStand(4, 0)
+	b := newTrialHarness(4, 0)
 	out, deferred := 0, 0
 	count := func(r Result) {
 		for _, x := range r.Rulings {
@@ -199,12 +199,12 @@
 	}
 	for n := range 500 {
 		b.now += 2_000
-		count(b.s.Arrive(b.now, Transaction{ID: TransactionID(fmt.Sprint("o", n)), Account: NoAccount,
+		count(b.sentry.Arrive(b.now, Transaction{ID: TransactionID(fmt.Sprint("o", n)), Account: NoAccount,
 			Limit: b.now + 2*second}))
-		count(b.s.Wake(b.now))
+		count(b.sentry.Wake(b.now))
 	}
 	b.now += second / 2
-	count(b.s.Wake(b.now))
+	count(b.sentry.Wake(b.now))
 	if out > 100 || deferred < 350 {
 		t.Errorf("%d handed off and %d deferred of 500 without an answer", out, deferred)
 	}
@@ -214,20 +214,20 @@
 // deferred in time.
 func TestNoWorkerOfTheEarlierBuild(t *testing.T) {
 	for _, comes := range []bool{true, false} {
-		b := newStand(4, 4)
-		b.tell(News{Valid: true, Build: 11, Phase: GoingBack})
+		b := newTrialHarness(4, 4)
+		b.updateRelease(News{Valid: true, Build: 11, Phase: GoingBack})
 		var list []Worker
-		b.s.Listed(b.now, ListWhole, list)
-		r := b.s.Arrive(b.now, Transaction{ID: "x", Account: NoAccount, Limit: b.now + 2*second})
+		b.sentry.Listed(b.now, ListWhole, list)
+		r := b.sentry.Arrive(b.now, Transaction{ID: "x", Account: NoAccount, Limit: b.now + 2*second})
 		if len(r.Rulings) > 0 || r.WakeAt == 0 {
 			t.Fatalf("not held: %v", r)
 		}
 		b.now += second / 10
 		if comes {
-			r = b.s.Listed(b.now, ListWhole, []Worker{{ID: "n", Build: 10, Size: 1, Started: b.now}})
+			r = b.sentry.Listed(b.now, ListWhole, []Worker{{ID: "n", Build: 10, Size: 1, Started: b.now}})
 		} else {
 			b.now += second / 2
-			r = b.s.Wake(b.now)
+			r = b.sentry.Wake(b.now)
 		}
 		if len(r.Rulings) != 1 || (r.Rulings[0].Kind == HandOff) != comes || (r.Rulings[0].Kind == Defer) == comes {
 			t.Errorf("worker comes %v: %v", comes, r.Rulings)
@@ -236,16 +236,16 @@
 }
 
 // A worker that was slow or full once is tried again when nothing was heard of it for a while.
-func TestOldNewsOfAWorkerFades(t *testing.T) {
-	b := newStand(2, 0)
-	b.serve(40, func(w WorkerID, _ int) (Ending, Micros) {
+func TestOldWorkerReportsExpire(t *testing.T) {
+	b := newTrialHarness(2, 0)
+	b.serveTransactions(40, func(w WorkerID, _ int) (Ending, Micros) {
 		if w == "e0" {
 			return Answered, 450_000
 		}
 		return Answered, 50_000
 	})
 	tries := map[WorkerID]int{}
-	b.serve(400, func(w WorkerID, _ int) (Ending, Micros) {
+	b.serveTransactions(400, func(w WorkerID, _ int) (Ending, Micros) {
 		tries[w]++
 		return Answered, 50_000
 	})
@@ -255,34 +255,34 @@
 }
 
 // Under the bound a fleet that a build slows shows in what is deferred unsent, not in the times of the rest.
-func TestDeferralsCountWhereAllAreJudged(t *testing.T) {
-	b := newStand(8, 8)
-	b.serve(40, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-	for w := range b.s.pace {
-		b.s.pace[w] = 3
+func TestDeferralsCountAsSlowAnswers(t *testing.T) {
+	b := newTrialHarness(8, 8)
+	b.serveTransactions(40, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+	for w := range b.sentry.pace {
+		b.sentry.pace[w] = 3
 	}
 	for n := range 300 {
 		b.now += 20_000
 		in := Transaction{ID: TransactionID(fmt.Sprint("d", n)), Account: NoAccount, Limit: b.now + 2*second}
-		b.see(b.s.Arrive(b.now, in))
-		b.see(b.s.Wake(b.now))
+		b.record(b.sentry.Arrive(b.now, in))
+		b.record(b.sentry.Wake(b.now))
 	}
-	if !b.back {
+	if !b.votedRollBack {
 		t.Error("not voted back though nearly all is deferred and every worker is slow")
 	}
 }
 
 // A few workers of many that begin to fail fast, late in the trial, are not held against the build.
 func TestFewFailingWorkersOfMany(t *testing.T) {
-	b := newStand(4, 16)
-	b.serve(800, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-	b.serve(400, func(w WorkerID, n int) (Ending, Micros) {
+	b := newTrialHarness(4, 16)
+	b.serveTransactions(800, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+	b.serveTransactions(400, func(w WorkerID, n int) (Ending, Micros) {
 		if (w == "t1" || w == "t2" || w == "t3") && n%4 > 0 {
 			return Errored, 5_000
 		}
 		return Answered, 50_000
 	})
-	if b.back {
+	if b.votedRollBack {
 		t.Error("voted back for three workers of sixteen")
 	}
 }
@@ -290,18 +290,18 @@
 // The last vote waits until the trial has carried its share with all workers warm for a while.
 func TestLastVoteWaits(t *testing.T) {
 	for stage, wait := range []Micros{3 * second, 5 * second} {
-		b := newStand(4, 0)
+		b := newTrialHarness(4, 0)
 		began := b.now
 		var list []Worker
 		for i := range 4 {
 			list = append(list, Worker{ID: WorkerID(fmt.Sprint("t", i)), Build: 11, Size: 1, Started: began})
 		}
-		b.see(b.s.Listed(b.now, ListChanges, list))
-		b.tell(News{Valid: true, Build: 11, Stage: stage, Phase: OnTrial, Cap: 1})
+		b.record(b.sentry.Listed(b.now, ListChanges, list))
+		b.updateRelease(News{Valid: true, Build: 11, Stage: stage, Phase: OnTrial, Cap: 1})
 		voted := Micros(0)
 		for range 400 {
-			b.serve(1, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-			if b.s.voted.Verdict == GoOn && voted == 0 {
+			b.serveTransactions(1, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+			if b.sentry.voted.Verdict == GoOn && voted == 0 {
 				voted = b.now - began
 			}
 		}
@@ -313,10 +313,10 @@
 
 // What a sentry has seen since its start tells its own traffic: the room of a young one is not narrowed by the seconds
 // before it.
-func TestRoomOfAYoungSentry(t *testing.T) {
-	b := newStand(10, 0)
+func TestConcurrencyLimitAfterStart(t *testing.T) {
+	b := newTrialHarness(10, 0)
 	now := b.now
-	s := New(b.s.orders, 2)
+	s := New(b.sentry.orders, 2)
 	s.Listed(now, ListWhole, []Worker{{ID: "e0", Build: 10, Size: 1}, {ID: "e1", Build: 10, Size: 1}, {ID: "e2", Build: 10, Size: 1},
 		{ID: "e3", Build: 10, Size: 1}, {ID: "e4", Build: 10, Size: 1}, {ID: "e5", Build: 10, Size: 1}})
 	s.Told(now, News{Valid: true, Build: 10, Phase: Released, Cap: 1})
@@ -336,14 +336,14 @@
 func TestHotKeyOnTheTrial(t *testing.T) {
 	var sums [2]float64
 	for hot := range sums {
-		b := newStand(20, 2)
+		b := newTrialHarness(20, 2)
 		b.now += 10 * second // all warm
-		b.serve(200, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+		b.serveTransactions(200, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
 		for range 20 * hot { // within a second, of 50
-			b.s.exposed[0] = append(b.s.exposed[0], b.now)
+			b.sentry.exposed[0] = append(b.sentry.exposed[0], b.now)
 		}
-		b.s.judge(0, late, true, 20, 20)
-		sums[hot] = b.s.all.sum[late]
+		b.sentry.judge(0, late, true, 20, 20)
+		sums[hot] = b.sentry.all.sum[late]
 	}
 	if sums[0] < 2 || sums[1] > sums[0]/2 {
 		t.Errorf("sums of lateness %.2f, expected the second less than half of the first", sums)
@@ -351,17 +351,17 @@
 }
 
 // A released build goes back at half as much again in its sums as one on trial.
-func TestReleasedNeedsMoreToGoBack(t *testing.T) {
+func TestReleasedBuildNeedsMoreToRollBack(t *testing.T) {
 	for _, c := range []struct {
 		phase Phase
 		sum   float64
 		back  bool
 	}{{OnTrial, 0.9, false}, {OnTrial, 1.1, true}, {Released, 1.1, false}, {Released, 1.4, false}, {Released, 1.6, true}} {
-		b := newStand(4, 4)
-		b.tell(News{Valid: true, Build: 11, Stage: 1, Phase: c.phase, Cap: 1})
+		b := newTrialHarness(4, 4)
+		b.updateRelease(News{Valid: true, Build: 11, Stage: 1, Phase: c.phase, Cap: 1})
 		limit := voteBackAt + math.Log(1.1) // of a sentry alone
-		b.s.all.sum[late] = c.sum * limit
-		if v := b.s.verdict(); (v == GoBack) != c.back {
+		b.sentry.all.sum[late] = c.sum * limit
+		if v := b.sentry.verdict(); (v == GoBack) != c.back {
 			t.Errorf("phase %d, sum %.1f of the limit: verdict %d, expected back: %v", c.phase, c.sum, v, c.back)
 		}
 	}
@@ -369,36 +369,36 @@
 
 // Once as much goes to the trial as its workers can carry, keys new to it go to the earlier build, though the cap would
 // let them through; those that it has answered stay.
-func TestNewKeysByWhatTheTrialCarries(t *testing.T) {
-	b := newStand(20, 2)
-	b.tell(News{Valid: true, Build: 11, Stage: 1, Phase: OnTrial, Cap: 1})
+func TestNewKeysLimitedByTrialCapacity(t *testing.T) {
+	b := newTrialHarness(20, 2)
+	b.updateRelease(News{Valid: true, Build: 11, Stage: 1, Phase: OnTrial, Cap: 1})
 	b.now += 10 * second // all warm
-	b.serve(100, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+	b.serveTransactions(100, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
 	fresh, met := Key(""), Key("")
 	for n := 0; fresh == "" || met == ""; n++ {
-		if k := Key(fmt.Sprint("key", n)); slotOf(k, 10, 11) < b.s.reach {
+		if k := Key(fmt.Sprint("key", n)); slotOf(k, 10, 11) < b.sentry.reach {
 			fresh, met = met, k
 		}
 	}
-	b.s.met[met] = 11
+	b.sentry.met[met] = 11
 	for _, full := range []bool{false, true} {
 		if full { // as by a hot key: twice its part of a hundred
-			for range 2 * b.s.reach {
-				b.s.exposed[0] = append(b.s.exposed[0], b.now)
+			for range 2 * b.sentry.reach {
+				b.sentry.exposed[0] = append(b.sentry.exposed[0], b.now)
 			}
 		}
 		for _, k := range []Key{fresh, met} {
 			b.now += 1000
 			id := TransactionID(fmt.Sprint(k, full))
-			b.see(b.s.Arrive(b.now, Transaction{ID: id, Key: k, Account: NoAccount, Limit: b.now + 2*second}))
-			if len(b.last.Rulings) != 1 || b.last.Rulings[0].Kind != HandOff {
-				t.Fatalf("ruled %+v", b.last.Rulings)
+			b.record(b.sentry.Arrive(b.now, Transaction{ID: id, Key: k, Account: NoAccount, Limit: b.now + 2*second}))
+			if len(b.lastResult.Rulings) != 1 || b.lastResult.Rulings[0].Kind != HandOff {
+				t.Fatalf("ruled %+v", b.lastResult.Rulings)
 			}
-			w := b.last.Rulings[0].Worker
-			if want := !full || k == met; trialWorker(w) != want {
+			w := b.lastResult.Rulings[0].Worker
+			if want := !full || k == met; isTrialWorker(w) != want {
 				t.Errorf("full %v, met %v: to %s, expected the trial: %v", full, k == met, w, want)
 			}
-			b.s.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: w, Ending: Errored, Took: 1000, Load: NoLoad})
+			b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: w, Ending: Errored, Took: 1000, Load: NoLoad})
 		}
 	}
 }
--- a/logic/crowd_test.go
+++ b/logic/crowd_test.go
@@ -7,86 +7,86 @@
 )
 
 // crowd is many sentries before one fleet, which carries their messages and ends each hand-off at once.
-type crowd struct {
-	all    []*Sentry
-	now    Micros
-	n      int
-	chance *rand.Rand
-	list   []Worker
-	mute   bool // messages are lost
-	answer func(w WorkerID) Ending
-	took   Micros
-	sent   map[WorkerID][]Micros
-	votes  map[Verdict]map[int]bool // by sentry
+type sentryTier struct {
+	sentries         []*Sentry
+	now              Micros
+	transactionCount int
+	random           *rand.Rand
+	workers          []Worker
+	messagesLost     bool // messages are lost
+	endingOf         func(w WorkerID) Ending
+	handOffTime      Micros
+	sentAt           map[WorkerID][]Micros
+	voters           map[Verdict]map[int]bool // by sentry
 }
 
-func newCrowd(sentries, earlier int, seed int64) *crowd {
-	o := newStand(1, 0).s.orders
+func newSentryTier(sentries, earlier int, seed int64) *sentryTier {
+	o := newTrialHarness(1, 0).sentry.orders
 	o.Sentries, o.MayMessage, o.MostHandOffs, o.ConnectLimit = sentries, true, 3, second/4
-	c := &crowd{now: 1000 * second, chance: rand.New(rand.NewSource(seed)), sent: map[WorkerID][]Micros{},
-		votes:  map[Verdict]map[int]bool{GoOn: {}, GoBack: {}},
-		answer: func(WorkerID) Ending { return Answered }, took: 50_000}
+	c := &sentryTier{now: 1000 * second, random: rand.New(rand.NewSource(seed)), sentAt: map[WorkerID][]Micros{},
+		voters:   map[Verdict]map[int]bool{GoOn: {}, GoBack: {}},
+		endingOf: func(WorkerID) Ending { return Answered }, handOffTime: 50_000}
 	for i := range sentries {
 		o.Position = SentryID(i)
-		c.all = append(c.all, New(o, seed+int64(i)))
+		c.sentries = append(c.sentries, New(o, seed+int64(i)))
 	}
-	c.add(earlier, "e", 10, 0)
-	c.tell(News{Valid: true, Build: 10, Phase: Released, Cap: 1})
+	c.addWorkers(earlier, "e", 10, 0)
+	c.updateRelease(News{Valid: true, Build: 10, Phase: Released, Cap: 1})
 	return c
 }
 
-func (c *crowd) add(n int, name string, b BuildID, started Micros) {
+func (c *sentryTier) addWorkers(n int, name string, b BuildID, started Micros) {
 	for i := range n {
-		c.list = append(c.list, Worker{ID: WorkerID(fmt.Sprint(name, i)), Build: b, Size: 1, Started: started})
+		c.workers = append(c.workers, Worker{ID: WorkerID(fmt.Sprint(name, i)), Build: b, Size: 1, Started: started})
 	}
-	for i, s := range c.all {
-		c.see(i, s.Listed(c.now, ListWhole, c.list))
+	for i, s := range c.sentries {
+		c.record(i, s.Listed(c.now, ListWhole, c.workers))
 	}
 }
 
-func (c *crowd) tell(n News) {
-	for i, s := range c.all {
-		c.see(i, s.Told(c.now, n))
+func (c *sentryTier) updateRelease(n News) {
+	for i, s := range c.sentries {
+		c.record(i, s.Told(c.now, n))
 	}
 }
 
-func (c *crowd) see(i int, r Result) {
+func (c *sentryTier) record(i int, r Result) {
 	for _, v := range r.Votes {
-		c.votes[v.Verdict][i] = true
+		c.voters[v.Verdict][i] = true
 	}
 	for _, m := range r.Messages {
-		for to, s := range c.all {
-			if !c.mute && to != i && (m.To == EverySentry || m.To == SentryID(to)) {
-				c.see(to, s.PeerSaid(c.now, SentryID(i), m.Body))
+		for to, s := range c.sentries {
+			if !c.messagesLost && to != i && (m.To == EverySentry || m.To == SentryID(to)) {
+				c.record(to, s.PeerSaid(c.now, SentryID(i), m.Body))
 			}
 		}
 	}
 	for _, x := range r.Rulings {
 		if x.Kind == HandOff {
-			c.sent[x.Worker] = append(c.sent[x.Worker], c.now)
-			e, took := c.answer(x.Worker), c.took
+			c.sentAt[x.Worker] = append(c.sentAt[x.Worker], c.now)
+			e, took := c.endingOf(x.Worker), c.handOffTime
 			if e == Broken {
 				took = 1_000
 			}
-			end := HandOffEnd{Transaction: x.Transaction, HandOff: len(c.all[i].open[x.Transaction].sends) - 1,
+			end := HandOffEnd{Transaction: x.Transaction, HandOff: len(c.sentries[i].open[x.Transaction].sends) - 1,
 				Worker: x.Worker, Ending: e, Took: took, Closed: e == Answered, Load: NoLoad}
-			c.see(i, c.all[i].HandOffEnded(c.now, end))
+			c.record(i, c.sentries[i].HandOffEnded(c.now, end))
 		}
 	}
 }
 
 // run lets each sentry take a few transactions a second, at times of its own.
-func (c *crowd) run(span Micros, perSecond int) {
+func (c *sentryTier) run(span Micros, perSecond int) {
 	for end := c.now + span; c.now < end; c.now += 10_000 {
-		for i, s := range c.all {
-			if c.chance.Intn(100) < perSecond {
-				c.n++
-				in := Transaction{ID: TransactionID(fmt.Sprint(c.n)), Account: NoAccount, Limit: c.now + 2*second,
-					Key: Key(fmt.Sprint(c.n))}
-				c.see(i, s.Arrive(c.now, in))
+		for i, s := range c.sentries {
+			if c.random.Intn(100) < perSecond {
+				c.transactionCount++
+				in := Transaction{ID: TransactionID(fmt.Sprint(c.transactionCount)), Account: NoAccount, Limit: c.now + 2*second,
+					Key: Key(fmt.Sprint(c.transactionCount))}
+				c.record(i, s.Arrive(c.now, in))
 			}
 			if c.now%250_000 == 0 {
-				c.see(i, s.Wake(c.now))
+				c.record(i, s.Wake(c.now))
 			}
 		}
 	}
@@ -94,34 +94,34 @@
 
 // Each of many sentries sees next to nothing of the trial: only together do they judge it, and only the
 // collectors need to vote where one vote decides.
-func TestJudgingTogether(t *testing.T) {
+func TestSentriesJudgeTogether(t *testing.T) {
 	cases := []struct {
 		name string
 		bad  func(w WorkerID, n int) bool
 		back bool
 	}{
-		{"a build that fails one in ten", func(w WorkerID, n int) bool { return trialWorker(w) && n%10 == 0 }, true},
+		{"a build that fails one in ten", func(w WorkerID, n int) bool { return isTrialWorker(w) && n%10 == 0 }, true},
 		{"one in two hundred fails on either", func(w WorkerID, n int) bool { return n%200 == 0 }, false},
 		{"one machine of the trial fails", func(w WorkerID, n int) bool { return w == "t3" && n%2 == 0 }, false},
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			c := newCrowd(60, 30, 1)
+			c := newSentryTier(60, 30, 1)
 			c.run(5*second, 3)
-			c.add(10, "t", 11, c.now-10*second)
-			c.tell(News{Valid: true, Build: 11, Cap: 0.5})
+			c.addWorkers(10, "t", 11, c.now-10*second)
+			c.updateRelease(News{Valid: true, Build: 11, Cap: 0.5})
 			n := 0
-			c.answer = func(w WorkerID) Ending {
+			c.endingOf = func(w WorkerID) Ending {
 				if n++; x.bad(w, n) {
 					return Errored
 				}
 				return Answered
 			}
 			c.run(8*second, 3)
-			if back := len(c.votes[GoBack]) > 0; back != x.back || len(c.votes[GoBack]) > collectors {
-				t.Errorf("%d sentries voted back, want some: %v", len(c.votes[GoBack]), x.back)
+			if back := len(c.voters[GoBack]) > 0; back != x.back || len(c.voters[GoBack]) > collectors {
+				t.Errorf("%d sentries voted back, want some: %v", len(c.voters[GoBack]), x.back)
 			}
-			if on := len(c.votes[GoOn]); !x.back && (on == 0 || on > collectors) {
+			if on := len(c.voters[GoOn]); !x.back && (on == 0 || on > collectors) {
 				t.Errorf("%d sentries voted on, want the %d that collect", on, collectors)
 			}
 		})
@@ -129,49 +129,49 @@
 }
 
 // A build that slows every worker shows in the answers of all, though no sentry hears enough of any worker.
-func TestAllSlowerTogether(t *testing.T) {
-	c := newCrowd(60, 30, 1)
+func TestBuildSlowsAllWorkers(t *testing.T) {
+	c := newSentryTier(60, 30, 1)
 	c.run(5*second, 3)
-	c.add(10, "t", 11, c.now-10*second)
-	c.tell(News{Valid: true, Build: 11, Cap: 0.5})
+	c.addWorkers(10, "t", 11, c.now-10*second)
+	c.updateRelease(News{Valid: true, Build: 11, Cap: 0.5})
 	c.run(4*second, 3)
-	c.tell(News{Valid: true, Build: 11, Stage: 1, Cap: 0.5})
-	c.took *= 8
+	c.updateRelease(News{Valid: true, Build: 11, Stage: 1, Cap: 0.5})
+	c.handOffTime *= 8
 	c.run(4*second, 3)
-	if back := len(c.votes[GoBack]); back == 0 || back > collectors {
+	if back := len(c.voters[GoBack]); back == 0 || back > collectors {
 		t.Errorf("%d sentries voted back, want those that collect", back)
 	}
 }
 
 // Where messages are lost, a sentry that has seen next to nothing does not wave a build on for a long while.
-func TestNothingHeardNothingSeen(t *testing.T) {
-	c := newCrowd(60, 30, 1)
-	c.mute = true
+func TestNoEvidenceDelaysAdvance(t *testing.T) {
+	c := newSentryTier(60, 30, 1)
+	c.messagesLost = true
 	c.run(5*second, 3)
-	c.add(10, "t", 11, c.now-10*second)
-	c.tell(News{Valid: true, Build: 11, Cap: 0.5})
+	c.addWorkers(10, "t", 11, c.now-10*second)
+	c.updateRelease(News{Valid: true, Build: 11, Cap: 0.5})
 	c.run(2*noAlarmTime, 1)
-	if on := len(c.votes[GoOn]); on > collectors {
+	if on := len(c.voters[GoOn]); on > collectors {
 		t.Errorf("%d sentries voted on unseen", on)
 	}
 	c.run(2*noAlarmTime, 1)
-	if on := len(c.votes[GoOn]); on < 30 {
+	if on := len(c.voters[GoOn]); on < 30 {
 		t.Errorf("only %d sentries voted on after all", on)
 	}
 }
 
 // Sentries with little to do use few workers each, and all workers alike together.
-func TestWorkingSetsAreFewAndEven(t *testing.T) {
-	c := newCrowd(200, 40, 1)
+func TestSubsetsAreSmallAndEven(t *testing.T) {
+	c := newSentryTier(200, 40, 1)
 	c.run(10*second, 2)
-	most, least := 0, c.n
-	for _, w := range c.list {
-		most, least = max(most, len(c.sent[w.ID])), min(least, len(c.sent[w.ID]))
+	most, least := 0, c.transactionCount
+	for _, w := range c.workers {
+		most, least = max(most, len(c.sentAt[w.ID])), min(least, len(c.sentAt[w.ID]))
 	}
-	if mean := c.n / len(c.list); most > 2*mean || least < mean/6 {
+	if mean := c.transactionCount / len(c.workers); most > 2*mean || least < mean/6 {
 		t.Errorf("a worker got %d hand-offs, another %d, the mean is %d", least, most, mean)
 	}
-	for i, s := range c.all {
+	for i, s := range c.sentries {
 		if use := s.rosters[10].use; use > 4 {
 			t.Fatalf("sentry %d uses %d workers for two transactions a second", i, use)
 		}
@@ -179,8 +179,8 @@
 }
 
 // A set that is busy gains one at a time; workers that start with a new list get their part at once.
-func TestWorkingSetGrows(t *testing.T) {
-	s := newCrowd(1, 12, 1).all[0]
+func TestSubsetGrows(t *testing.T) {
+	s := newSentryTier(1, 12, 1).sentries[0]
 	used := map[WorkerID]bool{}
 	for n := range 6 {
 		r := s.Arrive(s.now, Transaction{ID: TransactionID(fmt.Sprint(n)), Account: NoAccount, Limit: s.now + second})
@@ -192,45 +192,45 @@
 }
 
 // A worker to which every other try breaks at once is not taken for dead; one that never answers is.
-func TestBrokenTries(t *testing.T) {
+func TestBrokenConnections(t *testing.T) {
 	for _, dead := range []bool{false, true} {
-		c := newCrowd(1, 1, 1)
+		c := newSentryTier(1, 1, 1)
 		c.run(3*second, 50)
 		n := 0
-		c.answer = func(w WorkerID) Ending {
+		c.endingOf = func(w WorkerID) Ending {
 			if n++; dead || n%2 == 0 {
 				return Broken
 			}
 			return Answered
 		}
 		c.run(10*second, 50)
-		if s := c.all[0]; (s.strikes[0] >= deadStrikes) != dead {
+		if s := c.sentries[0]; (s.strikes[0] >= deadStrikes) != dead {
 			t.Errorf("dead %v: %d strikes", dead, s.strikes[0])
 		}
 	}
 }
 
 // What peers say is taken only where it holds together: any other message changes no sum and no advice.
-func FuzzPeers(f *testing.F) {
+func FuzzPeerMessages(f *testing.F) {
 	for seed := range 30 {
 		f.Add(int64(seed))
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
-		c := newCrowd(5, 8, seed)
-		c.add(2, "t", 11, 0)
-		c.tell(News{Valid: true, Build: 11, Cap: 0.5})
-		s := c.all[int(c.all[0].collectorsAt()[0])]
+		c := newSentryTier(5, 8, seed)
+		c.addWorkers(2, "t", 11, 0)
+		c.updateRelease(News{Valid: true, Build: 11, Cap: 0.5})
+		s := c.sentries[int(c.sentries[0].collectorsAt()[0])]
 		for range 500 {
-			body := make([]byte, c.chance.Intn(80))
-			c.chance.Read(body)
-			from := SentryID(c.chance.Intn(12) - 3)
-			if c.chance.Intn(2) == 0 { // well formed, of another build, another length or falling counts
-				values := make([]uint64, 1+c.chance.Intn(2*len(s.mine)))
-				values[0] = uint64(9 + 3*c.chance.Intn(2))
+			body := make([]byte, c.random.Intn(80))
+			c.random.Read(body)
+			from := SentryID(c.random.Intn(12) - 3)
+			if c.random.Intn(2) == 0 { // well formed, of another build, another length or falling counts
+				values := make([]uint64, 1+c.random.Intn(2*len(s.mine)))
+				values[0] = uint64(9 + 3*c.random.Intn(2))
 				if len(values) > 2 {
 					values[2] = uint64(len(values) - 3)
 				}
-				body = pack(byte(1+c.chance.Intn(2)), values)
+				body = pack(byte(1+c.random.Intn(2)), values)
 			}
 			s.PeerSaid(c.now, from, body)
 		}
@@ -256,18 +256,18 @@
 		f.Add(int64(seed))
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
-		c := newCrowd(60+int(seed&63), 20, seed)
+		c := newSentryTier(60+int(seed&63), 20, seed)
 		c.run(12*second, 3)
-		usual := float64(c.n) / 12 / 20 // a second and worker
-		c.list = c.list[:4+c.chance.Intn(8)]
+		usual := float64(c.transactionCount) / 12 / 20 // a second and worker
+		c.workers = c.workers[:4+c.random.Intn(8)]
 		started := c.now
-		c.add(4, "c", 10, started)
-		clear(c.sent)
-		c.run(2*second, 3+c.chance.Intn(6)) // up to three times the usual
-		o := c.all[0].orders
+		c.addWorkers(4, "c", 10, started)
+		clear(c.sentAt)
+		c.run(2*second, 3+c.random.Intn(6)) // up to three times the usual
+		o := c.sentries[0].orders
 		for i := range 4 {
 			id := WorkerID(fmt.Sprint("c", i))
-			got := float64(len(c.sent[id]))
+			got := float64(len(c.sentAt[id]))
 			if most := o.FallMultiple * o.ColdFrom * usual * 2 / 0.6; got > most*1.5 { // a fleet loaded to 0.6
 				t.Errorf("cold worker %s got %v hand-offs in two seconds, limit %v", id, got, most)
 			}
--- a/logic/lease_test.go
+++ b/logic/lease_test.go
@@ -7,41 +7,41 @@
 )
 
 // leased is a process with one server, whose clock starts at the list.
-type leasedStand struct {
-	t     *testing.T
-	s     *Sentry
-	start Micros
-	now   Micros
-	n     int
+type leaseHarness struct {
+	t                *testing.T
+	sentry           *Sentry
+	start            Micros
+	now              Micros
+	transactionCount int
 }
 
-const testGrace = 2 * second
+const testDrainGrace = 2 * second
 
 // newLeased has the server s-1 listed at its start.
-func newLeased(t *testing.T, change func(*StandingOrders)) *leasedStand {
-	o := newStand(1, 0).s.orders
-	o.NoticeWithin, o.DrainGrace, o.AskForList, o.AskWithin = 6*second, testGrace, true, 10*second
+func newLeaseHarness(t *testing.T, change func(*StandingOrders)) *leaseHarness {
+	o := newTrialHarness(1, 0).sentry.orders
+	o.NoticeWithin, o.DrainGrace, o.AskForList, o.AskWithin = 6*second, testDrainGrace, true, 10*second
 	o.MayCopy, o.WarmUp = false, 0
 	if change != nil {
 		change(&o)
 	}
-	l := &leasedStand{t: t, s: New(o, 1), start: 1000 * second}
+	l := &leaseHarness{t: t, sentry: New(o, 1), start: 1000 * second}
 	l.now = l.start
-	l.list(ListWhole)
-	l.s.Told(l.now, News{Valid: true, Build: 10, Phase: Released, Cap: 1})
+	l.receiveList(ListWhole)
+	l.sentry.Told(l.now, News{Valid: true, Build: 10, Phase: Released, Cap: 1})
 	return l
 }
 
-func (l *leasedStand) list(kind ListKind) {
-	l.s.Listed(l.now, kind, []Worker{{ID: "s-1", Build: 10, Size: 1}})
+func (l *leaseHarness) receiveList(kind ListKind) {
+	l.sentry.Listed(l.now, kind, []Worker{{ID: "s-1", Build: 10, Size: 1}})
 }
 
-func (l *leasedStand) at(after Micros) *leasedStand { l.now = l.start + after; return l }
+func (l *leaseHarness) setTime(after Micros) *leaseHarness { l.now = l.start + after; return l }
 
 // arrive has a request come and gives the attempt that is made for it at once, nil if there is none.
-func (l *leasedStand) arrive() *Ruling {
-	l.n++
-	r := l.s.Arrive(l.now, Transaction{ID: TransactionID(fmt.Sprint(l.n)), Account: NoAccount, Limit: l.now + 2*second})
+func (l *leaseHarness) arrive() *Ruling {
+	l.transactionCount++
+	r := l.sentry.Arrive(l.now, Transaction{ID: TransactionID(fmt.Sprint(l.transactionCount)), Account: NoAccount, Limit: l.now + 2*second})
 	for i := range r.Rulings {
 		if r.Rulings[i].Kind == HandOff {
 			return &r.Rulings[i]
@@ -51,42 +51,42 @@
 }
 
 // serve has a request come and its attempt end, over a connection that had come up some time after the start.
-func (l *leasedStand) serve(opened Micros, ending Ending) {
+func (l *leaseHarness) serveTransaction(opened Micros, ending Ending) {
 	l.t.Helper()
 	r := l.arrive()
 	if r == nil {
 		l.t.Fatalf("no attempt at %v", l.now-l.start)
 	}
-	l.s.HandOffEnded(l.now, HandOffEnd{Transaction: r.Transaction, Worker: "s-1", Ending: ending, Closed: ending == Answered, Load: NoLoad,
+	l.sentry.HandOffEnded(l.now, HandOffEnd{Transaction: r.Transaction, Worker: "s-1", Ending: ending, Closed: ending == Answered, Load: NoLoad,
 		Opened: l.start + opened})
 }
 
 // lasts wants attempts up to a time after the start, and none after it.
-func (l *leasedStand) lasts(until Micros) {
+func (l *leaseHarness) expectLeaseUntil(until Micros) {
 	l.t.Helper()
-	if by := l.s.sendBy(0); by != l.start+until {
+	if by := l.sentry.sendBy(0); by != l.start+until {
 		l.t.Errorf("attempts may be written up to %v after the start, expected %v", by-l.start, until)
 	}
-	if r := l.at(until).arrive(); r == nil || r.SendBy != l.start+until {
+	if r := l.setTime(until).arrive(); r == nil || r.SendBy != l.start+until {
 		l.t.Errorf("at %v: attempt %+v, expected one with that limit", until, r)
 	} else {
-		l.s.HandOffEnded(l.now, HandOffEnd{Transaction: r.Transaction, Worker: "s-1", Ending: Unsent, Closed: true, Load: NoLoad})
+		l.sentry.HandOffEnded(l.now, HandOffEnd{Transaction: r.Transaction, Worker: "s-1", Ending: Unsent, Closed: true, Load: NoLoad})
 	}
-	if r := l.at(until + 1).arrive(); r != nil {
+	if r := l.setTime(until + 1).arrive(); r != nil {
 		l.t.Errorf("after %v: attempt %+v, expected none", until, r)
 	}
 }
 
 const (
-	leaseSpan  = 6*second + testGrace - leaseMargin
-	answerSpan = leaseSpan - drainingTakes // of an answer
+	listLeaseDuration   = 6*second + testDrainGrace - leaseMargin
+	answerLeaseDuration = listLeaseDuration - drainingTakes // of an answer
 )
 
 func TestLeaseOfAList(t *testing.T) {
-	l := newLeased(t, nil)
-	l.at(second).s.AskFailed(l.now, true)
-	l.lasts(leaseSpan)
-	r := l.s.Listed(l.now, ListChanges, []Worker{{ID: "s-1", Build: 10, Size: 1}}) // what is held goes out
+	l := newLeaseHarness(t, nil)
+	l.setTime(second).sentry.AskFailed(l.now, true)
+	l.expectLeaseUntil(listLeaseDuration)
+	r := l.sentry.Listed(l.now, ListChanges, []Worker{{ID: "s-1", Build: 10, Size: 1}}) // what is held goes out
 	if len(r.Rulings) != 1 || r.Rulings[0].Kind != HandOff {
 		t.Errorf("rulings %v at a list, expected an attempt for what was held", r.Rulings)
 	}
@@ -94,11 +94,11 @@
 
 // A request that no server may get is answered, once it can't be expected to be served in time.
 func TestLeaseOverAnswersRequests(t *testing.T) {
-	l := newLeased(t, nil)
-	l.at(leaseSpan + 1).arrive()
+	l := newLeaseHarness(t, nil)
+	l.setTime(listLeaseDuration + 1).arrive()
 	for range 200 {
 		l.now += 10_000
-		for _, r := range l.s.Wake(l.now).Rulings {
+		for _, r := range l.sentry.Wake(l.now).Rulings {
 			if r.Kind != Defer || r.ComeBack == 0 {
 				t.Errorf("ruling %+v, expected a refusal with a time to come back", r)
 			}
@@ -108,54 +108,54 @@
 	t.Error("a request was not answered in 2 s")
 }
 
-func TestLeaseWithoutNotice(t *testing.T) {
-	l := newLeased(t, func(o *StandingOrders) { o.NoticeWithin = 0 })
-	l.s.AskFailed(l.now, true)
-	if r := l.at(1000 * second).arrive(); r == nil || r.SendBy != 0 {
+func TestLeaseWithoutListChangeDelay(t *testing.T) {
+	l := newLeaseHarness(t, func(o *StandingOrders) { o.NoticeWithin = 0 })
+	l.sentry.AskFailed(l.now, true)
+	if r := l.setTime(1000 * second).arrive(); r == nil || r.SendBy != 0 {
 		t.Errorf("attempt %+v, expected one with no limit", r)
 	}
 }
 
-func TestLeaseOfARememberedList(t *testing.T) {
-	l := newLeased(t, nil)
-	l.s = New(l.s.orders, 1)
-	l.list(ListRemembered)
-	l.s.Told(l.now, News{Valid: true, Build: 10, Phase: Released, Cap: 1})
-	l.lasts(testGrace - leaseMargin)
+func TestLeaseOfCachedList(t *testing.T) {
+	l := newLeaseHarness(t, nil)
+	l.sentry = New(l.sentry.orders, 1)
+	l.receiveList(ListRemembered)
+	l.sentry.Told(l.now, News{Valid: true, Build: 10, Phase: Released, Cap: 1})
+	l.expectLeaseUntil(testDrainGrace - leaseMargin)
 }
 
 // A server renews its own lease by answers of the process that was listed, and by no others.
 func TestLeaseByAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
-		do    func(l *leasedStand)
+		do    func(l *leaseHarness)
 		until Micros
 	}{
-		"a connection from before the list": {func(l *leasedStand) { l.at(5*second).serve(-second, Answered) }, 5*second + answerSpan},
-		"one opened later":                  {func(l *leasedStand) { l.at(5*second).serve(2*second, Answered) }, leaseSpan},
-		"one opened later, vouched for by one from before": {func(l *leasedStand) {
-			l.at(3*second).serve(-second, Answered)
-			l.at(5*second).serve(2*second, Answered)
-		}, 5*second + answerSpan},
-		"one opened after a break": {func(l *leasedStand) {
-			l.at(2*second).serve(-second, Answered)
-			l.at(3*second).serve(0, Broken)
-			l.s.shunned[0] = 0
-			l.at(5*second).serve(4*second, Answered)
-		}, leaseSpan},
-		"one from before a break of another": {func(l *leasedStand) {
-			l.at(2*second).serve(-second, Answered)
-			l.at(3*second).serve(0, Broken)
-			l.s.shunned[0] = 0
-			l.at(5*second).serve(second, Answered)
-		}, 5*second + answerSpan},
-		"an error":      {func(l *leasedStand) { l.at(5*second).serve(0, Errored) }, leaseSpan},
-		"a turned away": {func(l *leasedStand) { l.at(5*second).serve(0, TurnedAway) }, leaseSpan},
+		"a connection from before the list": {func(l *leaseHarness) { l.setTime(5*second).serveTransaction(-second, Answered) }, 5*second + answerLeaseDuration},
+		"one opened later":                  {func(l *leaseHarness) { l.setTime(5*second).serveTransaction(2*second, Answered) }, listLeaseDuration},
+		"one opened later, vouched for by one from before": {func(l *leaseHarness) {
+			l.setTime(3*second).serveTransaction(-second, Answered)
+			l.setTime(5*second).serveTransaction(2*second, Answered)
+		}, 5*second + answerLeaseDuration},
+		"one opened after a break": {func(l *leaseHarness) {
+			l.setTime(2*second).serveTransaction(-second, Answered)
+			l.setTime(3*second).serveTransaction(0, Broken)
+			l.sentry.shunned[0] = 0
+			l.setTime(5*second).serveTransaction(4*second, Answered)
+		}, listLeaseDuration},
+		"one from before a break of another": {func(l *leaseHarness) {
+			l.setTime(2*second).serveTransaction(-second, Answered)
+			l.setTime(3*second).serveTransaction(0, Broken)
+			l.sentry.shunned[0] = 0
+			l.setTime(5*second).serveTransaction(second, Answered)
+		}, 5*second + answerLeaseDuration},
+		"an error":      {func(l *leaseHarness) { l.setTime(5*second).serveTransaction(0, Errored) }, listLeaseDuration},
+		"a turned away": {func(l *leaseHarness) { l.setTime(5*second).serveTransaction(0, TurnedAway) }, listLeaseDuration},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newLeased(t, nil)
-			l.s.AskFailed(l.now, true)
+			l := newLeaseHarness(t, nil)
+			l.sentry.AskFailed(l.now, true)
 			c.do(l)
-			if by := l.s.sendBy(0); by != l.start+c.until {
+			if by := l.sentry.sendBy(0); by != l.start+c.until {
 				t.Errorf("lease until %v, expected %v", by-l.start, c.until)
 			}
 		})
@@ -163,69 +163,69 @@
 }
 
 // A server that comes back as another life begins without what the earlier one had earned.
-func TestLeaseOfAnotherLife(t *testing.T) {
-	l := newLeased(t, nil)
-	l.at(5*second).serve(0, Answered)
+func TestLeaseAfterWorkerRestart(t *testing.T) {
+	l := newLeaseHarness(t, nil)
+	l.setTime(5*second).serveTransaction(0, Answered)
 	l.now = l.start + 5*second
-	l.s.Listed(l.now, ListChanges, []Worker{{ID: "s-1", Build: 11, Size: 1}})
-	if a := l.s.serverLeases[0].answered; a != 0 {
+	l.sentry.Listed(l.now, ListChanges, []Worker{{ID: "s-1", Build: 11, Size: 1}})
+	if a := l.sentry.serverLeases[0].answered; a != 0 {
 		t.Errorf("an answer at %v counts for another build", a-l.start)
 	}
 }
 
 // What has begun to come counts as told, and what a move of discovery leaves untold counts at a set time.
-func TestLeaseInDoubt(t *testing.T) {
-	l := newLeased(t, nil)
-	l.at(second).s.ListUnsure(l.now, l.start+second)
-	l.s.ListUnsure(l.now, l.start+3*second) // a later doubt doesn't put off the earlier one
-	l.lasts(second + testGrace - leaseMargin)
+func TestLeaseOfPossiblyStaleList(t *testing.T) {
+	l := newLeaseHarness(t, nil)
+	l.setTime(second).sentry.ListUnsure(l.now, l.start+second)
+	l.sentry.ListUnsure(l.now, l.start+3*second) // a later doubt doesn't put off the earlier one
+	l.expectLeaseUntil(second + testDrainGrace - leaseMargin)
 
-	l = newLeased(t, nil)
-	l.at(6*second).serve(0, Answered) // it had not begun to drain at 2 s
-	l.s.ListUnsure(l.now, l.start+second)
-	l.lasts(6*second + answerSpan)
+	l = newLeaseHarness(t, nil)
+	l.setTime(6*second).serveTransaction(0, Answered) // it had not begun to drain at 2 s
+	l.sentry.ListUnsure(l.now, l.start+second)
+	l.expectLeaseUntil(6*second + answerLeaseDuration)
 
-	l = newLeased(t, nil)
-	l.at(second).s.ListUnsure(l.now, l.start+second)
-	l.list(ListChanges)
-	l.lasts(second + leaseSpan)
+	l = newLeaseHarness(t, nil)
+	l.setTime(second).sentry.ListUnsure(l.now, l.start+second)
+	l.receiveList(ListChanges)
+	l.expectLeaseUntil(second + listLeaseDuration)
 }
 
 // Where lists are pushed, what discovery has counts as told at once while no watch stands.
 func TestLeaseOfAPushedList(t *testing.T) {
-	l := newLeased(t, func(o *StandingOrders) { o.AskForList = false })
-	l.at(3*second).s.AskFailed(l.now, false)
-	l.at(4*second).s.AskFailed(l.now, false)
-	l.lasts(3*second + testGrace - leaseMargin)
+	l := newLeaseHarness(t, func(o *StandingOrders) { o.AskForList = false })
+	l.setTime(3*second).sentry.AskFailed(l.now, false)
+	l.setTime(4*second).sentry.AskFailed(l.now, false)
+	l.expectLeaseUntil(3*second + testDrainGrace - leaseMargin)
 
-	l = newLeased(t, func(o *StandingOrders) { o.AskForList = false })
-	l.at(2*second).s.ListUnsure(l.now, l.now) // begun to come, and then broken off
-	l.at(3*second).s.AskFailed(l.now, false)
-	l.lasts(2*second + testGrace - leaseMargin)
-	l.list(ListChanges)
-	l.lasts(l.now - l.start + leaseSpan)
+	l = newLeaseHarness(t, func(o *StandingOrders) { o.AskForList = false })
+	l.setTime(2*second).sentry.ListUnsure(l.now, l.now) // begun to come, and then broken off
+	l.setTime(3*second).sentry.AskFailed(l.now, false)
+	l.expectLeaseUntil(2*second + testDrainGrace - leaseMargin)
+	l.receiveList(ListChanges)
+	l.expectLeaseUntil(l.now - l.start + listLeaseDuration)
 }
 
 // Waits double from failure to failure, sooner where discovery is busy, up to a bound, each spread over half to three halves
 // of its length, and begin anew after an answer.
-func TestWaitsBetweenCalls(t *testing.T) {
+func TestListRequestBackoff(t *testing.T) {
 	for busy, least := range map[bool]Micros{false: firstRetry, true: firstBusyRetry} {
-		l := newLeased(t, nil)
+		l := newLeaseHarness(t, nil)
 		for round := range 2 {
 			for wait := least; wait <= 4*mostRetry; wait *= 2 {
 				usual := min(wait, mostRetry)
-				l.s.AskFailed(l.now, busy)
-				if got := l.s.askAt - l.now; got < usual/2 || got > usual*3/2 {
+				l.sentry.AskFailed(l.now, busy)
+				if got := l.sentry.askAt - l.now; got < usual/2 || got > usual*3/2 {
 					t.Errorf("round %d, busy %v: waits %v, expected about %v", round, busy, got, usual)
 				}
-				l.now = l.s.askAt
+				l.now = l.sentry.askAt
 			}
-			l.list(ListWhole)
+			l.receiveList(ListWhole)
 		}
 	}
 	shortest, longest := mostRetry, Micros(0)
 	for seed := range 200 {
-		s := New(newLeased(t, nil).s.orders, int64(seed))
+		s := New(newLeaseHarness(t, nil).sentry.orders, int64(seed))
 		s.AskFailed(second, true)
 		shortest, longest = min(shortest, s.askAt-second), max(longest, s.askAt-second)
 	}
@@ -239,76 +239,76 @@
 	const lost, end = 10 * second, 50 * second
 	// At 2 a second a pause may be longer than the lease of an answer.
 	for perSecond, least := range map[float64]float64{2: 0.9, 7: 0.97, 20: 0.97} {
-		o := newLeased(t, nil).s.orders
+		o := newLeaseHarness(t, nil).sentry.orders
 		o.Sentries, o.MostHandOffs = 100, 3
-		f := &outageFleet{s: New(o, 3), chance: rand.New(rand.NewSource(1)), now: 1000 * second, opened: map[WorkerID]Micros{}}
+		f := &outageSimulation{sentry: New(o, 3), random: rand.New(rand.NewSource(1)), now: 1000 * second, connectionOpened: map[WorkerID]Micros{}}
 		start := f.now
 		var list []Worker
 		for i := range 60 {
 			list = append(list, Worker{ID: WorkerID(fmt.Sprint("s-", i)), Build: 10, Size: 1})
 		}
-		f.take(f.s.Listed(f.now, ListWhole, list))
-		f.take(f.s.Told(f.now, News{Valid: true, Build: 10, Phase: Released, Cap: 1}))
+		f.carryOut(f.sentry.Listed(f.now, ListWhole, list))
+		f.carryOut(f.sentry.Told(f.now, News{Valid: true, Build: 10, Phase: Released, Cap: 1}))
 		for next := f.now; f.now < start+end; f.now += millisecond {
 			if f.now < start+lost && f.now%(2*second) == 0 {
-				f.take(f.s.Listed(f.now, ListChanges, nil)) // a sign of life
+				f.carryOut(f.sentry.Listed(f.now, ListChanges, nil)) // a sign of life
 			}
 			if f.now >= next {
 				f.arrive()
-				next = f.now + Micros(f.chance.ExpFloat64()/perSecond*float64(second))
+				next = f.now + Micros(f.random.ExpFloat64()/perSecond*float64(second))
 			}
-			f.step()
+			f.endDueHandOffs()
 		}
-		if share := float64(f.served) / float64(f.came); share < least {
-			t.Errorf("at %v requests a second: %.3f of %d served, expected %v at the least", perSecond, share, f.came, least)
+		if share := float64(f.served) / float64(f.arrived); share < least {
+			t.Errorf("at %v requests a second: %.3f of %d served, expected %v at the least", perSecond, share, f.arrived, least)
 		}
 	}
 }
 
 // outageFleet answers each attempt some time after it was made, over one connection to each server.
-type outageFleet struct {
-	s            *Sentry
-	chance       *rand.Rand
-	now          Micros
-	opened       map[WorkerID]Micros
-	out          []outageAttempt
-	came, served int
+type outageSimulation struct {
+	sentry           *Sentry
+	random           *rand.Rand
+	now              Micros
+	connectionOpened map[WorkerID]Micros
+	openHandOffs     []outageHandOff
+	arrived, served  int
 }
 
-type outageAttempt struct {
-	ends Micros
-	made Ruling
+type outageHandOff struct {
+	endsAt Micros
+	action Ruling
 }
 
-func (f *outageFleet) arrive() {
-	f.came++
-	f.take(f.s.Arrive(f.now, Transaction{ID: TransactionID(fmt.Sprint(f.came)), Account: NoAccount, Limit: f.now + 2*second}))
+func (f *outageSimulation) arrive() {
+	f.arrived++
+	f.carryOut(f.sentry.Arrive(f.now, Transaction{ID: TransactionID(fmt.Sprint(f.arrived)), Account: NoAccount, Limit: f.now + 2*second}))
 }
 
-func (f *outageFleet) take(r Result) {
+func (f *outageSimulation) carryOut(r Result) {
 	for _, x := range r.Rulings {
 		if x.Kind != HandOff {
 			continue
 		}
-		if _, open := f.opened[x.Worker]; !open {
-			f.opened[x.Worker] = f.now
+		if _, open := f.connectionOpened[x.Worker]; !open {
+			f.connectionOpened[x.Worker] = f.now
 		}
-		f.out = append(f.out, outageAttempt{f.now + 60*millisecond + Micros(f.chance.Intn(60_000)), x})
+		f.openHandOffs = append(f.openHandOffs, outageHandOff{f.now + 60*millisecond + Micros(f.random.Intn(60_000)), x})
 	}
 }
 
 // step ends the attempts whose time has come.
-func (f *outageFleet) step() {
-	due := f.out
-	f.out = nil
+func (f *outageSimulation) endDueHandOffs() {
+	due := f.openHandOffs
+	f.openHandOffs = nil
 	for _, a := range due {
-		if a.ends > f.now {
-			f.out = append(f.out, a)
+		if a.endsAt > f.now {
+			f.openHandOffs = append(f.openHandOffs, a)
 			continue
 		}
 		f.served++
-		f.take(f.s.HandOffEnded(f.now, HandOffEnd{Transaction: a.made.Transaction, Worker: a.made.Worker, Ending: Answered, Closed: true,
-			Load: NoLoad, Opened: f.opened[a.made.Worker], Took: 80 * millisecond}))
+		f.carryOut(f.sentry.HandOffEnded(f.now, HandOffEnd{Transaction: a.action.Transaction, Worker: a.action.Worker, Ending: Answered, Closed: true,
+			Load: NoLoad, Opened: f.connectionOpened[a.action.Worker], Took: 80 * millisecond}))
 	}
-	f.take(f.s.Wake(f.now))
+	f.carryOut(f.sentry.Wake(f.now))
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -8,40 +8,40 @@
 
 // fleet is a made-up deployment that checks the rules after every step. It knows nothing of how the module
 // decides.
-type fleet struct {
-	t       *testing.T
-	o       StandingOrders
-	s       *Sentry
-	chance  *rand.Rand
-	now     Micros
-	list    map[WorkerID]Worker
-	told    map[WorkerID]Micros // since when the sentry knows that a worker drains or is gone
-	news    News
-	live    map[TransactionID]*owed
-	order   []TransactionID
-	taken   []Micros
-	exposed []Micros
-	met     map[Key]bool
-	cold    map[WorkerID][]Micros
-	count   int
-	answers int
-	handed  int
+type simulation struct {
+	t                *testing.T
+	config           StandingOrders
+	sentry           *Sentry
+	random           *rand.Rand
+	now              Micros
+	workersByID      map[WorkerID]Worker
+	drainKnownSince  map[WorkerID]Micros // since when the sentry knows that a worker drains or is gone
+	release          News
+	open             map[TransactionID]*simTransaction
+	openIDs          []TransactionID
+	takenAt          []Micros
+	exposedAt        []Micros
+	keysOnTrial      map[Key]bool
+	coldHandOffs     map[WorkerID][]Micros
+	transactionCount int
+	answerCount      int
+	handOffCount     int
 }
 
-type owed struct {
-	in     Transaction
-	closed bool
-	sends  []*sent
+type simTransaction struct {
+	transaction Transaction
+	closed      bool
+	handOffs    []*simHandOff
 }
 
-type sent struct {
-	worker WorkerID
-	at     Micros
-	over   bool
-	mayRun bool
+type simHandOff struct {
+	worker     WorkerID
+	sentAt     Micros
+	ended      bool
+	mayHaveRun bool
 }
 
-func orders(chance *rand.Rand) StandingOrders {
+func randomConfig(chance *rand.Rand) StandingOrders {
 	pick := func(n int) bool { return chance.Intn(n) == 0 }
 	o := StandingOrders{
 		Sentries: 1 + chance.Intn(5), AskForList: pick(2), AskWithin: 10 * second, MayCopy: pick(2),
@@ -62,64 +62,64 @@
 	return o
 }
 
-func newFleet(t *testing.T, seed int64) *fleet {
+func newSimulation(t *testing.T, seed int64) *simulation {
 	chance := rand.New(rand.NewSource(seed))
-	f := &fleet{t: t, chance: chance, now: 1000 * second, o: orders(chance), list: map[WorkerID]Worker{},
-		told: map[WorkerID]Micros{}, live: map[TransactionID]*owed{}, met: map[Key]bool{},
-		cold: map[WorkerID][]Micros{}}
-	f.s = New(f.o, seed)
+	f := &simulation{t: t, random: chance, now: 1000 * second, config: randomConfig(chance), workersByID: map[WorkerID]Worker{},
+		drainKnownSince: map[WorkerID]Micros{}, open: map[TransactionID]*simTransaction{}, keysOnTrial: map[Key]bool{},
+		coldHandOffs: map[WorkerID][]Micros{}}
+	f.sentry = New(f.config, seed)
 	for i := range 8 {
-		f.put(Worker{ID: f.id(i), Build: 10, Size: 1 + float64(i%2), Zone: ZoneID(i % 2), Cell: i % 3})
+		f.setWorker(Worker{ID: f.workerID(i), Build: 10, Size: 1 + float64(i%2), Zone: ZoneID(i % 2), Cell: i % 3})
 	}
-	f.do(f.s.Listed(f.now, ListRemembered, f.workers()))
-	f.tell(News{Valid: true, Build: 10, Stage: 2, Phase: Released, Cap: 1})
+	f.checkActions(f.sentry.Listed(f.now, ListRemembered, f.allWorkers()))
+	f.updateRelease(News{Valid: true, Build: 10, Stage: 2, Phase: Released, Cap: 1})
 	return f
 }
 
-func (f *fleet) id(i int) WorkerID { return WorkerID(fmt.Sprintf("w%d", i)) }
+func (f *simulation) workerID(i int) WorkerID { return WorkerID(fmt.Sprintf("w%d", i)) }
 
-func (f *fleet) put(w Worker) {
-	f.list[w.ID] = w
+func (f *simulation) setWorker(w Worker) {
+	f.workersByID[w.ID] = w
 	if w.State == Ready {
-		delete(f.told, w.ID)
-	} else if _, known := f.told[w.ID]; !known {
-		f.told[w.ID] = f.now
+		delete(f.drainKnownSince, w.ID)
+	} else if _, known := f.drainKnownSince[w.ID]; !known {
+		f.drainKnownSince[w.ID] = f.now
 	}
 }
 
-func (f *fleet) workers() []Worker {
+func (f *simulation) allWorkers() []Worker {
 	var all []Worker
 	for i := range 20 {
-		if w, ok := f.list[f.id(i)]; ok {
+		if w, ok := f.workersByID[f.workerID(i)]; ok {
 			all = append(all, w)
 		}
 	}
 	return all
 }
 
-func (f *fleet) tell(n News) {
-	if n.Build != f.news.Build {
-		f.exposed, f.met = nil, map[Key]bool{}
+func (f *simulation) updateRelease(n News) {
+	if n.Build != f.release.Build {
+		f.exposedAt, f.keysOnTrial = nil, map[Key]bool{}
 	}
 	if n.Phase == GoingBack || n.Phase == Withdrawn {
-		f.met = map[Key]bool{}
+		f.keysOnTrial = map[Key]bool{}
 	}
-	f.news = n
-	f.do(f.s.Told(f.now, n))
+	f.release = n
+	f.checkActions(f.sentry.Told(f.now, n))
 }
 
-func (f *fleet) fail(format string, args ...any) {
+func (f *simulation) fail(format string, args ...any) {
 	f.t.Helper()
 	f.t.Fatalf("at %d: %s", f.now, fmt.Sprintf(format, args...))
 }
 
 // do checks every ruling against the rules as they are worded.
-func (f *fleet) do(r Result) {
+func (f *simulation) checkActions(r Result) {
 	f.t.Helper()
 	for _, x := range r.Rulings {
-		o := f.live[x.Transaction]
+		o := f.open[x.Transaction]
 		if x.Kind == CancelHandOff {
-			if o == nil || x.Number >= len(o.sends) || o.sends[x.Number].over {
+			if o == nil || x.Number >= len(o.handOffs) || o.handOffs[x.Number].ended {
 				f.fail("rule 1: %v cancels what is not out", x)
 			}
 			continue
@@ -128,230 +128,230 @@
 			f.fail("rule 1: ruling %v on a transaction that is not open", x)
 		}
 		mayRun, out := false, 0
-		for _, h := range o.sends {
-			mayRun = mayRun || h.mayRun
-			if !h.over {
+		for _, h := range o.handOffs {
+			mayRun = mayRun || h.mayHaveRun
+			if !h.ended {
 				out++
 			}
 		}
-		p := f.o.Profiles[o.in.Profile]
+		p := f.config.Profiles[o.transaction.Profile]
 		switch x.Kind {
 		case HandOff:
-			f.handOff(o, x, p, mayRun, out)
+			f.checkHandOff(o, x, p, mayRun, out)
 		case Defer:
 			if mayRun && (p.Repeat == Irreversible || p.Repeat == Labelled && p.Scope != ScopeAll) {
 				f.fail("rule 2: %v deferred though it may have run", x)
 			}
 			o.closed = true
-			f.answers++
+			f.answerCount++
 		case WriteOff:
 			o.closed = true
-			f.answers++
+			f.answerCount++
 		}
 	}
 }
 
-func (f *fleet) handOff(o *owed, x Ruling, p Profile, mayRun bool, out int) {
+func (f *simulation) checkHandOff(o *simTransaction, x Ruling, p Profile, mayRun bool, out int) {
 	f.t.Helper()
-	f.handed++
-	w, known := f.list[x.Worker]
-	if !known || f.now > o.in.Limit || x.Until > o.in.Limit {
+	f.handOffCount++
+	w, known := f.workersByID[x.Worker]
+	if !known || f.now > o.transaction.Limit || x.Until > o.transaction.Limit {
 		f.fail("rule 1: %v to an unknown worker or past its limit", x)
 	}
-	if out > 0 && !f.o.MayCopy || len(o.sends) >= f.o.MostHandOffs {
-		f.fail("rule 2: hand-off %v with %d out of %d", x, out, len(o.sends))
+	if out > 0 && !f.config.MayCopy || len(o.handOffs) >= f.config.MostHandOffs {
+		f.fail("rule 2: hand-off %v with %d out of %d", x, out, len(o.handOffs))
 	}
-	for _, h := range o.sends {
-		if !h.mayRun {
+	for _, h := range o.handOffs {
+		if !h.mayHaveRun {
 			continue
 		}
-		first := f.list[h.worker]
+		first := f.workersByID[h.worker]
 		apart := p.Scope == ScopeZone && first.Zone != w.Zone || p.Scope == ScopeCell && first.Cell != w.Cell
-		if p.Repeat == Irreversible || p.Repeat == Labelled && (apart || f.now >= h.at+p.Window) {
+		if p.Repeat == Irreversible || p.Repeat == Labelled && (apart || f.now >= h.sentAt+p.Window) {
 			f.fail("rule 2: %v sent again", x)
 		}
 	}
-	if since, bad := f.told[x.Worker]; bad && f.now > since+f.o.DrainGrace {
+	if since, bad := f.drainKnownSince[x.Worker]; bad && f.now > since+f.config.DrainGrace {
 		f.fail("rule 3: %v to a worker that drains or is gone", x)
 	}
-	trial := f.news.Build == w.Build && f.news.Phase != Released
+	trial := f.release.Build == w.Build && f.release.Phase != Released
 	switch {
-	case w.Build > f.news.Build:
+	case w.Build > f.release.Build:
 		f.fail("rule 5: %v to a build not announced", x)
-	case trial && f.news.Phase != OnTrial:
+	case trial && f.release.Phase != OnTrial:
 		f.fail("rule 5: %v to a build that goes back", x)
-	case trial && f.news.Stage < f.o.GuardedStages && p.Repeat != Redoable:
+	case trial && f.release.Stage < f.config.GuardedStages && p.Repeat != Redoable:
 		f.fail("rule 5: %v to the trial in a guarded stage", x)
 	case trial:
-		from := f.now - f.o.ExposureWindow
-		f.exposed = append(trim(f.exposed, from), f.now)
-		if taken := since(f.taken,
-			from); float64(len(f.exposed)) > f.o.FreeExposure+f.news.Cap*float64(taken)+1e-9 {
-			f.fail("rule 5: %d hand-offs to the trial, %d taken, cap %v", len(f.exposed), taken, f.news.Cap)
+		from := f.now - f.config.ExposureWindow
+		f.exposedAt = append(trim(f.exposedAt, from), f.now)
+		if taken := since(f.takenAt,
+			from); float64(len(f.exposedAt)) > f.config.FreeExposure+f.release.Cap*float64(taken)+1e-9 {
+			f.fail("rule 5: %d hand-offs to the trial, %d taken, cap %v", len(f.exposedAt), taken, f.release.Cap)
 		}
 	}
-	if f.o.ForwardOnly && f.met[o.in.Key] && w.Build < f.news.Build && f.news.Phase != Withdrawn {
+	if f.config.ForwardOnly && f.keysOnTrial[o.transaction.Key] && w.Build < f.release.Build && f.release.Phase != Withdrawn {
 		f.fail("rule 5: %v takes a key back", x)
 	}
-	if age := f.now - w.Started; w.Started > 0 && age < f.o.FallSpan {
-		f.cold[w.ID] = append(trim(f.cold[w.ID], f.now-f.o.FallSpan), f.now)
-		most := 3 + f.o.FallMultiple*float64(since(f.taken, f.now-f.o.FallSpan))/2
-		if float64(len(f.cold[w.ID])) > most {
-			f.fail("rule 4: %d hand-offs to one cold worker", len(f.cold[w.ID]))
+	if age := f.now - w.Started; w.Started > 0 && age < f.config.FallSpan {
+		f.coldHandOffs[w.ID] = append(trim(f.coldHandOffs[w.ID], f.now-f.config.FallSpan), f.now)
+		most := 3 + f.config.FallMultiple*float64(since(f.takenAt, f.now-f.config.FallSpan))/2
+		if float64(len(f.coldHandOffs[w.ID])) > most {
+			f.fail("rule 4: %d hand-offs to one cold worker", len(f.coldHandOffs[w.ID]))
 		}
 	}
-	o.sends = append(o.sends, &sent{worker: x.Worker, at: f.now, mayRun: true})
+	o.handOffs = append(o.handOffs, &simHandOff{worker: x.Worker, sentAt: f.now, mayHaveRun: true})
 }
 
-func (f *fleet) arrive() {
-	f.count++
-	in := Transaction{ID: TransactionID(fmt.Sprint(f.count)), Profile: ProfileID(f.chance.Intn(3)),
+func (f *simulation) arrive() {
+	f.transactionCount++
+	in := Transaction{ID: TransactionID(fmt.Sprint(f.transactionCount)), Profile: ProfileID(f.random.Intn(3)),
 		Account: NoAccount,
-		Key:     Key(fmt.Sprintf("%x", f.chance.Intn(60))),
-		Limit:   f.now + second/2 + Micros(f.chance.Int63n(int64(second)))}
-	switch f.chance.Intn(8) {
+		Key:     Key(fmt.Sprintf("%x", f.random.Intn(60))),
+		Limit:   f.now + second/2 + Micros(f.random.Int63n(int64(second)))}
+	switch f.random.Intn(8) {
 	case 0:
 		in.Key = ""
 	case 1, 2, 3:
-		in.Key = Key(fmt.Sprint(f.count / 100)) // a hot key, now and then in the trial's slots
+		in.Key = Key(fmt.Sprint(f.transactionCount / 100)) // a hot key, now and then in the trial's slots
 	}
-	f.live[in.ID] = &owed{in: in}
-	f.order = append(f.order, in.ID)
-	f.taken = append(f.taken, f.now)
-	f.do(f.s.Arrive(f.now, in))
+	f.open[in.ID] = &simTransaction{transaction: in}
+	f.openIDs = append(f.openIDs, in.ID)
+	f.takenAt = append(f.takenAt, f.now)
+	f.checkActions(f.sentry.Arrive(f.now, in))
 }
 
 // end ends one open hand-off, or all that have passed their transaction's limit.
-func (f *fleet) end(o *owed, n int, e Ending) {
-	h := o.sends[n]
-	if h.over {
+func (f *simulation) endHandOff(o *simTransaction, n int, e Ending) {
+	h := o.handOffs[n]
+	if h.ended {
 		return
 	}
-	h.over = true
-	h.mayRun = e != TurnedAway && e != Unconnected && e != Unsent
+	h.ended = true
+	h.mayHaveRun = e != TurnedAway && e != Unconnected && e != Unsent
 	closed := o.closed || e == Answered
 	if e == Answered && !o.closed {
-		f.answers++
-		if w := f.list[h.worker]; w.Build == f.news.Build && f.news.Phase <= Released && f.news.Phase != GoingBack {
-			f.met[o.in.Key] = o.in.Key != ""
+		f.answerCount++
+		if w := f.workersByID[h.worker]; w.Build == f.release.Build && f.release.Phase <= Released && f.release.Phase != GoingBack {
+			f.keysOnTrial[o.transaction.Key] = o.transaction.Key != ""
 		}
 	}
 	o.closed = closed
-	f.do(f.s.HandOffEnded(f.now, HandOffEnd{Transaction: o.in.ID, HandOff: n, Worker: h.worker, Ending: e,
-		Took: f.now - h.at, Closed: closed, Load: Load{float64(f.chance.Intn(4) - 1), -1, -1}}))
+	f.checkActions(f.sentry.HandOffEnded(f.now, HandOffEnd{Transaction: o.transaction.ID, HandOff: n, Worker: h.worker, Ending: e,
+		Took: f.now - h.sentAt, Closed: closed, Load: Load{float64(f.random.Intn(4) - 1), -1, -1}}))
 }
 
 // sweep ends what has run out and sees that nothing open is overdue.
-func (f *fleet) sweep() {
-	kept := f.order[:0]
-	for _, id := range f.order {
-		o := f.live[id]
+func (f *simulation) checkDeadlines() {
+	kept := f.openIDs[:0]
+	for _, id := range f.openIDs {
+		o := f.open[id]
 		out := false
-		for n, h := range o.sends {
-			if !h.over && f.now >= o.in.Limit {
-				f.end(o, n, TimedOut)
+		for n, h := range o.handOffs {
+			if !h.ended && f.now >= o.transaction.Limit {
+				f.endHandOff(o, n, TimedOut)
 			}
-			out = out || !h.over
+			out = out || !h.ended
 		}
-		if !o.closed && f.now > o.in.Limit+f.o.AnswerGrace {
+		if !o.closed && f.now > o.transaction.Limit+f.config.AnswerGrace {
 			f.fail("rule 1: %s has no final answer", id)
 		}
 		if o.closed && !out {
-			delete(f.live, id)
+			delete(f.open, id)
 			continue
 		}
 		kept = append(kept, id)
 	}
-	f.order = kept
+	f.openIDs = kept
 }
 
-func (f *fleet) step() {
+func (f *simulation) step() {
 	f.now += 5000
-	f.do(f.s.Wake(f.now))
-	f.sweep()
-	for range f.chance.Intn(3) {
+	f.checkActions(f.sentry.Wake(f.now))
+	f.checkDeadlines()
+	for range f.random.Intn(3) {
 		f.arrive()
 	}
 	for range 2 {
-		if len(f.order) == 0 {
+		if len(f.openIDs) == 0 {
 			break
 		}
-		o := f.live[f.order[f.chance.Intn(len(f.order))]]
-		if len(o.sends) > 0 {
+		o := f.open[f.openIDs[f.random.Intn(len(f.openIDs))]]
+		if len(o.handOffs) > 0 {
 			e := Answered
-			if f.chance.Intn(4) == 0 {
-				e = Ending(f.chance.Intn(8))
+			if f.random.Intn(4) == 0 {
+				e = Ending(f.random.Intn(8))
 			}
-			f.end(o, f.chance.Intn(len(o.sends)), e)
+			f.endHandOff(o, f.random.Intn(len(o.handOffs)), e)
 		}
 	}
-	switch f.chance.Intn(150) {
+	switch f.random.Intn(150) {
 	case 0, 1, 2, 3:
-		f.change()
+		f.changeWorker()
 	case 4:
-		f.stage()
+		f.changeRelease()
 	case 5:
-		f.oddities()
+		f.sendIrregularCalls()
 	}
 }
 
 // change starts, restarts, drains or ends a worker and tells the sentry, wholly or by changes.
-func (f *fleet) change() {
-	w := Worker{ID: f.id(f.chance.Intn(16)), Build: f.news.Build + BuildID(f.chance.Intn(3)-1), Size: 1,
-		Started: f.now - Micros(f.chance.Int63n(int64(second))), State: WorkerState(f.chance.Intn(4) % 3)}
-	if old, known := f.list[w.ID]; known && w.State != Ready {
+func (f *simulation) changeWorker() {
+	w := Worker{ID: f.workerID(f.random.Intn(16)), Build: f.release.Build + BuildID(f.random.Intn(3)-1), Size: 1,
+		Started: f.now - Micros(f.random.Int63n(int64(second))), State: WorkerState(f.random.Intn(4) % 3)}
+	if old, known := f.workersByID[w.ID]; known && w.State != Ready {
 		old.State = w.State
 		w = old
 	}
-	f.put(w)
-	if f.chance.Intn(2) == 0 {
-		f.do(f.s.Listed(f.now, ListChanges, []Worker{w}))
+	f.setWorker(w)
+	if f.random.Intn(2) == 0 {
+		f.checkActions(f.sentry.Listed(f.now, ListChanges, []Worker{w}))
 	} else {
-		f.do(f.s.Listed(f.now, ListWhole, f.workers()))
+		f.checkActions(f.sentry.Listed(f.now, ListWhole, f.allWorkers()))
 	}
 }
 
-func (f *fleet) stage() {
-	n := f.news
+func (f *simulation) changeRelease() {
+	n := f.release
 	n.Valid, n.Age = true, 0
 	switch {
 	case n.Phase == Released || n.Phase == Withdrawn:
 		n.Build, n.Phase, n.Stage = n.Build+1, OnTrial, 0
 	case n.Phase == GoingBack:
 		n.Phase = Withdrawn
-	case f.chance.Intn(3) == 0:
+	case f.random.Intn(3) == 0:
 		n.Phase = GoingBack
 	case n.Stage < 2:
 		n.Stage++
 	default:
 		n.Phase = Released
 	}
-	n.Cap = f.o.StageCaps[n.Stage]
+	n.Cap = f.config.StageCaps[n.Stage]
 	if n.Phase == GoingBack || n.Phase == Withdrawn {
 		n.Cap = 0
 	}
-	f.tell(n)
+	f.updateRelease(n)
 }
 
 // oddities are calls that are legal and should change nothing but what they must.
-func (f *fleet) oddities() {
-	body := make([]byte, f.chance.Intn(300))
-	f.chance.Read(body)
-	f.do(f.s.PeerSaid(f.now, SentryID(f.chance.Intn(9)-2), body))
-	f.do(f.s.Complained(f.now, Complaint{Profile: ProfileID(f.chance.Intn(9) - 2),
-		Worker: f.id(f.chance.Intn(30))}))
-	f.do(f.s.AskFailed(f.now, true))
-	f.do(f.s.ClientLeft(f.now, "nobody"))
-	f.do(f.s.HandOffEnded(f.now, HandOffEnd{Transaction: "nobody", HandOff: -3, Worker: "nobody"}))
-	f.do(f.s.Told(f.now, News{Fate: VoteUnanswered}))
-	f.do(f.s.Told(f.now, News{Fate: VoteMoot}))
+func (f *simulation) sendIrregularCalls() {
+	body := make([]byte, f.random.Intn(300))
+	f.random.Read(body)
+	f.checkActions(f.sentry.PeerSaid(f.now, SentryID(f.random.Intn(9)-2), body))
+	f.checkActions(f.sentry.Complained(f.now, Complaint{Profile: ProfileID(f.random.Intn(9) - 2),
+		Worker: f.workerID(f.random.Intn(30))}))
+	f.checkActions(f.sentry.AskFailed(f.now, true))
+	f.checkActions(f.sentry.ClientLeft(f.now, "nobody"))
+	f.checkActions(f.sentry.HandOffEnded(f.now, HandOffEnd{Transaction: "nobody", HandOff: -3, Worker: "nobody"}))
+	f.checkActions(f.sentry.Told(f.now, News{Fate: VoteUnanswered}))
+	f.checkActions(f.sentry.Told(f.now, News{Fate: VoteMoot}))
 	odd := Worker{ID: "w19", Build: 0, Size: -1, Started: f.now * 5, State: Ready}
-	f.put(odd)
-	f.do(f.s.Listed(f.now, ListChanges, []Worker{odd}))
-	if len(f.order) > 0 {
-		o := f.live[f.order[0]]
+	f.setWorker(odd)
+	f.checkActions(f.sentry.Listed(f.now, ListChanges, []Worker{odd}))
+	if len(f.openIDs) > 0 {
+		o := f.open[f.openIDs[0]]
 		o.closed = true
-		f.do(f.s.ClientLeft(f.now, o.in.ID))
+		f.checkActions(f.sentry.ClientLeft(f.now, o.transaction.ID))
 	}
 }
 
@@ -360,28 +360,28 @@
 		f.Add(int64(seed))
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
-		fl := newFleet(t, seed)
+		fl := newSimulation(t, seed)
 		for range 4000 {
 			fl.step()
 		}
-		if fl.answers < 1000 || fl.handed < 300 {
-			t.Fatalf("only %d answers and %d hand-offs in the whole run", fl.answers, fl.handed)
+		if fl.answerCount < 1000 || fl.handOffCount < 300 {
+			t.Fatalf("only %d answers and %d hand-offs in the whole run", fl.answerCount, fl.handOffCount)
 		}
 	})
 }
 
 // A key whose hand-off to the trial may have been answered, though nothing of that could be read, goes to no earlier
 // build again; one that was errored does.
-func TestUnreadAnswersCountAsMet(t *testing.T) {
+func TestUnreadableAnswersKeepKeysOnTrial(t *testing.T) {
 	for _, c := range []struct {
 		ending Ending
 		met    bool
 	}{{Spoilt, true}, {Broken, true}, {TimedOut, true}, {Errored, false}, {Unconnected, false}} {
-		b := newStand(4, 4)
+		b := newTrialHarness(4, 4)
 		b.now += 10 * second // warm
 		sent := map[Key]bool{}
-		b.serve(60, func(w WorkerID, n int) (Ending, Micros) {
-			if trialWorker(w) {
+		b.serveTransactions(60, func(w WorkerID, n int) (Ending, Micros) {
+			if isTrialWorker(w) {
 				sent[Key(fmt.Sprintf("%x", n*7919))] = true
 				return c.ending, 50_000
 			}
@@ -390,16 +390,16 @@
 		if len(sent) == 0 {
 			t.Fatal("nothing went to the trial")
 		}
-		b.s.reach = 0 // by the hash alone all would go to the earlier build
+		b.sentry.reach = 0 // by the hash alone all would go to the earlier build
 		for k := range sent {
 			b.now += second / 10
-			b.see(b.s.Arrive(b.now, Transaction{ID: TransactionID(k), Key: k, Account: NoAccount, Limit: b.now + 2*second}))
-			for _, r := range b.last.Rulings {
-				if earlier := r.Kind == HandOff && !trialWorker(r.Worker); earlier == c.met {
+			b.record(b.sentry.Arrive(b.now, Transaction{ID: TransactionID(k), Key: k, Account: NoAccount, Limit: b.now + 2*second}))
+			for _, r := range b.lastResult.Rulings {
+				if earlier := r.Kind == HandOff && !isTrialWorker(r.Worker); earlier == c.met {
 					t.Errorf("after ending %d: %+v, expected the earlier build: %v", c.ending, r, !c.met)
 				}
 			}
-			b.s.reach = 0
+			b.sentry.reach = 0
 		}
 	}
 }
@@ -412,32 +412,32 @@
 		later   int // that the worker answers
 		again   bool
 	}{{0, 80, true}, {0, passing - 1, false}, {0, 0, false}, {1, 80, false}} {
-		b := newStand(1, 0)
-		b.s.orders.MayCopy, b.s.orders.MayCancel, b.s.orders.MostHandOffs = false, true, 3
-		b.s.spare = 2
-		b.see(b.s.Arrive(b.now, Transaction{ID: "lost", Profile: c.profile, Key: "k", Account: NoAccount, Limit: b.now + 2*second}))
+		b := newTrialHarness(1, 0)
+		b.sentry.orders.MayCopy, b.sentry.orders.MayCancel, b.sentry.orders.MostHandOffs = false, true, 3
+		b.sentry.spare = 2
+		b.record(b.sentry.Arrive(b.now, Transaction{ID: "lost", Profile: c.profile, Key: "k", Account: NoAccount, Limit: b.now + 2*second}))
 		cancelled, again, shunned, lost := false, false, false, 0
 		for n := range 80 {
 			b.now += 20_000
 			id := TransactionID(fmt.Sprint("later", n))
 			if n < c.later {
-				b.s.Arrive(b.now, Transaction{ID: id, Key: "k", Account: NoAccount, Limit: b.now + 2*second})
-				b.s.HandOffEnded(b.now+10_000, HandOffEnd{Transaction: id, Worker: "e0", Took: 10_000, Closed: true, Load: NoLoad})
+				b.sentry.Arrive(b.now, Transaction{ID: id, Key: "k", Account: NoAccount, Limit: b.now + 2*second})
+				b.sentry.HandOffEnded(b.now+10_000, HandOffEnd{Transaction: id, Worker: "e0", Took: 10_000, Closed: true, Load: NoLoad})
 			}
-			for b.see(b.s.Wake(b.now + 10_000)); len(b.last.Rulings) > 0; {
-				x := b.last.Rulings[0]
-				b.last.Rulings = b.last.Rulings[1:]
+			for b.record(b.sentry.Wake(b.now + 10_000)); len(b.lastResult.Rulings) > 0; {
+				x := b.lastResult.Rulings[0]
+				b.lastResult.Rulings = b.lastResult.Rulings[1:]
 				switch {
 				case x.Kind == CancelHandOff && x.Transaction == "lost":
 					cancelled = true
-					b.see(b.s.HandOffEnded(b.now+10_000, HandOffEnd{Transaction: "lost", Worker: "e0", Ending: Cancelled, Load: NoLoad}))
+					b.record(b.sentry.HandOffEnded(b.now+10_000, HandOffEnd{Transaction: "lost", Worker: "e0", Ending: Cancelled, Load: NoLoad}))
 				case x.Kind == HandOff:
 					again = x.Transaction == "lost"
 				default:
 					t.Fatalf("ruled %+v", x)
 				}
 			}
-			shunned, lost = shunned || b.s.shunned[0] > b.now, max(lost, b.s.lost)
+			shunned, lost = shunned || b.sentry.shunned[0] > b.now, max(lost, b.sentry.lost)
 		}
 		if cancelled != c.again || again != c.again || shunned != (c.later < passing) || c.profile == 1 && lost == 0 ||
 			c.later < passing && lost > 0 {
@@ -448,24 +448,24 @@
 }
 
 // A build that goes back serves on within its cap while no earlier worker is ready, and no longer.
-func TestGoingBackBeforeTheEarlierAreBack(t *testing.T) {
-	b := newStand(2, 4)
-	b.tell(News{Valid: true, Build: 11, Stage: 1, Phase: Released, Cap: 1})
-	b.see(b.s.Listed(b.now, ListChanges, []Worker{{ID: "e0", Build: 10, Size: 1, State: Gone}, {ID: "e1", Build: 10, Size: 1, State: Gone}}))
+func TestRollBackWithoutEarlierWorkers(t *testing.T) {
+	b := newTrialHarness(2, 4)
+	b.updateRelease(News{Valid: true, Build: 11, Stage: 1, Phase: Released, Cap: 1})
+	b.record(b.sentry.Listed(b.now, ListChanges, []Worker{{ID: "e0", Build: 10, Size: 1, State: Gone}, {ID: "e1", Build: 10, Size: 1, State: Gone}}))
 	for _, c := range []struct {
 		cap   float64
 		at    string // where the earlier build is again
 		trial bool
 	}{{1, "", true}, {1, "e0", false}, {0, "", false}} {
 		b.now += 10 * second
-		b.tell(News{Valid: true, Build: 11, Stage: 1, Phase: GoingBack, Cap: c.cap})
+		b.updateRelease(News{Valid: true, Build: 11, Stage: 1, Phase: GoingBack, Cap: c.cap})
 		state := Gone
 		if c.at != "" {
 			state = Ready
 		}
-		b.see(b.s.Listed(b.now, ListChanges, []Worker{{ID: "e0", Build: 10, Size: 1, State: state}}))
+		b.record(b.sentry.Listed(b.now, ListChanges, []Worker{{ID: "e0", Build: 10, Size: 1, State: state}}))
 		met := 0
-		b.serve(50, func(w WorkerID, _ int) (Ending, Micros) { met += int(one(trialWorker(w))); return Answered, 50_000 })
+		b.serveTransactions(50, func(w WorkerID, _ int) (Ending, Micros) { met += int(one(isTrialWorker(w))); return Answered, 50_000 })
 		if met > 0 != c.trial {
 			t.Errorf("cap %v, earlier worker %q: %d to the build that goes back", c.cap, c.at, met)
 		}
@@ -473,19 +473,19 @@
 }
 
 // While the news of a release is still to come and the earlier build has gone, the trial's workers make the room.
-func TestRoomAfterTheEarlierBuildHasGone(t *testing.T) {
-	b := newStand(10, 10)
-	b.tell(News{Valid: true, Build: 11, Stage: 1, Phase: OnTrial, Cap: 1})
+func TestConcurrencyLimitWithoutEarlierWorkers(t *testing.T) {
+	b := newTrialHarness(10, 10)
+	b.updateRelease(News{Valid: true, Build: 11, Stage: 1, Phase: OnTrial, Cap: 1})
 	b.now += 10 * second
-	b.serve(300, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-	b.s.room = 30
+	b.serveTransactions(300, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+	b.sentry.room = 30
 	var gone []Worker
 	for i := range 10 {
 		gone = append(gone, Worker{ID: WorkerID(fmt.Sprint("e", i)), Build: 10, Size: 1, State: Draining})
 	}
-	b.see(b.s.Listed(b.now, ListChanges, gone))
-	b.serve(50, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-	if b.s.room < 20 {
-		t.Errorf("room for %.1f, expected that of ten workers", b.s.room)
+	b.record(b.sentry.Listed(b.now, ListChanges, gone))
+	b.serveTransactions(50, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+	if b.sentry.room < 20 {
+		t.Errorf("room for %.1f, expected that of ten workers", b.sentry.room)
 	}
 }
