--- a/cmd/scalechute/platform.go
+++ b/cmd/scalechute/platform.go
@@ -27,7 +27,7 @@
 	if file == "" {
 		return errors.New("EDGE_CONFIG: found nothing, expected the name of the configuration's file")
 	}
-	post, err := platform.ReadPost(file)
+	post, err := platform.ReadConfig(file)
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 	debug.SetMemoryLimit(post.MemoryMB << 20 * 6 / 10)
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
 	log := zerolog.New(os.Stderr).Level(at).With().Timestamp().Str("sentry", post.Name).Logger()
-	broken, err := platform.ParseBreach(breach)
+	broken, err := platform.ParseFault(breach)
 	if err != nil {
 		return err
 	}
@@ -47,11 +47,11 @@
 	if err != nil {
 		return err
 	}
-	ends.Break(broken)
-	if broken != platform.NoBreach {
+	ends.InjectFault(broken)
+	if broken != platform.NoFault {
 		log.Warn().Str("promise", breach).Msg("this sentry breaks a promise on purpose")
 	}
-	s, err := sentry.Start(post.Sheet, sentry.Options{Log: log, Ends: ends, Known: post.Known})
+	s, err := sentry.Start(post.Settings, sentry.Options{Log: log, Ends: ends, Known: post.InitialList})
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 			log.Info().Msg("asked to stop")
 			ends.Drain()
 		case <-hangups:
-			now, err := platform.ReadPost(file)
+			now, err := platform.ReadConfig(file)
 			if err == nil {
 				err = ends.Reload(now)
 			}
--- a/internal/platform/breach.go
+++ b/internal/platform/breach.go
@@ -10,14 +10,14 @@
 
 // Breach has the process break one promise to its clients on purpose, so that the soak's auditor can be shown to find it.
 // Nothing else in the program uses it.
-type Breach uint8
+type Fault uint8
 
 // The breaches.
 const (
-	NoBreach    Breach = iota
-	CloseEarly         // a connection is closed with requests open on it
-	SkipAnswer         // an answer is not written
-	SwapAnswers        // two answers are written in each other's place
+	NoFault     Fault = iota
+	CloseEarly        // a connection is closed with requests open on it
+	SkipReply         // an answer is not written
+	SwapReplies       // two answers are written in each other's place
 )
 
 // breachNames are the words for a Breach, from CloseEarly on.
@@ -27,38 +27,38 @@
 const breachEvery = 40
 
 // ParseBreach finds the breach of a word, none for an empty one.
-func ParseBreach(word string) (Breach, error) {
+func ParseFault(word string) (Fault, error) {
 	if word == "" {
-		return NoBreach, nil
+		return NoFault, nil
 	}
 	i := slices.Index(breachNames, word)
 	if i < 0 {
-		return NoBreach, fmt.Errorf("break: found %q, expected one of %v", word, breachNames)
+		return NoFault, fmt.Errorf("break: found %q, expected one of %v", word, breachNames)
 	}
-	return Breach(i + 1), nil
+	return Fault(i + 1), nil
 }
 
 // breaker counts the occasions for a breach.
 type breaker struct {
-	breach    Breach
+	breach    Fault
 	occasions atomic.Int64
 }
 
 // takes says whether this occasion is taken.
-func (b *breaker) takes(of Breach) bool { return b.breach == of && b.occasions.Add(1)%breachEvery == 0 }
+func (b *breaker) takes(of Fault) bool { return b.breach == of && b.occasions.Add(1)%breachEvery == 0 }
 
 // Break has a promise broken from now on.
-func (p *Platform) Break(b Breach) { p.breaker.breach = b }
+func (p *Platform) InjectFault(b Fault) { p.breaker.breach = b }
 
 // breachBefore breaks a promise as the first of a client's replies is to be written. The lock is held.
 func (c *clientConn) breachBefore(queue []reply) {
 	first := &queue[0]
 	switch b := &c.p.breaker; {
-	case b.breach == NoBreach || first.id == "":
-	case b.takes(SkipAnswer):
+	case b.breach == NoFault || first.id == "":
+	case b.takes(SkipReply):
 		first.skipped = true
 	case len(queue) < 2 || queue[1].id == "":
-	case b.breach == SwapAnswers && queue[1].done && b.takes(SwapAnswers):
+	case b.breach == SwapReplies && queue[1].done && b.takes(SwapReplies):
 		second := &queue[1]
 		difference := len(second.text) - len(first.text)
 		if first.held {
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -67,10 +67,10 @@
 // Open listens for clients.
 func (p *Platform) Open(s *sentry.Sentry) (string, error) {
 	p.sentry = s
-	server, err := wire.ServeRaw(p.post.Load().Sheet.Post.Listen, wire.Bounds{Frame: mostValue, Pending: maxUnwritten, Budget: p.budget},
+	server, err := wire.ServeRaw(p.post.Load().Settings.Post.Listen, wire.Bounds{Frame: mostValue, Pending: maxUnwritten, Budget: p.budget},
 		func(l *wire.Link) (wire.Reader, func(*wire.Link, error)) {
 			now := time.Now()
-			c := &clientConn{Link: l, p: p, used: now, partialSince: now, reader: resp.Reader{Bounds: commandBounds, Commands: true}}
+			c := &clientConn{Link: l, p: p, used: now, partialSince: now, reader: resp.Reader{Limits: commandBounds, CommandsOnly: true}}
 			c.ear = s.Joined(c)
 			p.admit(c)
 			return c.read, func(*wire.Link, error) {
@@ -331,17 +331,17 @@
 	r.done = true
 	switch pb.Outcome(a.Outcome) {
 	case pb.Outcome_SATISFIED:
-		r.text = resp.AppendBulk(r.text, a.Payload)
+		r.text = resp.AppendBulkString(r.text, a.Payload)
 	case pb.Outcome_DEFERRED:
 		line := "BUSY"
 		if a.ComeBack > 0 {
 			line += " " + strconv.FormatUint(max(1, a.ComeBack/1000), 10)
 		}
-		r.text = resp.AppendLine(r.text, resp.Fault, line)
+		r.text = resp.AppendLine(r.text, resp.Error, line)
 	case pb.Outcome_NOT_TAKEN: // nothing of it was handed off
-		r.text = resp.AppendLine(r.text, resp.Fault, "BUSY")
+		r.text = resp.AppendLine(r.text, resp.Error, "BUSY")
 	default:
-		r.text = resp.AppendLine(r.text, resp.Fault, "ERR written off")
+		r.text = resp.AppendLine(r.text, resp.Error, "ERR written off")
 	}
 	c.hold(r)
 	size := len(r.text)
--- a/internal/platform/command.go
+++ b/internal/platform/command.go
@@ -13,7 +13,7 @@
 // mostValue is the greatest value, in bytes.
 const mostValue = 64 << 10
 
-var commandBounds = resp.Bounds{Line: 64, Bulk: mostValue, Items: 16, Depth: 1, Bytes: mostValue + 4096}
+var commandBounds = resp.Limits{MaxLineBytes: 64, MaxBulkBytes: mostValue, MaxValues: 16, MaxDepth: 1, MaxMessageBytes: mostValue + 4096}
 
 // command is one transaction as a client wrote it.
 type command struct {
@@ -22,7 +22,7 @@
 }
 
 // parse reads a transaction's command. What is wrong with it is told in a line.
-func (p *Post) parse(m []resp.Value, payload []byte) (c command, wrong string) {
+func (p *Config) parse(m []resp.Value, payload []byte) (c command, wrong string) {
 	if n := len(m) - 1; n != 4 && n != 5 { // the array itself stands first
 		return c, "found " + strconv.Itoa(n) + " words, expected a command, key, id, facts and a body or none"
 	}
@@ -75,7 +75,7 @@
 	if profile < 0 || from < 0 {
 		return c, "found no class or no time to wait, expected both"
 	}
-	repeat := p.Sheet.Standing.Profiles[profile].Repeat
+	repeat := p.Settings.Standing.Profiles[profile].Repeat
 	switch {
 	case safe != (repeat == logic.Redoable):
 		return c, "found a command that does not serve this class, expected Q.ASK for those safe to repeat, else Q.DO"
@@ -95,13 +95,13 @@
 		to = append(binary.AppendUvarint(to, uint64(len(part))), part...)
 	}
 	at := len(to)
-	to = resp.AppendArray(append(to, 0, 0), m[0].Items) // at most some kilobytes: words, a key and an id
+	to = resp.AppendArrayHeader(append(to, 0, 0), m[0].ArrayLen) // at most some kilobytes: words, a key and an id
 	for _, v := range m[1:4] {
-		to = resp.AppendBulk(to, v.Text)
+		to = resp.AppendBulkString(to, v.Text)
 	}
 	binary.BigEndian.PutUint16(to[at:], uint16(len(to)-at-2))
 	for _, v := range m[5:] {
-		to = resp.AppendBulk(to, v.Text)
+		to = resp.AppendBulkString(to, v.Text)
 	}
 	return to
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -19,25 +19,25 @@
 )
 
 // Post is what the platform's configuration tells a sentry.
-type Post struct {
-	Name       string
-	Discovery  string
-	Desk       string
-	PeerListen string
-	PeersAll   string
-	Peers      []string // by position
-	MemoryMB   int64
-	Cores      float64
-	Sockets    int
-	News       *pb.News
-	Known      *pb.Report
-	Sheet      *orders.Sheet
-	names      *facts.Names
-	wall       *clock.Wall
+type Config struct {
+	Name                 string
+	DiscoveryAddress     string
+	ControlPlaneAddress  string
+	PeerListenAddress    string
+	PeerBroadcastAddress string
+	PeerAddresses        []string // by position
+	MemoryMB             int64
+	Cores                float64
+	MaxSockets           int
+	ReleaseStatus        *pb.News
+	InitialList          *pb.Report
+	Settings             *orders.Sheet
+	names                *facts.Names
+	wall                 *clock.Wall
 }
 
 // ReadPost reads the configuration that the environment names.
-func ReadPost(file string) (*Post, error) {
+func ReadConfig(file string) (*Config, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 	AgeMS float64 `json:"age_ms"`
 }
 
-func parsePost(raw []byte) (*Post, error) {
+func parsePost(raw []byte) (*Config, error) {
 	var f struct {
 		Name, Listen, Discovery, Seed string
 		Limits                        struct {
@@ -106,23 +106,23 @@
 	if err != nil {
 		return nil, fmt.Errorf("seed: found %q, expected a number of 16 digits", f.Seed)
 	}
-	p := &Post{Name: f.Name, Discovery: f.Discovery, Desk: f.Desk.Address, PeerListen: f.PeerListen, Peers: f.Peers,
-		PeersAll: f.PeersAll, MemoryMB: f.Limits.MemoryMB, Cores: f.Limits.Cores, Sockets: f.Limits.Sockets, names: names,
-		Known: &pb.Report{Whole: true}, wall: clock.NewWall()}
+	p := &Config{Name: f.Name, DiscoveryAddress: f.Discovery, ControlPlaneAddress: f.Desk.Address, PeerListenAddress: f.PeerListen, PeerAddresses: f.Peers,
+		PeerBroadcastAddress: f.PeersAll, MemoryMB: f.Limits.MemoryMB, Cores: f.Limits.Cores, MaxSockets: f.Limits.Sockets, names: names,
+		InitialList: &pb.Report{Whole: true}, wall: clock.NewWall()}
 	if f.Known != nil {
-		if p.Known, err = f.Known.report(p.wall); err != nil {
+		if p.InitialList, err = f.Known.report(p.wall); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
 	if f.Desk.News != nil {
-		if p.News, err = f.Desk.News.told(); err != nil {
+		if p.ReleaseStatus, err = f.Desk.News.told(); err != nil {
 			return nil, fmt.Errorf("release_api: %w", err)
 		}
 	}
-	p.Sheet = &orders.Sheet{Standing: standing, Post: orders.Post{Listen: f.Listen, Seed: int64(seed)},
+	p.Settings = &orders.Sheet{Standing: standing, Post: orders.Post{Listen: f.Listen, Seed: int64(seed)},
 		ProfileNames: byPlace(names.Profiles), AccountNames: byPlace(names.Accounts), Zones: byPlace(zones)}
-	ways := p.Sockets - p.clientLimit() - ownSockets
-	p.Sheet.Bounds = orders.Bounds{Inbox: 1024, Open: p.Sockets, Connections: ways, HandOffsConnection: max(1, names.Streams),
+	ways := p.MaxSockets - p.clientLimit() - ownSockets
+	p.Settings.Bounds = orders.Bounds{Inbox: 1024, Open: p.MaxSockets, Connections: ways, HandOffsConnection: max(1, names.Streams),
 		Ways: ways, IdleShare: 2}
 	return p, nil
 }
@@ -159,7 +159,7 @@
 const ownSockets = 40
 
 // clientLimit is how many clients may be connected: those that ask need a third of the descriptors at the most.
-func (p *Post) clientLimit() int { return p.Sockets / 3 }
+func (p *Config) clientLimit() int { return p.MaxSockets / 3 }
 
 // noticeWithin is how long after discovery had a change it counts as told, whether or not it arrived (PROTOCOL, Figures).
 const noticeWithin = 6 * time.Second
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -137,8 +137,8 @@
 }
 
 // keep sees to it that a watch stands where the settings have lists pushed.
-func (d *discovery) keep(post *Post) {
-	if d.pushed = !post.Sheet.Standing.AskForList; d.pushed {
+func (d *discovery) keep(post *Config) {
+	if d.pushed = !post.Settings.Standing.AskForList; d.pushed {
 		d.ask(true, 0)
 	}
 }
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -22,14 +22,14 @@
 func newPeers(p *Platform) (*peers, error) {
 	x := &peers{p: p, from: map[string]logic.SentryID{}}
 	post := p.post.Load()
-	if post.PeerListen == "" || !post.Sheet.Standing.MayMessage {
+	if post.PeerListenAddress == "" || !post.Settings.Standing.MayMessage {
 		return x, nil
 	}
-	at, err := net.ResolveUDPAddr("udp", post.PeerListen)
+	at, err := net.ResolveUDPAddr("udp", post.PeerListenAddress)
 	if err != nil {
 		return nil, err
 	}
-	for i, text := range post.Peers {
+	for i, text := range post.PeerAddresses {
 		to, err := net.ResolveUDPAddr("udp", text)
 		if err != nil {
 			return nil, err
@@ -37,8 +37,8 @@
 		x.to = append(x.to, to)
 		x.from[to.String()] = logic.SentryID(i)
 	}
-	if post.PeersAll != "" {
-		if x.all, err = net.ResolveUDPAddr("udp", post.PeersAll); err != nil {
+	if post.PeerBroadcastAddress != "" {
+		if x.all, err = net.ResolveUDPAddr("udp", post.PeerBroadcastAddress); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -17,7 +17,7 @@
 
 // Platform is the ends of one sentry.
 type Platform struct {
-	post      atomic.Pointer[Post] // as read last
+	post      atomic.Pointer[Config] // as read last
 	log       zerolog.Logger
 	sentry    *sentry.Sentry
 	server    *wire.Server
@@ -43,12 +43,12 @@
 const answersShare = 4
 
 // New makes the ends that a configuration asks for.
-func New(post *Post, log zerolog.Logger) (*Platform, error) {
+func New(post *Config, log zerolog.Logger) (*Platform, error) {
 	p := &Platform{log: log, wall: post.wall, done: make(chan struct{}), clients: map[*clientConn]struct{}{}, ids: map[string]struct{}{}}
 	p.post.Store(post)
 	p.budget = wire.NewBudget(post.MemoryMB << 20 / answersShare)
-	p.discovery = newDiscovery(p, post.Discovery)
-	p.desk = &desk{p: p, address: post.Desk, wake: make(chan struct{}, 1)}
+	p.discovery = newDiscovery(p, post.DiscoveryAddress)
+	p.desk = &desk{p: p, address: post.ControlPlaneAddress, wake: make(chan struct{}, 1)}
 	var err error
 	p.peers, err = newPeers(p)
 	return p, err
@@ -83,7 +83,7 @@
 
 // Begin connects to the services.
 func (p *Platform) Begin() {
-	if n := p.post.Load().News; n != nil {
+	if n := p.post.Load().ReleaseStatus; n != nil {
 		p.sentry.Told(n)
 	}
 	p.discovery.keep(p.post.Load())
@@ -103,19 +103,19 @@
 
 // Reload takes a configuration that was read anew: its orders by the sentry's own step, if they are others, and its
 // addresses. If the sentry can't take it, the old one stays whole.
-func (p *Platform) Reload(now *Post) error {
+func (p *Platform) Reload(now *Config) error {
 	old := p.post.Load()
-	now.Sheet.Post.Seed = old.Sheet.Post.Seed // it is for a start
-	if !reflect.DeepEqual(old.Sheet, now.Sheet) {
-		if err := p.sentry.Reload(now.Sheet); err != nil {
+	now.Settings.Post.Seed = old.Settings.Post.Seed // it is for a start
+	if !reflect.DeepEqual(old.Settings, now.Settings) {
+		if err := p.sentry.Reload(now.Settings); err != nil {
 			return err
 		}
 	}
 	p.post.Store(now)
-	p.desk.move(now.Desk)
+	p.desk.move(now.ControlPlaneAddress)
 	p.sentry.Inspect(func() {
 		if p.discovery.keep(now); !p.over() {
-			p.discovery.move(now.Discovery)
+			p.discovery.move(now.DiscoveryAddress)
 		}
 	})
 	return nil
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -204,7 +204,7 @@
 	(<-conns).Close()
 	time.Sleep(20 * time.Millisecond)
 	n := nobody{make(chan string, 1)}
-	m := []resp.Value{{Kind: resp.Array, Items: 4}, {Text: []byte("Q.DO")}, {Text: []byte("k")}, {Text: []byte("b")}, {Text: []byte("d=1")}}
+	m := []resp.Value{{Kind: resp.Array, ArrayLen: 4}, {Text: []byte("Q.DO")}, {Text: []byte("k")}, {Text: []byte("b")}, {Text: []byte("d=1")}}
 	r.s.Joined(n).Asked(&wire.Ask{ID: 1, Profile: 2, Left: 800_000, Key: []byte("k"), Payload: pack(nil, m, 2, 3)})
 	r.wait("the hand-off", func() bool { return r.rulings[logic.HandOff] == 2 })
 	time.Sleep(20 * time.Millisecond)
@@ -372,7 +372,7 @@
 	for i := range 16 {
 		flood += read(fmt.Sprint("r", i))
 	}
-	r.s.Inspect(func() { r.p.post.Load().Sheet.Bounds.Ways = 4 })
+	r.s.Inspect(func() { r.p.post.Load().Settings.Bounds.Ways = 4 })
 	c.say(flood)
 	for i := range 16 {
 		c.want(fmt.Sprint("v-r", i))
@@ -508,7 +508,7 @@
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		now, err := ReadPost(file)
+		now, err := ReadConfig(file)
 		if err == nil {
 			err = r.p.Reload(now)
 		}
--- a/internal/platform/rare_test.go
+++ b/internal/platform/rare_test.go
@@ -186,7 +186,7 @@
 // connection can be had.
 func TestRested(t *testing.T) {
 	only := newRig(t, plan{workers: []string{worker(t, good)}, decide: toFirst(func(*input.Input) {})})
-	only.s.Inspect(func() { only.p.post.Load().Sheet.Bounds.Connections = 1 })
+	only.s.Inspect(func() { only.p.post.Load().Settings.Bounds.Connections = 1 })
 	l := must(net.Listen("tcp", "127.0.0.1:0"))
 	go func() {
 		c, err := l.Accept()
@@ -246,7 +246,7 @@
 	if err := two.p.Reload(must(parsePost(configuration(256, closed(), closed(), []string{at}, append(other, `"free":2`, `"free":7`)...)))); err != nil {
 		t.Fatal(err)
 	}
-	if a, b := one.p.post.Load().Sheet.Standing.FreeExposure, two.p.post.Load().Sheet.Standing.FreeExposure; a != 2 || b != 7 {
+	if a, b := one.p.post.Load().Settings.Standing.FreeExposure, two.p.post.Load().Settings.Standing.FreeExposure; a != 2 || b != 7 {
 		t.Errorf("free exposure %v and %v, expected 2 and 7", a, b)
 	}
 }
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -127,7 +127,7 @@
 	post := must(parsePost(configuration(cmp.Or(p.sockets, 256), cmp.Or(p.discovery, closed()), cmp.Or(p.desk, closed()), p.workers, p.other...)))
 	r := &rig{t: t, rulings: map[logic.RulingKind]int{}}
 	r.p = must(New(post, zerolog.Nop()))
-	r.s = must(sentry.Start(post.Sheet, sentry.Options{Log: zerolog.Nop(), Ends: r.p, Known: post.Known, Record: r.record, Decide: p.decide}))
+	r.s = must(sentry.Start(post.Settings, sentry.Options{Log: zerolog.Nop(), Ends: r.p, Known: post.InitialList, Record: r.record, Decide: p.decide}))
 	t.Cleanup(func() {
 		r.s.Stop()
 		select {
--- a/internal/platform/way.go
+++ b/internal/platform/way.go
@@ -21,7 +21,7 @@
 // value of a command.
 const mostAnswer = 2 << 20
 
-var answerBounds = resp.Bounds{Line: 1024, Bulk: mostAnswer, Items: 8, Depth: 2, Bytes: mostAnswer + 4096}
+var answerBounds = resp.Limits{MaxLineBytes: 1024, MaxBulkBytes: mostAnswer, MaxValues: 8, MaxDepth: 2, MaxMessageBytes: mostAnswer + 4096}
 
 // way is a connection to a worker. Answers come in the order of the hand-offs.
 type way struct {
@@ -49,7 +49,7 @@
 
 // Dial opens a way to a worker.
 func (p *Platform) Dial(ear sentry.WayEar, address string, limit time.Duration) (sentry.Way, error) {
-	w := &way{p: p, ear: ear, reader: resp.Reader{Bounds: answerBounds}}
+	w := &way{p: p, ear: ear, reader: resp.Reader{Limits: answerBounds}}
 	link, err := wire.DialRaw(address, limit, wire.Bounds{Frame: mostValue, Pending: 4 * mostValue}, w.read,
 		func(_ *wire.Link, reason error) {
 			w.ended()
@@ -156,9 +156,9 @@
 // goes over a near network.
 const partShare = 2
 
-func (p *Post) partMost() time.Duration {
-	shortest := p.Sheet.OuterLimit()
-	for _, x := range p.Sheet.Standing.Profiles {
+func (p *Config) partMost() time.Duration {
+	shortest := p.Settings.OuterLimit()
+	for _, x := range p.Settings.Standing.Profiles {
 		shortest = min(shortest, x.DueTime)
 	}
 	return time.Duration(shortest/partShare) * time.Microsecond
@@ -199,13 +199,13 @@
 // done reads an answer.
 func (w *way) done(m []resp.Value) (d wire.Done, err error) {
 	switch {
-	case m[0].Kind == resp.Array && len(m) == 4 && m[1].Kind == resp.Bulk && m[2].Kind == resp.Null:
+	case m[0].Kind == resp.Array && len(m) == 4 && m[1].Kind == resp.BulkString && m[2].Kind == resp.Null:
 		d.Ended, d.Payload = uint32(pb.Ended_ANSWERED), m[1].Text
-		if m[3].Kind == resp.Bulk {
+		if m[3].Kind == resp.BulkString {
 			w.load(&d, m[3].Text)
 		}
 		return d, nil
-	case m[0].Kind == resp.Fault:
+	case m[0].Kind == resp.Error:
 		word, rest, _ := bytes.Cut(m[0].Text, []byte(" "))
 		switch string(word) {
 		case "BUSY":
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -12,40 +12,40 @@
 type Kind byte
 
 const (
-	Simple Kind = '+'
-	Fault  Kind = '-'
-	Whole  Kind = ':'
-	Bulk   Kind = '$'
-	Array  Kind = '*'
-	Null   Kind = '0' // a null bulk string or array
+	SimpleString Kind = '+'
+	Error        Kind = '-'
+	Integer      Kind = ':'
+	BulkString   Kind = '$'
+	Array        Kind = '*'
+	Null         Kind = '0' // a null bulk string or array
 )
 
 // Value is one value of a message. Those of an array follow it.
 type Value struct {
-	Kind  Kind
-	Text  []byte // of a simple one, a fault, a whole number or a bulk string; points into the data that was read
-	Items int    // of an array
+	Kind     Kind
+	Text     []byte // of a simple one, a fault, a whole number or a bulk string; points into the data that was read
+	ArrayLen int    // of an array
 }
 
 // Bounds are what a message may have at the most.
-type Bounds struct {
-	Line  int // bytes of a line
-	Bulk  int // bytes of a bulk string
-	Items int // values, all arrays' together
-	Depth int // arrays within one another
-	Bytes int // of the whole message
+type Limits struct {
+	MaxLineBytes    int // bytes of a line
+	MaxBulkBytes    int // bytes of a bulk string
+	MaxValues       int // values, all arrays' together
+	MaxDepth        int // arrays within one another
+	MaxMessageBytes int // of the whole message
 }
 
 // Malformed is what was wrong with a message.
-type Malformed struct{ Found, Expected string }
+type ProtocolError struct{ Found, Expected string }
 
-func (m *Malformed) Error() string { return "RESP: found " + m.Found + ", expected " + m.Expected }
+func (m *ProtocolError) Error() string { return "RESP: found " + m.Found + ", expected " + m.Expected }
 
 // Reader reads messages of one connection. It keeps how far it has come in a message that is not whole yet, and looks at
 // no byte of a bulk string twice.
 type Reader struct {
-	Bounds   Bounds
-	Commands bool // only arrays of bulk strings
+	Limits       Limits
+	CommandsOnly bool // only arrays of bulk strings
 
 	at     int    // how far the message in hand was read
 	marks  []mark // its values
@@ -66,8 +66,8 @@
 		if err != nil {
 			return nil, data, false, err
 		}
-		if r.at > r.Bounds.Bytes {
-			return nil, data, false, malformed(r.at, "bytes", r.Bounds.Bytes)
+		if r.at > r.Limits.MaxMessageBytes {
+			return nil, data, false, malformed(r.at, "bytes", r.Limits.MaxMessageBytes)
 		}
 		if more {
 			return nil, data, false, nil
@@ -80,7 +80,7 @@
 	for _, m := range r.marks {
 		v := Value{Kind: m.kind}
 		if m.kind == Array {
-			v.Items = m.to
+			v.ArrayLen = m.to
 		} else if m.kind != Null {
 			v.Text = data[m.from:m.to:m.to]
 		}
@@ -92,13 +92,13 @@
 }
 
 func malformed(found int, what string, most int) error {
-	return &Malformed{strconv.Itoa(found) + " " + what, "at most " + strconv.Itoa(most)}
+	return &ProtocolError{strconv.Itoa(found) + " " + what, "at most " + strconv.Itoa(most)}
 }
 
 // Missing says how many bytes the message in part still lacks at the least, after Next has found that it is not whole: reading
 // no more than these never goes beyond its end.
-func (r *Reader) Missing(data []byte) int {
-	if r.at >= len(data) || Kind(data[r.at]) != Bulk {
+func (r *Reader) MissingBytes(data []byte) int {
+	if r.at >= len(data) || Kind(data[r.at]) != BulkString {
 		return 1
 	}
 	line, next, err := r.line(data)
@@ -119,59 +119,59 @@
 	}
 	kind := Kind(data[r.at])
 	switch kind {
-	case Bulk, Array:
-	case Simple, Fault, Whole:
-		if !r.Commands {
+	case BulkString, Array:
+	case SimpleString, Error, Integer:
+		if !r.CommandsOnly {
 			break
 		}
 		fallthrough
 	default:
-		return false, false, &Malformed{fmt.Sprintf("byte %q", byte(kind)), "the beginning of a value"}
+		return false, false, &ProtocolError{fmt.Sprintf("byte %q", byte(kind)), "the beginning of a value"}
 	}
-	if r.Commands && (kind == Array) != (len(r.marks) == 0) {
-		return false, false, &Malformed{fmt.Sprintf("byte %q", byte(kind)), "an array of bulk strings"}
+	if r.CommandsOnly && (kind == Array) != (len(r.marks) == 0) {
+		return false, false, &ProtocolError{fmt.Sprintf("byte %q", byte(kind)), "an array of bulk strings"}
 	}
-	if len(r.marks) >= r.Bounds.Items {
-		return false, false, malformed(len(r.marks)+1, "values", r.Bounds.Items)
+	if len(r.marks) >= r.Limits.MaxValues {
+		return false, false, malformed(len(r.marks)+1, "values", r.Limits.MaxValues)
 	}
 	line, next, err := r.line(data)
 	if err != nil || next == 0 {
 		return false, next == 0, err
 	}
 	m := mark{kind, r.at + 1, r.at + 1 + len(line)}
-	if kind == Bulk || kind == Array {
+	if kind == BulkString || kind == Array {
 		n, err := length(line)
 		switch {
 		case err != nil:
 			return false, false, err
 		case n < 0:
-			if r.Commands {
-				return false, false, &Malformed{"a null", "an array of bulk strings"}
+			if r.CommandsOnly {
+				return false, false, &ProtocolError{"a null", "an array of bulk strings"}
 			}
 			m.kind = Null
-		case kind == Bulk && n > r.Bounds.Bulk:
-			return false, false, malformed(n, "bytes of a bulk string", r.Bounds.Bulk)
-		case kind == Bulk:
+		case kind == BulkString && n > r.Limits.MaxBulkBytes:
+			return false, false, malformed(n, "bytes of a bulk string", r.Limits.MaxBulkBytes)
+		case kind == BulkString:
 			end := next + n
 			if len(data) < end+2 {
 				if len(data) > end && data[end] != '\r' {
-					return false, false, &Malformed{"a bulk string that goes on", "its end"}
+					return false, false, &ProtocolError{"a bulk string that goes on", "its end"}
 				}
 				return false, true, nil
 			}
 			if data[end] != '\r' || data[end+1] != '\n' {
-				return false, false, &Malformed{"a bulk string that goes on", "its end"}
+				return false, false, &ProtocolError{"a bulk string that goes on", "its end"}
 			}
 			m.from, m.to, next = next, end, end+2
 		default:
-			if n > r.Bounds.Items-len(r.marks)-1 {
-				return false, false, malformed(n, "values of an array", r.Bounds.Items)
+			if n > r.Limits.MaxValues-len(r.marks)-1 {
+				return false, false, malformed(n, "values of an array", r.Limits.MaxValues)
 			}
-			if r.Commands && n == 0 {
-				return false, false, &Malformed{"an empty command", "a word"}
+			if r.CommandsOnly && n == 0 {
+				return false, false, &ProtocolError{"an empty command", "a word"}
 			}
-			if len(r.left) >= r.Bounds.Depth {
-				return false, false, malformed(len(r.left)+1, "arrays within one another", r.Bounds.Depth)
+			if len(r.left) >= r.Limits.MaxDepth {
+				return false, false, malformed(len(r.left)+1, "arrays within one another", r.Limits.MaxDepth)
 			}
 			m.to = n
 		}
@@ -195,17 +195,17 @@
 // line gives what stands on the line after the first byte of a value, and where the next begins, 0 if it is not whole.
 func (r *Reader) line(data []byte) (line []byte, next int, err error) {
 	rest := data[r.at+1:]
-	most := rest[:min(len(rest), r.Bounds.Line+1)]
+	most := rest[:min(len(rest), r.Limits.MaxLineBytes+1)]
 	i := bytes.IndexByte(most, '\r')
 	switch {
 	case bytes.IndexByte(most, '\n') >= 0 && (i < 0 || bytes.IndexByte(most, '\n') < i):
-		return nil, 0, &Malformed{"a line feed alone", "a carriage return before it"}
-	case i < 0 && len(most) > r.Bounds.Line:
-		return nil, 0, &Malformed{"a line that goes on", "its end within " + strconv.Itoa(r.Bounds.Line) + " bytes"}
+		return nil, 0, &ProtocolError{"a line feed alone", "a carriage return before it"}
+	case i < 0 && len(most) > r.Limits.MaxLineBytes:
+		return nil, 0, &ProtocolError{"a line that goes on", "its end within " + strconv.Itoa(r.Limits.MaxLineBytes) + " bytes"}
 	case i < 0 || i+1 >= len(rest):
 		return nil, 0, nil
 	case rest[i+1] != '\n':
-		return nil, 0, &Malformed{"a carriage return alone", "a line feed after it"}
+		return nil, 0, &ProtocolError{"a carriage return alone", "a line feed after it"}
 	}
 	return rest[:i], r.at + 1 + i + 2, nil
 }
@@ -218,23 +218,23 @@
 	n := 0
 	for _, c := range line {
 		if c < '0' || c > '9' || n > 1<<30 {
-			return 0, &Malformed{fmt.Sprintf("length %.20q", line), "a number"}
+			return 0, &ProtocolError{fmt.Sprintf("length %.20q", line), "a number"}
 		}
 		n = 10*n + int(c-'0')
 	}
 	if len(line) == 0 {
-		return 0, &Malformed{"no length", "a number"}
+		return 0, &ProtocolError{"no length", "a number"}
 	}
 	return n, nil
 }
 
 // AppendArray begins an array.
-func AppendArray(to []byte, items int) []byte {
+func AppendArrayHeader(to []byte, items int) []byte {
 	return append(strconv.AppendInt(append(to, '*'), int64(items), 10), '\r', '\n')
 }
 
 // AppendBulk adds a bulk string.
-func AppendBulk(to, text []byte) []byte {
+func AppendBulkString(to, text []byte) []byte {
 	to = append(strconv.AppendInt(append(to, '$'), int64(len(text)), 10), '\r', '\n')
 	return append(append(to, text...), '\r', '\n')
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-var bounds = Bounds{Line: 64, Bulk: 100, Items: 9, Depth: 2, Bytes: 300}
+var bounds = Limits{MaxLineBytes: 64, MaxBulkBytes: 100, MaxValues: 9, MaxDepth: 2, MaxMessageBytes: 300}
 
 func words(m []Value) string {
 	var b strings.Builder
 	for _, v := range m {
-		fmt.Fprintf(&b, "%c%s%d|", v.Kind, v.Text, v.Items)
+		fmt.Fprintf(&b, "%c%s%d|", v.Kind, v.Text, v.ArrayLen)
 	}
 	return b.String()
 }
 
 // read gives data in pieces, as a connection does, and tells the messages and what ended them.
 func read(commands bool, pieces ...[]byte) (out []string, err error) {
-	r := Reader{Bounds: bounds, Commands: commands}
+	r := Reader{Limits: bounds, CommandsOnly: commands}
 	var data []byte
 	for _, p := range pieces {
 		data = append(data, p...)
@@ -98,9 +98,9 @@
 		if fmt.Sprint(whole) != fmt.Sprint(parts) || (err == nil) != (err2 == nil) {
 			t.Fatalf("whole %v %v, in pieces %v %v", whole, err, parts, err2)
 		}
-		if len(data) <= bounds.Bulk {
-			line := AppendLine(nil, Fault, string(data[:min(len(data), bounds.Line)]))
-			out := append(AppendBulk(AppendArray(nil, 1), data), line...)
+		if len(data) <= bounds.MaxBulkBytes {
+			line := AppendLine(nil, Error, string(data[:min(len(data), bounds.MaxLineBytes)]))
+			out := append(AppendBulkString(AppendArrayHeader(nil, 1), data), line...)
 			if back, err := read(false, out); err != nil || len(back) != 2 || back[0] != "*1|$"+string(data)+"0|" {
 				t.Fatalf("wrote %q, read %v %v", out, back, err)
 			}
@@ -113,7 +113,7 @@
 	const message, next = "*3\r\n$5\r\nQ.ASK\r\n$0\r\n\r\n$12\r\n0123456789ab\r\n", "*1\r\n$4\r\nPING\r\n"
 	stream := []byte(message + next)
 	for cut := range len(message) {
-		r := Reader{Bounds: bounds, Commands: true}
+		r := Reader{Limits: bounds, CommandsOnly: true}
 		for have := cut; ; {
 			_, rest, whole, err := r.Next(stream[:have])
 			if err != nil {
@@ -125,7 +125,7 @@
 				}
 				break
 			}
-			have += r.Missing(stream[:have])
+			have += r.MissingBytes(stream[:have])
 		}
 	}
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -157,7 +157,7 @@
 			time.Sleep(time.Duration(x.delays.Int64N(int64(x.plan.ReadDelay))))
 		}
 		values, err := in.next()
-		var malformed *resp.Malformed
+		var malformed *resp.ProtocolError
 		switch {
 		case errors.As(err, &malformed):
 			x.run.note(malformedAnswer)
@@ -188,17 +188,17 @@
 	}
 	x.previous = r.answered
 	id, _, _ := strings.Cut(string(v.Text), ":")
-	if v.Kind == resp.Bulk {
+	if v.Kind == resp.BulkString {
 		x.values[id] = true
 	}
 	switch {
-	case v.Kind == resp.Bulk && id != r.id:
+	case v.Kind == resp.BulkString && id != r.id:
 		r.fate = Skipped
 	case r.answered.Sub(due) > x.run.plan.Deadline+lateBy && x.plan.ReadDelay == 0:
 		r.fate = Late
-	case v.Kind == resp.Bulk:
+	case v.Kind == resp.BulkString:
 		r.fate = Served
-	case v.Kind == resp.Fault && strings.HasPrefix(string(v.Text), "BUSY"):
+	case v.Kind == resp.Error && strings.HasPrefix(string(v.Text), "BUSY"):
 		r.fate = Refused
 	default:
 		r.fate = Failed
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -16,7 +16,7 @@
 )
 
 // messageBounds hold every command and answer that a run may have.
-var messageBounds = resp.Bounds{Line: 256, Bulk: 2 * greatestValue, Items: 16, Depth: 2, Bytes: 4 * greatestValue}
+var messageBounds = resp.Limits{MaxLineBytes: 256, MaxBulkBytes: 2 * greatestValue, MaxValues: 16, MaxDepth: 2, MaxMessageBytes: 4 * greatestValue}
 
 // messages reads RESP2 messages off a connection.
 type messages struct {
@@ -27,7 +27,7 @@
 }
 
 func newMessages(from io.Reader, commands bool) *messages {
-	return &messages{from: from, reader: resp.Reader{Bounds: messageBounds, Commands: commands}, buffer: make([]byte, 32<<10)}
+	return &messages{from: from, reader: resp.Reader{Limits: messageBounds, CommandsOnly: commands}, buffer: make([]byte, 32<<10)}
 }
 
 // next gives the next message, good until the next call.
@@ -120,7 +120,7 @@
 		id := string(words[3].Text)
 		s.seen.add(id)
 		value := id + ":" + s.filler[:answerBytes(string(words[2].Text))]
-		text := resp.AppendBulk([]byte("*3\r\n"), []byte(value))
+		text := resp.AppendBulkString([]byte("*3\r\n"), []byte(value))
 		due <- answer{time.Now().Add(s.delay(id)), append(text, "$-1\r\n$-1\r\n"...)}
 	}
 }
