--- a/cmd/scalechute/main.go
+++ b/cmd/scalechute/main.go
@@ -66,7 +66,7 @@
 			}
 			zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
 			log := zerolog.New(os.Stderr).Level(at).With().Timestamp().
-				Int("sentry", int(sheet.Standing.Position)).Logger()
+				Int("sentry", int(sheet.Policy.Position)).Logger()
 			if broken != sentry.NoBreach {
 				log.Warn().Str("rule", breach).Msg("this sentry breaks a rule on purpose")
 			}
@@ -84,10 +84,10 @@
 			signals, hangups := make(chan os.Signal, 1), make(chan os.Signal, 1)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 			signal.Notify(hangups, syscall.SIGHUP)
-			opts := sentry.Options{Log: log, Break: broken}
+			opts := sentry.Options{Log: log, Breach: broken}
 			if random {
 				log.Warn().Msg("workers are chosen at random, as a baseline")
-				opts.Decide = baseline.NewRandom(sheet.Standing, sheet.Post.Seed).Apply
+				opts.Decide = baseline.NewRandom(sheet.Policy, sheet.Endpoints.Seed).Apply
 			}
 			s, err := sentry.Start(sheet, opts)
 			if err != nil {
@@ -98,13 +98,13 @@
 					s.Stop()
 				}
 			}()
-			watch(append([]string{config}, sheet.Files...), every, hangups, s.Done(), func() []string {
-				now, err := orders.LoadBeside(config, s.Sheet())
+			watch(append([]string{config}, sheet.IncludedFiles...), every, hangups, s.Done(), func() []string {
+				now, err := orders.LoadUpdate(config, s.Settings())
 				if err == nil {
 					err = s.Reload(now)
 				}
-				s.Loaded(now, err)
-				return append([]string{config}, s.Sheet().Files...)
+				s.RecordReload(now, err)
+				return append([]string{config}, s.Settings().IncludedFiles...)
 			})
 			return nil
 		},
@@ -168,7 +168,7 @@
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			bad := 0
-			var running *orders.Sheet
+			var running *orders.Settings
 			if beside != "" {
 				var err error
 				if running, err = orders.Load(beside); err != nil {
@@ -176,14 +176,14 @@
 				}
 			}
 			for _, name := range files {
-				sheet, err := orders.LoadBeside(name, running)
+				sheet, err := orders.LoadUpdate(name, running)
 				if err != nil {
 					bad++
 					fmt.Fprintln(c.ErrOrStderr(), err)
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: good; sentry %d of %d, %d profiles, %d accounts, %d zones, %s\n", name,
-					sheet.Standing.Position, sheet.Standing.Sentries, len(sheet.ProfileNames), len(sheet.AccountNames),
+					sheet.Policy.Position, sheet.Policy.Sentries, len(sheet.ProfileNames), len(sheet.AccountNames),
 					len(sheet.Zones), sheet.Routes.Summary())
 				if sheet.Routes != nil {
 					for _, n := range sheet.Routes.Notes {
--- a/cmd/scalechute/platform.go
+++ b/cmd/scalechute/platform.go
@@ -51,7 +51,7 @@
 	if broken != platform.NoFault {
 		log.Warn().Str("promise", breach).Msg("this sentry breaks a promise on purpose")
 	}
-	s, err := sentry.Start(post.Settings, sentry.Options{Log: log, Ends: ends, Known: post.InitialList})
+	s, err := sentry.Start(post.Settings, sentry.Options{Log: log, Transport: ends, CachedList: post.InitialList})
 	if err != nil {
 		return err
 	}
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -35,13 +35,13 @@
 // Apply takes an input as the module does.
 func (r *Random) Apply(in *input.Input) (out logic.Result) {
 	switch in.Kind {
-	case input.ListCame:
+	case input.ListReceived:
 		r.listed(in)
-	case input.ListRefused:
+	case input.ListRequestFailed:
 		out.WakeAt = in.At + 500_000
-	case input.Woke:
+	case input.TimerFired:
 		out.Follow = r.orders.AskForList && len(r.ready) == 0
-	case input.TransactionCame:
+	case input.TransactionArrived:
 		h := &held{profile: in.Transaction.Profile, limit: in.Transaction.Limit}
 		r.open[in.Transaction.ID] = h
 		r.send(in.Transaction.ID, h, &out)
@@ -66,7 +66,7 @@
 			r.giveUp(in.End.Transaction, h, &out)
 		}
 	}
-	if in.Kind == input.ListCame && in.ListKind == logic.ListRemembered && r.orders.AskForList {
+	if in.Kind == input.ListReceived && in.ListKind == logic.ListRemembered && r.orders.AskForList {
 		out.Follow = true
 	}
 	return out
--- a/internal/benchwire/wire.go
+++ b/internal/benchwire/wire.go
@@ -84,7 +84,7 @@
 func (f *fields) truth(i int) (v bool)    { f.read(i, &v, false); return v }
 func (f *fields) text(i int) (v string)   { f.read(i, &v, false); return v }
 func (f *fields) must(i int) (v string)   { f.read(i, &v, true); return v }
-func (f *fields) time(i int) logic.Micros { return facts.Micros(f.integer(i)) }
+func (f *fields) time(i int) logic.Micros { return facts.ToMicros(f.integer(i)) }
 
 func (l *link) line(line []byte) error {
 	var values []json.RawMessage
@@ -105,7 +105,7 @@
 	case "mark":
 		f.must64(0)
 		now := f.integer(0)
-		l.clock, l.origin = facts.Micros(now), now%1000
+		l.clock, l.origin = facts.ToMicros(now), now%1000
 	case "your_turn":
 		l.out.WriteString("[\"finished\"]\n")
 		return l.out.Flush()
@@ -162,7 +162,7 @@
 	if f.err != nil {
 		return f.err
 	}
-	o, n, err := facts.Orders(settings, l.zones)
+	o, n, err := facts.DecodeConfig(settings, l.zones)
 	if err != nil {
 		return err
 	}
@@ -188,9 +188,9 @@
 func (in *instance) load(f *fields, i int) (load logic.Load) {
 	var row []*float64
 	f.read(i, &row, false)
-	figures := [facts.Loads]*float64{
-		facts.LoadHeld: &load.Held, facts.LoadBusy: &load.Busy, facts.LoadServed: &load.Served}
-	for n, at := range in.names.LoadAt {
+	figures := [facts.LoadFieldCount]*float64{
+		facts.LoadFieldHeld: &load.Held, facts.LoadFieldBusy: &load.Busy, facts.LoadFieldServed: &load.Served}
+	for n, at := range in.names.LoadFieldIndex {
 		*figures[n] = -1
 		if at >= 0 && at < len(row) && row[at] != nil {
 			*figures[n] = *row[at]
@@ -322,7 +322,7 @@
 	for _, row := range rows {
 		e := &fields{kind: "census entry", values: row}
 		w := logic.Worker{
-			Cell: int(e.integer(0)), Started: e.time(1), Size: e.real(2), Zone: facts.Zone(l.zones, e.text(3)),
+			Cell: int(e.integer(0)), Started: e.time(1), Size: e.real(2), Zone: facts.AssignZone(l.zones, e.text(3)),
 			Build: logic.BuildID(e.real(5)), ID: logic.WorkerID(e.must(7)),
 		}
 		health, ok := e.must(6), false
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -65,7 +65,7 @@
 		{`{"how":"inline","fields":["served_ps","svc_ms","cpu_share"]}`, `[12.5,3,0.4]`, logic.Load{Held: -1, Busy: 0.4, Served: 12.5}},
 		{`{"how":"inline","fields":["served_ps","cpu_share"]}`, `[null]`, logic.NoLoad}, {`{"how":"off","fields":["busy_reqs"]}`, `[7]`, logic.NoLoad},
 	} {
-		o, n, err := facts.Orders([]byte(`{"report":`+c.report+`,"family_info":{"metrics_period_ns":2000000000,"sampled_share":0.2}}`), map[string]logic.ZoneID{})
+		o, n, err := facts.DecodeConfig([]byte(`{"report":`+c.report+`,"family_info":{"metrics_period_ns":2000000000,"sampled_share":0.2}}`), map[string]logic.ZoneID{})
 		f := &fields{values: []json.RawMessage{json.RawMessage(c.row)}}
 		if got := (&instance{names: n}).load(f, 0); err != nil || got != c.want || f.err != nil || o.CountsEvery != 2_000_000 || o.CountsShare != 0.2 {
 			t.Errorf("%s %s: %+v, expected %+v (%v, %v); counts every %d", c.report, c.row, got, c.want, err, f.err, o.CountsEvery)
--- a/internal/drill/file.go
+++ b/internal/drill/file.go
@@ -25,7 +25,7 @@
 // Day is what a drill's file says.
 type Day struct {
 	Name     string
-	Sheet    *orders.Sheet
+	Sheet    *orders.Settings
 	shared   []byte // the blocks of orders, as they stand in the file
 	Length   logic.Micros
 	Slack    logic.Micros
@@ -95,7 +95,7 @@
 
 func read(name string, f *hclread.File) (*Day, error) {
 	root := f.Root
-	d := &Day{Name: name, Sheet: orders.Shared(root), shared: orders.SharedSource(root)}
+	d := &Day{Name: name, Sheet: orders.ReadShared(root), shared: orders.SharedSource(root)}
 	b := root.Block("drill", true)
 	d.Length = b.Span("length", true, 10*time.Second, time.Second, 10*time.Minute)
 	d.Slack = b.Span("slack", false, 60*ms, 0, 5*time.Second)
@@ -112,7 +112,7 @@
 		NewsLate: b.Span("news_late", false, 200*ms, 0, time.Minute), Link: b.Span("link", false, ms, 0, time.Second),
 	}
 	b.Done()
-	if o := &d.Sheet.Standing; d.Fleet.Cold > o.WarmUp || d.Fleet.ColdFrom < o.ColdFrom {
+	if o := &d.Sheet.Policy; d.Fleet.Cold > o.WarmUp || d.Fleet.ColdFrom < o.ColdFrom {
 		b.Fault("workers are colder than the rules state: warm_up at most %d us and cold_from at least %g expected",
 			o.WarmUp, o.ColdFrom)
 	}
@@ -155,7 +155,7 @@
 	if d.Load.Attributes && d.Sheet.Routes == nil {
 		b.FaultAt("attributes", "transactions carry attributes only, expected routes for them")
 	}
-	for _, a := range d.Sheet.Standing.Accounts {
+	for _, a := range d.Sheet.Policy.Accounts {
 		d.Load.Accounts = append(d.Load.Accounts, a.Share)
 	}
 	b.Done()
@@ -228,7 +228,7 @@
 func (d *Day) sentryFile(position int, zone, listen, memory, list, desk string, peers map[int]string) []byte {
 	s := fmt.Appendf(nil, "sentry {\n  position = %d\n  zone = %q\n  listen = %q\n  memory = %q\n  list = %q\n  desk = %q\n  seed = %d\n",
 		position, zone, listen, memory, list, desk, d.Seed*1000+int64(position)+1)
-	for i := range d.Sheet.Standing.Sentries {
+	for i := range d.Sheet.Policy.Sentries {
 		if peers[i] != "" {
 			s = fmt.Appendf(s, "  peer \"%d\" {\n    address = %q\n  }\n", i, peers[i])
 		}
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -92,7 +92,7 @@
 			reached = false
 		case mine.starting:
 			reached = false
-		case !f.d.Sheet.Standing.BesideEarlier:
+		case !f.d.Sheet.Policy.BesideEarlier:
 			f.drainAt(at, func(x logic.BuildID) bool { return x < b })
 		}
 	}
@@ -135,7 +135,7 @@
 // drainAt drains some workers of a place: listed as draining, turning new work away once sentries must know, stopped
 // when what it holds must be over.
 func (f *fleet) drainAt(at *place, which func(logic.BuildID) bool) {
-	o := &f.d.Sheet.Standing
+	o := &f.d.Sheet.Policy
 	for _, s := range at.workers {
 		if s.draining || !which(s.build) {
 			continue
@@ -145,7 +145,7 @@
 		f.list.Tell(w, logic.Draining)
 		grace := span(f.d.Fleet.ListLate + o.DrainGrace)
 		time.AfterFunc(grace, w.Drain)
-		time.AfterFunc(grace+span(f.d.Sheet.OuterLimit())+time.Second, func() {
+		time.AfterFunc(grace+span(f.d.Sheet.MaxDeadline())+time.Second, func() {
 			f.list.Tell(w, logic.Gone)
 			w.Stop()
 		})
--- a/internal/drill/fromday.go
+++ b/internal/drill/fromday.go
@@ -72,7 +72,7 @@
 			Zone: -1, Size: defaultSize[x.Kind], Span: 100_000, How: "quiet"}
 		switch x.Kind {
 		case "balancer_crash", "balancer_roll", "balancer_stall":
-			t.Count = part(len(x.On), len(f.Balancers), d.Sheet.Standing.Sentries)
+			t.Count = part(len(x.On), len(f.Balancers), d.Sheet.Policy.Sentries)
 		case "zone_cut", "one_sided", "slow_link", "shift":
 			t.Zone = x.Which % len(d.Sheet.Zones)
 		default:
--- a/internal/drill/result.go
+++ b/internal/drill/result.go
@@ -63,7 +63,7 @@
 func (r *Result) Good() bool { return len(r.Rules) == 0 && r.Closed && r.Finding.Misjudged == 0 }
 
 func (r *runner) result() (*Result, error) {
-	d, o := r.d, &r.d.Sheet.Standing
+	d, o := r.d, &r.d.Sheet.Policy
 	events := r.stage.Events()
 	r.linkMu.Lock()
 	hiccup := r.hiccup
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -77,7 +77,7 @@
 // prepare makes the stage and the links between zones.
 func (r *runner) prepare() {
 	d := r.d
-	r.stage = standin.NewStage(&d.Sheet.Standing, d.Sheet.Zones, d.Seed)
+	r.stage = standin.NewStage(&d.Sheet.Policy, d.Sheet.Zones, d.Seed)
 	for range d.Sheet.Zones {
 		row := make([]*standin.Weather, len(d.Sheet.Zones))
 		for j := range row {
@@ -126,7 +126,7 @@
 		return err
 	}
 	time.Sleep(50 * time.Millisecond)
-	for i := range d.Sheet.Standing.Sentries {
+	for i := range d.Sheet.Policy.Sentries {
 		listen, err := standin.FreeAddress()
 		if err != nil {
 			return err
@@ -137,7 +137,7 @@
 	for _, s := range r.sentries {
 		peers := map[int]string{}
 		for _, to := range r.sentries {
-			if s == to || !d.Sheet.Standing.MayMessage {
+			if s == to || !d.Sheet.Policy.MayMessage {
 				continue
 			}
 			relay, err := standin.NewRelay(to.listen, r.peers, r.peers)
@@ -289,7 +289,7 @@
 		c.Stop()
 	}
 	r.restart.Wait()
-	longest := r.d.Sheet.OuterLimit()
+	longest := r.d.Sheet.MaxDeadline()
 	// What is open closes by its limit; a client waits half as long again for an answer that is late.
 	for end := time.Now().Add(span(longest)*3/2 + time.Second); time.Now().Before(end) && r.open() > 0; {
 		time.Sleep(20 * time.Millisecond)
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -12,25 +12,25 @@
 
 // Names resolves the settings' names for what the module knows by number.
 type Names struct {
-	Profiles map[string]logic.ProfileID
-	Accounts map[string]logic.AccountID
-	LoadAt   [Loads]int // places of the figures in a load report, -1 where there is none
-	Streams  int        // requests that a connection to a server carries at a time
+	Profiles             map[string]logic.ProfileID
+	Accounts             map[string]logic.AccountID
+	LoadFieldIndex       [LoadFieldCount]int // places of the figures in a load report, -1 where there is none
+	StreamsPerConnection int                 // requests that a connection to a server carries at a time
 }
 
 // The figures of a load report that are passed on.
 const (
-	LoadHeld = iota
-	LoadBusy
-	LoadServed
-	Loads
+	LoadFieldHeld = iota
+	LoadFieldBusy
+	LoadFieldServed
+	LoadFieldCount
 )
 
 // LoadNames are the settings' words for them.
-var LoadNames = [Loads]string{LoadHeld: "busy_reqs", LoadBusy: "cpu_share", LoadServed: "served_ps"}
+var LoadFieldNames = [LoadFieldCount]string{LoadFieldHeld: "busy_reqs", LoadFieldBusy: "cpu_share", LoadFieldServed: "served_ps"}
 
 // Zone numbers the zones in the order in which they are first named.
-func Zone(zones map[string]logic.ZoneID, name string) logic.ZoneID {
+func AssignZone(zones map[string]logic.ZoneID, name string) logic.ZoneID {
 	id, ok := zones[name]
 	if !ok {
 		id = logic.ZoneID(len(zones))
@@ -40,7 +40,7 @@
 }
 
 // Micros are whole microseconds of nanoseconds.
-func Micros(ns int64) logic.Micros { return logic.Micros(ns / 1000) }
+func ToMicros(ns int64) logic.Micros { return logic.Micros(ns / 1000) }
 
 // What the settings' words stand for.
 var (
@@ -58,7 +58,7 @@
 }
 
 // Orders decodes the settings. Unknown keys are ignored, absent ones are zero.
-func Orders(raw json.RawMessage, zones map[string]logic.ZoneID) (logic.StandingOrders, *Names, error) {
+func DecodeConfig(raw json.RawMessage, zones map[string]logic.ZoneID) (logic.StandingOrders, *Names, error) {
 	var f struct {
 		Azs        []string
 		Categories []struct {
@@ -140,43 +140,43 @@
 		return logic.StandingOrders{}, nil, fmt.Errorf("facts: %w", err)
 	}
 	n := &Names{
-		Profiles: map[string]logic.ProfileID{},
-		Accounts: map[string]logic.AccountID{},
-		LoadAt:   [Loads]int{-1, -1, -1},
-		Streams:  f.Limits.StreamsPerConn,
+		Profiles:             map[string]logic.ProfileID{},
+		Accounts:             map[string]logic.AccountID{},
+		LoadFieldIndex:       [LoadFieldCount]int{-1, -1, -1},
+		StreamsPerConnection: f.Limits.StreamsPerConn,
 	}
 	for _, z := range f.Azs {
-		Zone(zones, z)
+		AssignZone(zones, z)
 	}
 	o := logic.StandingOrders{
 		Control:  word(f.FamilyInfo.Control, logic.ControlAny, controls),
-		Sentries: f.ReplicasOfMe, Position: logic.SentryID(f.Position), Zone: Zone(zones, f.Zone),
-		AskForList: f.RegistryMode == "on_request", AskWithin: Micros(f.Rules.AskWithinNs),
+		Sentries: f.ReplicasOfMe, Position: logic.SentryID(f.Position), Zone: AssignZone(zones, f.Zone),
+		AskForList: f.RegistryMode == "on_request", AskWithin: ToMicros(f.Rules.AskWithinNs),
 		MayProbe: f.Limits.MayProbe, MayCancel: f.Limits.Cancel, MayCopy: f.Limits.ParallelTries,
 		MayMessage: f.Limits.Peers, MayNameReturn: f.Limits.RetryAfter,
-		MostHandOffs: f.Limits.MaxAttempts, MostReturn: Micros(f.Limits.MaxRetryAfterNs),
-		ConnectLimit: Micros(f.Limits.ConnectTimeout), IdleClose: Micros(f.Limits.IdleCloseNs), Tick: Micros(f.GranularityNs),
-		AnswerGrace: Micros(f.Rules.GraceToAnswerNs), DrainGrace: Micros(f.Rules.DrainGraceNs),
-		ColdFrom: f.Rules.ColdFrom, WarmUp: Micros(f.Rules.WarmUpNs),
-		FallMultiple: f.Rules.FallMultiple, FallSpan: Micros(f.Rules.FallNs),
+		MostHandOffs: f.Limits.MaxAttempts, MostReturn: ToMicros(f.Limits.MaxRetryAfterNs),
+		ConnectLimit: ToMicros(f.Limits.ConnectTimeout), IdleClose: ToMicros(f.Limits.IdleCloseNs), Tick: ToMicros(f.GranularityNs),
+		AnswerGrace: ToMicros(f.Rules.GraceToAnswerNs), DrainGrace: ToMicros(f.Rules.DrainGraceNs),
+		ColdFrom: f.Rules.ColdFrom, WarmUp: ToMicros(f.Rules.WarmUpNs),
+		FallMultiple: f.Rules.FallMultiple, FallSpan: ToMicros(f.Rules.FallNs),
 		BesideEarlier: f.FamilyInfo.Layout == "beside",
 		StageShares:   f.FamilyInfo.Shares, StageCaps: f.FamilyInfo.Caps,
-		FreeExposure: f.FamilyInfo.Free, ExposureWindow: Micros(f.FamilyInfo.ExposureWindowNs),
+		FreeExposure: f.FamilyInfo.Free, ExposureWindow: ToMicros(f.FamilyInfo.ExposureWindowNs),
 		ExposureByProfile: f.FamilyInfo.CapScope == "class",
 		GuardedStages:     f.FamilyInfo.Shielded, ForwardOnly: f.FamilyInfo.NoReturn,
 		OnVotes: f.FamilyInfo.OnVotes, HoldVotes: f.FamilyInfo.VotesToHold, BackVotes: f.FamilyInfo.VotesToRevert,
-		VoteLife: Micros(f.FamilyInfo.VoteTTLNs), VoteWait: Micros(f.FamilyInfo.AnswerWaitNs),
-		VotesPerSecond: f.FamilyInfo.VotesPerS, Bake: Micros(f.FamilyInfo.BakeNs),
+		VoteLife: ToMicros(f.FamilyInfo.VoteTTLNs), VoteWait: ToMicros(f.FamilyInfo.AnswerWaitNs),
+		VotesPerSecond: f.FamilyInfo.VotesPerS, Bake: ToMicros(f.FamilyInfo.BakeNs),
 		ComplaintShare: f.FamilyInfo.ComplaintShare,
-		CountsEvery:    Micros(f.FamilyInfo.MetricsPeriodNs), CountsShare: f.FamilyInfo.SampledShare,
+		CountsEvery:    ToMicros(f.FamilyInfo.MetricsPeriodNs), CountsShare: f.FamilyInfo.SampledShare,
 		BehindPrice: f.FamilyInfo.StaleBuildPrice, HarmPrice: f.FamilyInfo.HarmFee,
 		CrossPrice: f.Prices.CrossZone, WastePrice: f.Prices.Waste, OverShareValue: f.OverShareWorth,
 	}
 	for i, c := range f.Categories {
 		n.Profiles[c.Name] = logic.ProfileID(i)
 		p := logic.Profile{
-			DueTime: Micros(c.AimNs), OuterLimit: Micros(c.DeadlineNs), Value: c.Value, LateShare: c.LateWorth,
-			Window: Micros(c.WindowNs), Streamed: c.Stream,
+			DueTime: ToMicros(c.AimNs), OuterLimit: ToMicros(c.DeadlineNs), Value: c.Value, LateShare: c.LateWorth,
+			Window: ToMicros(c.WindowNs), Streamed: c.Stream,
 			Repeat: word(c.Effect, logic.Irreversible, repeats), Scope: word(c.Group, logic.ScopeAll, scopes),
 		}
 		o.Profiles = append(o.Profiles, p)
@@ -187,8 +187,8 @@
 	}
 	if f.Report.How != "off" {
 		for i, name := range f.Report.Fields {
-			if at := slices.Index(LoadNames[:], name); at >= 0 {
-				n.LoadAt[at] = i
+			if at := slices.Index(LoadFieldNames[:], name); at >= 0 {
+				n.LoadFieldIndex[at] = i
 			}
 		}
 	}
--- a/internal/input/input.go
+++ b/internal/input/input.go
@@ -9,69 +9,69 @@
 type Kind uint8
 
 const (
-	TransactionCame Kind = iota
+	TransactionArrived Kind = iota
 	HandOffEnded
 	ClientLeft
-	Woke
-	ListCame
-	ListRefused
-	ListUnsure
-	NewsCame
-	Complained
-	PeerSaid
-	Counted
-	Ordered
-	Probed // tells the module nothing; it is kept for the record
+	TimerFired
+	ListReceived
+	ListRequestFailed
+	ListMayBeStale
+	ReleaseUpdated
+	ComplaintReceived
+	PeerMessageReceived
+	CountsReceived
+	Reconfigured
+	ProbeAnswered // tells the module nothing; it is kept for the record
 )
 
 // Input is one thing that happened. Of the fields after Kind only those that belong to it count.
 type Input struct {
-	At          logic.Micros // never falls within a stream
-	Kind        Kind
-	Transaction logic.Transaction   // TransactionCame
-	End         logic.HandOffEnd    // HandOffEnded
-	ID          logic.TransactionID // ClientLeft
-	ListKind    logic.ListKind      // ListCame
-	List        []logic.Worker
-	Busy        bool         // ListRefused: discovery turned the call away
-	Since       logic.Micros // ListUnsure
-	News        logic.News
-	Complaint   logic.Complaint
-	Counts      logic.Counts          // Counted
-	Orders      *logic.StandingOrders // Ordered
-	From        logic.SentryID        // PeerSaid
-	Body        []byte
-	Worker      logic.WorkerID // Probed
-	Held        float64
+	At            logic.Micros // never falls within a stream
+	Kind          Kind
+	Transaction   logic.Transaction   // TransactionCame
+	End           logic.HandOffEnd    // HandOffEnded
+	ID            logic.TransactionID // ClientLeft
+	ListKind      logic.ListKind      // ListCame
+	List          []logic.Worker
+	Busy          bool         // ListRefused: discovery turned the call away
+	StaleSince    logic.Micros // ListUnsure
+	ReleaseStatus logic.News
+	Complaint     logic.Complaint
+	Counts        logic.Counts          // Counted
+	Config        *logic.StandingOrders // Ordered
+	From          logic.SentryID        // PeerSaid
+	Body          []byte
+	Worker        logic.WorkerID // Probed
+	Held          float64
 }
 
 // Apply makes the module's call for an input.
 func Apply(s *logic.Sentry, in *Input) logic.Result {
 	switch in.Kind {
-	case TransactionCame:
+	case TransactionArrived:
 		return s.Arrive(in.At, in.Transaction)
 	case HandOffEnded:
 		return s.HandOffEnded(in.At, in.End)
 	case ClientLeft:
 		return s.ClientLeft(in.At, in.ID)
-	case Woke:
+	case TimerFired:
 		return s.Wake(in.At)
-	case ListCame:
+	case ListReceived:
 		return s.Listed(in.At, in.ListKind, in.List)
-	case ListRefused:
+	case ListRequestFailed:
 		return s.AskFailed(in.At, in.Busy)
-	case ListUnsure:
-		return s.ListUnsure(in.At, in.Since)
-	case NewsCame:
-		return s.Told(in.At, in.News)
-	case Complained:
+	case ListMayBeStale:
+		return s.ListUnsure(in.At, in.StaleSince)
+	case ReleaseUpdated:
+		return s.Told(in.At, in.ReleaseStatus)
+	case ComplaintReceived:
 		return s.Complained(in.At, in.Complaint)
-	case PeerSaid:
+	case PeerMessageReceived:
 		return s.PeerSaid(in.At, in.From, in.Body)
-	case Counted:
+	case CountsReceived:
 		return s.Counted(in.At, in.Counts)
-	case Ordered:
-		return s.Ordered(in.At, *in.Orders)
+	case Reconfigured:
+		return s.Ordered(in.At, *in.Config)
 	default:
 		return logic.Result{}
 	}
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -17,51 +17,51 @@
 )
 
 // Sheet is what an operator's file says.
-type Sheet struct {
-	Standing     logic.StandingOrders
-	ProfileNames []string
-	AccountNames []string
-	Gone         []bool // places whose profile is no longer taken, by a sentry that runs on
-	Zones        []string
-	Post         Post
-	Bounds       Bounds
-	Files        []string     // that the sentry's file includes
-	Routes       *routes.Book // nil if transactions say themselves what they are
+type Settings struct {
+	Policy          logic.StandingOrders
+	ProfileNames    []string
+	AccountNames    []string
+	RemovedProfiles []bool // places whose profile is no longer taken, by a sentry that runs on
+	Zones           []string
+	Endpoints       Endpoints
+	Bounds          Bounds
+	IncludedFiles   []string     // that the sentry's file includes
+	Routes          *routes.Book // nil if transactions say themselves what they are
 }
 
 // Clash is what a running sentry can't take from a new sheet: the block and value at fault, and what was expected.
-type Clash struct{ Block, Name, Text string }
+type Conflict struct{ Block, Name, Message string }
 
-func (c Clash) Error() string { return c.Block + ": " + c.Name + ": " + c.Text }
+func (c Conflict) Error() string { return c.Block + ": " + c.Name + ": " + c.Message }
 
 // Clashes lists what a sentry that runs by one sheet can't change over to from it. Everything else it can.
-func (s *Sheet) Clashes(now *Sheet) (all []Clash) {
+func (s *Settings) Conflicts(now *Settings) (all []Conflict) {
 	same := func(block, name string, was, is any) {
 		if !reflect.DeepEqual(was, is) {
-			all = append(all, Clash{block, name, fmt.Sprintf("found %v, expected %v as the sentry runs with: it changes with a new start", is, was)})
+			all = append(all, Conflict{block, name, fmt.Sprintf("found %v, expected %v as the sentry runs with: it changes with a new start", is, was)})
 		}
 	}
-	was, is := &s.Post, &now.Post
-	same("sentry", "position", s.Standing.Position, now.Standing.Position)
+	was, is := &s.Endpoints, &now.Endpoints
+	same("sentry", "position", s.Policy.Position, now.Policy.Position)
 	same("sentry", "listen", was.Listen, is.Listen)
 	same("sentry", "metrics", was.Metrics, is.Metrics)
-	same("sentry", "memory", was.Memory, is.Memory)
-	same("sentry", "list", was.List, is.List)
-	same("sentry", "desk", was.Desk, is.Desk)
+	same("sentry", "memory", was.CachedListFile, is.CachedListFile)
+	same("sentry", "list", was.Discovery, is.Discovery)
+	same("sentry", "desk", was.ControlPlane, is.ControlPlane)
 	same("sentry", "seed", was.Seed, is.Seed)
-	same("sentry", "zone", s.Standing.Zone, now.Standing.Zone)
+	same("sentry", "zone", s.Policy.Zone, now.Policy.Zone)
 	same("deployment", "zones", s.Zones, now.Zones[:min(len(s.Zones), len(now.Zones))])
-	same("bounds", "inbox", s.Bounds.Inbox, now.Bounds.Inbox)
-	same("bounds", "hand_offs_per_connection", s.Bounds.HandOffsConnection, now.Bounds.HandOffsConnection)
-	same("bounds", "frame_bytes", s.Bounds.Frame, now.Bounds.Frame)
-	same("bounds", "unwritten_bytes", s.Bounds.Unwritten, now.Bounds.Unwritten)
+	same("bounds", "inbox", s.Bounds.InboxEvents, now.Bounds.InboxEvents)
+	same("bounds", "hand_offs_per_connection", s.Bounds.HandOffsPerConnection, now.Bounds.HandOffsPerConnection)
+	same("bounds", "frame_bytes", s.Bounds.FrameBytes, now.Bounds.FrameBytes)
+	same("bounds", "unwritten_bytes", s.Bounds.UnwrittenBytes, now.Bounds.UnwrittenBytes)
 	for _, x := range []struct {
 		kind     string
 		was, now []string
 	}{{"profile", s.ProfileNames, now.ProfileNames}, {"account", s.AccountNames, now.AccountNames}} {
 		for i, name := range x.now {
 			if i < len(x.was) && x.was[i] != "" && name != "" && x.was[i] != name {
-				all = append(all, Clash{x.kind + " " + name, "place", fmt.Sprintf(
+				all = append(all, Conflict{x.kind + " " + name, "place", fmt.Sprintf(
 					"found at place %d, expected %s there as clients know it: an empty place or a new one", i, x.was[i])})
 			}
 		}
@@ -71,69 +71,69 @@
 
 // After is the sheet for a sentry that has run by another one: a place that it no longer fills stays with its old
 // name, so that no other can take it, and takes nothing.
-func (s *Sheet) After(was *Sheet) *Sheet {
+func (s *Settings) KeepSlots(was *Settings) *Settings {
 	now := *s
-	now.ProfileNames, now.Standing.Profiles = slices.Clone(s.ProfileNames), slices.Clone(s.Standing.Profiles)
-	now.Gone = make([]bool, max(len(s.ProfileNames), len(was.ProfileNames)))
+	now.ProfileNames, now.Policy.Profiles = slices.Clone(s.ProfileNames), slices.Clone(s.Policy.Profiles)
+	now.RemovedProfiles = make([]bool, max(len(s.ProfileNames), len(was.ProfileNames)))
 	for i, name := range was.ProfileNames {
 		now.fill(i)
 		if name != "" && now.ProfileNames[i] == "" {
-			now.ProfileNames[i], now.Standing.Profiles[i], now.Gone[i] = name, was.Standing.Profiles[i], true
+			now.ProfileNames[i], now.Policy.Profiles[i], now.RemovedProfiles[i] = name, was.Policy.Profiles[i], true
 		}
 	}
 	if n := len(s.AccountNames); n < len(was.AccountNames) {
 		now.AccountNames = append(slices.Clone(s.AccountNames), was.AccountNames[n:]...)
-		now.Standing.Accounts = append(slices.Clone(s.Standing.Accounts), was.Standing.Accounts[n:]...)
+		now.Policy.Accounts = append(slices.Clone(s.Policy.Accounts), was.Policy.Accounts[n:]...)
 	}
 	return &now
 }
 
 // fill makes places up to one; none has them yet, and they take nothing.
-func (s *Sheet) fill(place int) {
+func (s *Settings) fill(place int) {
 	for len(s.ProfileNames) <= place {
 		s.ProfileNames = append(s.ProfileNames, "")
-		s.Standing.Profiles = append(s.Standing.Profiles, logic.Profile{DueTime: 1_000_000, OuterLimit: 1_000_000})
+		s.Policy.Profiles = append(s.Policy.Profiles, logic.Profile{DueTime: 1_000_000, OuterLimit: 1_000_000})
 	}
 }
 
 // Takes says whether a place has a profile that is taken.
-func (s *Sheet) Takes(place int) bool {
-	return place < len(s.ProfileNames) && s.ProfileNames[place] != "" && !(place < len(s.Gone) && s.Gone[place])
+func (s *Settings) AcceptsProfile(place int) bool {
+	return place < len(s.ProfileNames) && s.ProfileNames[place] != "" && !(place < len(s.RemovedProfiles) && s.RemovedProfiles[place])
 }
 
 // OuterLimit is that of the profile with the longest: nothing is open any longer.
-func (s *Sheet) OuterLimit() (longest logic.Micros) {
-	for _, p := range s.Standing.Profiles {
+func (s *Settings) MaxDeadline() (longest logic.Micros) {
+	for _, p := range s.Policy.Profiles {
 		longest = max(longest, p.OuterLimit)
 	}
 	return longest
 }
 
 // Post is where one sentry stands.
-type Post struct {
-	Listen  string
-	Metrics string // empty if none
-	Memory  string // file of the last list
-	List    string
-	Desk    string
-	Peers   map[logic.SentryID]string
-	Seed    int64
+type Endpoints struct {
+	Listen         string
+	Metrics        string // empty if none
+	CachedListFile string // file of the last list
+	Discovery      string
+	ControlPlane   string
+	Peers          map[logic.SentryID]string
+	Seed           int64
 }
 
 // Bounds are what the sentry holds at the most. They are limits of the program, not of the module.
 type Bounds struct {
-	Inbox              int // inputs that wait for the loop
-	Open               int // transactions open
-	Connections        int // to one worker
-	HandOffsConnection int // at one time on a connection
-	Frame              int // bytes of a message
-	Unwritten          int // bytes that wait for a socket
-	Ways               int // connections to all workers, 0 for no bound
-	IdleShare          int // an idle one is closed after this part of the orders' time, 0 for all of it
+	InboxEvents           int // inputs that wait for the loop
+	OpenTransactions      int // transactions open
+	ConnectionsPerWorker  int // to one worker
+	HandOffsPerConnection int // at one time on a connection
+	FrameBytes            int // bytes of a message
+	UnwrittenBytes        int // bytes that wait for a socket
+	WorkerConnections     int // connections to all workers, 0 for no bound
+	IdleTimeoutDivisor    int // an idle one is closed after this part of the orders' time, 0 for all of it
 }
 
 // Load reads a sentry's file and checks it whole.
-func Load(name string) (*Sheet, error) {
+func Load(name string) (*Settings, error) {
 	f, err := hclread.Open(name)
 	if err != nil {
 		return nil, err
@@ -142,7 +142,7 @@
 }
 
 // Parse is Load for what was read already.
-func Parse(name string, source []byte) (*Sheet, error) {
+func Parse(name string, source []byte) (*Settings, error) {
 	f, err := hclread.Parse(name, source)
 	if err != nil {
 		return nil, err
@@ -151,7 +151,7 @@
 }
 
 // LoadBeside is Load for a sentry that runs by another sheet: what it can't change over to is a fault too.
-func LoadBeside(name string, running *Sheet) (*Sheet, error) {
+func LoadUpdate(name string, running *Settings) (*Settings, error) {
 	f, err := hclread.Open(name)
 	if err != nil {
 		return nil, err
@@ -160,7 +160,7 @@
 }
 
 // ParseBeside is LoadBeside for what was read already.
-func ParseBeside(name string, source []byte, running *Sheet) (*Sheet, error) {
+func ParseUpdate(name string, source []byte, running *Settings) (*Settings, error) {
 	f, err := hclread.Parse(name, source)
 	if err != nil {
 		return nil, err
@@ -168,19 +168,19 @@
 	return readBeside(f, running)
 }
 
-func read(f *hclread.File) (*Sheet, error) { return readBeside(f, nil) }
+func read(f *hclread.File) (*Settings, error) { return readBeside(f, nil) }
 
-func readBeside(f *hclread.File, running *Sheet) (*Sheet, error) {
-	s := Shared(f.Root)
-	s.Files = f.Files
+func readBeside(f *hclread.File, running *Settings) (*Settings, error) {
+	s := ReadShared(f.Root)
+	s.IncludedFiles = f.Files
 	s.post(f.Root.Block("sentry", true))
 	f.Root.Done()
 	if running != nil && f.Err() == nil {
-		for _, c := range running.Clashes(s) {
+		for _, c := range running.Conflicts(s) {
 			kind, label, _ := strings.Cut(c.Block, " ")
 			for _, b := range f.Root.Blocks(kind, labels[kind]) {
 				if label == "" || b.Labels[0] == label {
-					b.FaultAt(c.Name, "%s", c.Text)
+					b.FaultAt(c.Name, "%s", c.Message)
 				}
 			}
 		}
@@ -201,9 +201,9 @@
 )
 
 // Shared reads what all sentries of a deployment have in common. Faults are booked with the file.
-func Shared(root *hclread.Body) *Sheet {
-	s := &Sheet{}
-	o := &s.Standing
+func ReadShared(root *hclread.Body) *Settings {
+	s := &Settings{}
+	o := &s.Policy
 	d := root.Block("deployment", true)
 	o.Sentries = d.Whole("sentries", true, 1, 1, 10_000)
 	s.Zones = d.Texts("zones", true)
@@ -230,18 +230,18 @@
 	p.Done()
 	b := root.Block("bounds", false)
 	s.Bounds = Bounds{
-		Inbox: b.Whole("inbox", false, 16384, 64, 1<<20), Open: b.Whole("open", false, 20_000, 1, 1<<20),
-		Connections:        b.Whole("connections_per_worker", false, 8, 1, 1024),
-		HandOffsConnection: b.Whole("hand_offs_per_connection", false, 32, 1, 1<<16),
-		Frame:              b.Whole("frame_bytes", false, 4<<20, 4096, 64<<20),
-		Unwritten:          b.Whole("unwritten_bytes", false, 1<<20, 4096, 256<<20),
+		InboxEvents: b.Whole("inbox", false, 16384, 64, 1<<20), OpenTransactions: b.Whole("open", false, 20_000, 1, 1<<20),
+		ConnectionsPerWorker:  b.Whole("connections_per_worker", false, 8, 1, 1024),
+		HandOffsPerConnection: b.Whole("hand_offs_per_connection", false, 32, 1, 1<<16),
+		FrameBytes:            b.Whole("frame_bytes", false, 4<<20, 4096, 64<<20),
+		UnwrittenBytes:        b.Whole("unwritten_bytes", false, 1<<20, 4096, 256<<20),
 	}
 	b.Done()
 	s.Routes = routes.Read(root, s.ProfileNames, s.AccountNames)
 	return s
 }
 
-func (s *Sheet) profiles(root *hclread.Body) {
+func (s *Settings) profiles(root *hclread.Body) {
 	for i, b := range root.Blocks("profile", 1) {
 		p := logic.Profile{
 			DueTime:    b.Span("due_time", true, ms, ms, hour),
@@ -274,14 +274,14 @@
 			b.FaultAt("place", "found %d, expected one that %s does not have", place, other)
 			continue
 		}
-		s.ProfileNames[place], s.Standing.Profiles[place] = b.Labels[0], p
+		s.ProfileNames[place], s.Policy.Profiles[place] = b.Labels[0], p
 	}
 	if len(s.ProfileNames) == 0 {
 		root.Fault("no block profile, expected at least one")
 	}
 }
 
-func (s *Sheet) accounts(root *hclread.Body) {
+func (s *Settings) accounts(root *hclread.Body) {
 	total := 0.0
 	for _, b := range root.Blocks("account", 1) {
 		a := logic.Account{Share: b.Figure("share", true, 0, 0, 1), Quota: b.Figure("quota", true, 0, 0, 1e9)}
@@ -290,12 +290,12 @@
 			b.FaultAt("share", "found %g over all accounts so far, expected at most 1", total)
 		}
 		s.AccountNames = append(s.AccountNames, b.Labels[0])
-		s.Standing.Accounts = append(s.Standing.Accounts, a)
+		s.Policy.Accounts = append(s.Policy.Accounts, a)
 	}
 }
 
-func (s *Sheet) allowed(b *hclread.Body) {
-	o := &s.Standing
+func (s *Settings) allowed(b *hclread.Body) {
+	o := &s.Policy
 	o.MayProbe, o.MayCancel = b.Flag("probes", false), b.Flag("cancel", true)
 	o.MayCopy, o.MayMessage = b.Flag("copies", false), b.Flag("messages", false)
 	o.MayNameReturn = b.Flag("name_return", true)
@@ -306,15 +306,15 @@
 	b.Done()
 }
 
-func (s *Sheet) list(b *hclread.Body) {
-	o := &s.Standing
+func (s *Settings) list(b *hclread.Body) {
+	o := &s.Policy
 	o.AskForList = b.Flag("ask", false)
 	o.AskWithin = b.Span("ask_within", o.AskForList, 10*time.Second, 100*ms, hour)
 	b.Done()
 }
 
-func (s *Sheet) rules(b *hclread.Body) {
-	o := &s.Standing
+func (s *Settings) rules(b *hclread.Body) {
+	o := &s.Policy
 	o.Tick = b.Span("tick", false, 5*ms, time.Microsecond, time.Second)
 	o.AnswerGrace = b.Span("answer_grace", true, 20*ms, 0, time.Minute)
 	o.DrainGrace = b.Span("drain_grace", true, 2*time.Second, 0, time.Minute)
@@ -325,8 +325,8 @@
 	b.Done()
 }
 
-func (s *Sheet) trial(b *hclread.Body) {
-	o := &s.Standing
+func (s *Settings) trial(b *hclread.Body) {
+	o := &s.Policy
 	o.Control = logic.Control(b.Word("control", true, 0, "any", "share", "timer"))
 	o.BesideEarlier = b.Word("layout", false, 0, "beside", "in_place") == 0
 	o.StageShares = b.Figures("stage_shares", true, 0, 1)
@@ -367,8 +367,8 @@
 	}
 }
 
-func (s *Sheet) post(b *hclread.Body) {
-	o, p := &s.Standing, &s.Post
+func (s *Settings) post(b *hclread.Body) {
+	o, p := &s.Policy, &s.Endpoints
 	o.Position = logic.SentryID(b.Whole("position", true, 0, 0, max(0, o.Sentries-1)))
 	zones := s.Zones
 	if len(zones) == 0 {
@@ -377,9 +377,9 @@
 	o.Zone = logic.ZoneID(b.Word("zone", true, 0, zones...))
 	p.Listen = address(b, "listen", true)
 	p.Metrics = address(b, "metrics", false)
-	p.List = address(b, "list", true)
-	p.Desk = address(b, "desk", true)
-	p.Memory = b.Text("memory", true, "")
+	p.Discovery = address(b, "list", true)
+	p.ControlPlane = address(b, "desk", true)
+	p.CachedListFile = b.Text("memory", true, "")
 	p.Seed = int64(b.Whole("seed", false, 0, 0, 1<<53))
 	p.Peers = map[logic.SentryID]string{}
 	for _, x := range b.Blocks("peer", 1) {
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -22,10 +22,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := s.Standing
+	o := s.Policy
 	if o.Sentries != 2 || o.DrainGrace != 2_000_000 || o.FallMultiple != 4 || !o.ForwardOnly || len(o.StageCaps) != 3 ||
 		o.Profiles[1].Repeat != logic.Labelled || o.Profiles[1].Window != 1_500_000 || o.Profiles[2].Repeat != logic.Irreversible ||
-		s.Post.Peers[1] != "127.0.0.1:7401" || o.ConnectLimit != 250_000 || o.AskWithin != 10_000_000 || !o.MayMessage || o.MayCopy {
+		s.Endpoints.Peers[1] != "127.0.0.1:7401" || o.ConnectLimit != 250_000 || o.AskWithin != 10_000_000 || !o.MayMessage || o.MayCopy {
 		t.Errorf("read as %+v", s)
 	}
 }
@@ -96,14 +96,14 @@
 	text := strings.Replace(example(t), `repeat      = "irreversible"`, "repeat = \"irreversible\"\n place = 5", 1)
 	s, err := Parse("sentry.hcl", []byte(text))
 	old, _ := Parse("sentry.hcl", []byte(example(t)))
-	if err != nil || strings.Join(s.ProfileNames, ",") != "reading,excursion,,,,handover" || s.Takes(3) || !s.Takes(5) || s.Takes(6) {
+	if err != nil || strings.Join(s.ProfileNames, ",") != "reading,excursion,,,,handover" || s.AcceptsProfile(3) || !s.AcceptsProfile(5) || s.AcceptsProfile(6) {
 		t.Fatalf("%v, %+v", err, s)
 	}
-	if after := s.After(old); len(old.Clashes(s)) != 0 || !after.Takes(5) || after.Takes(2) || after.ProfileNames[2] != "handover" {
-		t.Errorf("clashes %v; after the switch %q, gone %v", old.Clashes(s), after.ProfileNames, after.Gone)
+	if after := s.KeepSlots(old); len(old.Conflicts(s)) != 0 || !after.AcceptsProfile(5) || after.AcceptsProfile(2) || after.ProfileNames[2] != "handover" {
+		t.Errorf("clashes %v; after the switch %q, gone %v", old.Conflicts(s), after.ProfileNames, after.RemovedProfiles)
 	}
-	old.AccountNames, old.Standing.Accounts = []string{"a", "b"}, make([]logic.Account, 2)
-	if s.AccountNames = []string{"a", "c"}; len(s.After(old).Clashes(old)) != 1 || len(old.After(s.After(old)).AccountNames) != 2 {
+	old.AccountNames, old.Policy.Accounts = []string{"a", "b"}, make([]logic.Account, 2)
+	if s.AccountNames = []string{"a", "c"}; len(s.KeepSlots(old).Conflicts(old)) != 1 || len(old.KeepSlots(s.KeepSlots(old)).AccountNames) != 2 {
 		t.Errorf("another account at a number that is taken")
 	}
 }
@@ -114,7 +114,7 @@
 	f.Add([]byte("profile \"a\" \"b\" { due_time = [null] }\nsentry { peer \"x\" {} }"))
 	f.Fuzz(func(t *testing.T, source []byte) {
 		s, err := Parse("f.hcl", source)
-		if err == nil && (len(s.Standing.Profiles) == 0 || int(s.Standing.Position) >= s.Standing.Sentries) {
+		if err == nil && (len(s.Policy.Profiles) == 0 || int(s.Policy.Position) >= s.Policy.Sentries) {
 			t.Errorf("taken: %+v", s)
 		}
 	})
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -35,7 +35,7 @@
 type clientConn struct {
 	*wire.Link
 	p      *Platform
-	ear    sentry.ClientEar
+	ear    sentry.ClientHandler
 	reader resp.Reader
 
 	mu           sync.Mutex
@@ -65,17 +65,17 @@
 func (r *reply) size() int { return replyOverhead + len(r.text) }
 
 // Open listens for clients.
-func (p *Platform) Open(s *sentry.Sentry) (string, error) {
+func (p *Platform) Listen(s *sentry.Sentry) (string, error) {
 	p.sentry = s
-	server, err := wire.ServeRaw(p.post.Load().Settings.Post.Listen, wire.Bounds{Frame: mostValue, Pending: maxUnwritten, Budget: p.budget},
+	server, err := wire.ServeRaw(p.post.Load().Settings.Endpoints.Listen, wire.Bounds{Frame: mostValue, Pending: maxUnwritten, Budget: p.budget},
 		func(l *wire.Link) (wire.Reader, func(*wire.Link, error)) {
 			now := time.Now()
 			c := &clientConn{Link: l, p: p, used: now, partialSince: now, reader: resp.Reader{Limits: commandBounds, CommandsOnly: true}}
-			c.ear = s.Joined(c)
+			c.ear = s.AddClient(c)
 			p.admit(c)
 			return c.read, func(*wire.Link, error) {
 				p.forget(c)
-				c.ear.Gone(nil)
+				c.ear.ConnectionClosed(nil)
 			}
 		})
 	if err != nil {
@@ -289,7 +289,7 @@
 	x.ask.ID = c.first + uint64(len(c.queue))
 	c.queue = append(c.queue, reply{id: id})
 	c.mu.Unlock()
-	c.ear.Asked(&x.ask)
+	c.ear.TransactionReceived(&x.ask)
 }
 
 // fits says whether the answers that wait for clients and those that are to be expected leave room for one more.
--- a/internal/platform/command.go
+++ b/internal/platform/command.go
@@ -75,7 +75,7 @@
 	if profile < 0 || from < 0 {
 		return c, "found no class or no time to wait, expected both"
 	}
-	repeat := p.Settings.Standing.Profiles[profile].Repeat
+	repeat := p.Settings.Policy.Profiles[profile].Repeat
 	switch {
 	case safe != (repeat == logic.Redoable):
 		return c, "found a command that does not serve this class, expected Q.ASK for those safe to repeat, else Q.DO"
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -31,7 +31,7 @@
 	MaxSockets           int
 	ReleaseStatus        *pb.News
 	InitialList          *pb.Report
-	Settings             *orders.Sheet
+	Settings             *orders.Settings
 	names                *facts.Names
 	wall                 *clock.Wall
 }
@@ -89,7 +89,7 @@
 		return nil, fmt.Errorf("limits: found %+v, expected cores, megabytes, and at least %d sockets", f.Limits, 4*ownSockets)
 	}
 	zones := map[string]logic.ZoneID{}
-	standing, names, err := facts.Orders(f.Settings, zones)
+	standing, names, err := facts.DecodeConfig(f.Settings, zones)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -119,11 +119,11 @@
 			return nil, fmt.Errorf("release_api: %w", err)
 		}
 	}
-	p.Settings = &orders.Sheet{Standing: standing, Post: orders.Post{Listen: f.Listen, Seed: int64(seed)},
+	p.Settings = &orders.Settings{Policy: standing, Endpoints: orders.Endpoints{Listen: f.Listen, Seed: int64(seed)},
 		ProfileNames: byPlace(names.Profiles), AccountNames: byPlace(names.Accounts), Zones: byPlace(zones)}
 	ways := p.MaxSockets - p.clientLimit() - ownSockets
-	p.Settings.Bounds = orders.Bounds{Inbox: 1024, Open: p.MaxSockets, Connections: ways, HandOffsConnection: max(1, names.Streams),
-		Ways: ways, IdleShare: 2}
+	p.Settings.Bounds = orders.Bounds{InboxEvents: 1024, OpenTransactions: p.MaxSockets, ConnectionsPerWorker: ways, HandOffsPerConnection: max(1, names.StreamsPerConnection),
+		WorkerConnections: ways, IdleTimeoutDivisor: 2}
 	return p, nil
 }
 
--- a/internal/platform/control_plane.go
+++ b/internal/platform/control_plane.go
@@ -87,7 +87,7 @@
 	waits := d.waits
 	d.link, d.waits = nil, nil
 	d.mu.Unlock()
-	d.p.sentry.Unanswered(waits)
+	d.p.sentry.VotesTimedOut(waits)
 	return !slices.Contains(waits, 0)
 }
 
@@ -96,7 +96,7 @@
 	d.mu.Lock()
 	d.heard = time.Now()
 	d.mu.Unlock()
-	return d.lines(data, d.p.sentry.Told)
+	return d.lines(data, d.p.sentry.ReleaseUpdated)
 }
 
 // lines takes whole lines and tells the news in them.
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -97,14 +97,14 @@
 		if err := d.read(ctx, c, url); err != nil && !d.p.over() {
 			d.p.log.Warn().Uint64("call", c.id).Bool("watch", watch).Uint64("from", c.since).Dur("took_ms", time.Since(begun)).
 				Err(err).Msg("discovery call ended")
-			d.p.sentry.ReportRefused(errors.As(err, new(statusFault)), func() bool { return d.failed(c) })
+			d.p.sentry.ListRequestFailed(errors.As(err, new(statusFault)), func() bool { return d.failed(c) })
 		}
 	}()
 }
 
 // tell has the loop take what a call has brought, unless it is outdated by then.
 func (d *discovery) tell(c *call, m *pb.Report) {
-	d.p.sentry.Reported(m, func() bool { return d.takes(c, m) })
+	d.p.sentry.ListReceived(m, func() bool { return d.takes(c, m) })
 }
 
 // takes says whether the loop is to take a report now.
@@ -138,7 +138,7 @@
 
 // keep sees to it that a watch stands where the settings have lists pushed.
 func (d *discovery) keep(post *Config) {
-	if d.pushed = !post.Settings.Standing.AskForList; d.pushed {
+	if d.pushed = !post.Settings.Policy.AskForList; d.pushed {
 		d.ask(true, 0)
 	}
 }
@@ -215,7 +215,7 @@
 // come whole, or not soon.
 func (d *discovery) whole(c *call, lines *bufio.Reader, begun time.Time) ([]byte, error) {
 	doubt := func() {
-		d.p.sentry.ReportBegun(time.Since(begun), func() bool { return c.moves == d.moves && (!c.watch || c == d.watch) })
+		d.p.sentry.ListPartlyReceived(time.Since(begun), func() bool { return c.moves == d.moves && (!c.watch || c == d.watch) })
 	}
 	slow := time.AfterFunc(wholeWithin, doubt)
 	text, err := readObject(lines, mostList)
@@ -279,7 +279,7 @@
 	d.close()
 	d.address, d.watch, d.told, d.afresh = address, nil, 0, true
 	d.moves++
-	d.p.sentry.ListUnsure(d.p.sentry.Now() + logic.Micros(moveNotice/time.Microsecond))
+	d.p.sentry.ListMayBeStale(d.p.sentry.Now() + logic.Micros(moveNotice/time.Microsecond))
 	d.ask(true, 0)
 }
 
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -29,7 +29,7 @@
 	if !p.drainAt.CompareAndSwap(nil, &now) {
 		return
 	}
-	p.drainLongest.Store(int64(p.post.Load().Settings.OuterLimit()))
+	p.drainLongest.Store(int64(p.post.Load().Settings.MaxDeadline()))
 	p.sentry.AnswerWithin(time.Duration(p.drainSchedule().AnswerBy) * time.Microsecond)
 	go func() {
 		for range p.ticks(drainSweepEvery) {
@@ -41,7 +41,7 @@
 // drainSchedule says when the steps of the stop are due. New settings may shorten the longest deadline, not lengthen it: when
 // the kill comes was settled as the stop was asked for.
 func (p *Platform) drainSchedule() logic.DrainSchedule {
-	longest := p.post.Load().Settings.OuterLimit()
+	longest := p.post.Load().Settings.MaxDeadline()
 	if before := logic.Micros(p.drainLongest.Load()); before > 0 {
 		longest = min(longest, before)
 	}
--- a/internal/platform/lease_test.go
+++ b/internal/platform/lease_test.go
@@ -44,7 +44,7 @@
 			if c.want > 0 {
 				r.wait("the doubt", func() bool { return len(r.unsure) == c.want })
 				r.mu.Lock()
-				if ago := r.unsure[0].At - r.unsure[0].Since; ago < 0 || !c.ends && ago < logic.Micros(wholeWithin/time.Microsecond) {
+				if ago := r.unsure[0].At - r.unsure[0].StaleSince; ago < 0 || !c.ends && ago < logic.Micros(wholeWithin/time.Microsecond) {
 					t.Errorf("in doubt since %d us ago, expected since its first byte", ago)
 				}
 				r.mu.Unlock()
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	r.wait("the time", func() bool { return len(r.unsure) == 1 })
-	if after := r.unsure[0].Since - r.unsure[0].At; after != logic.Micros(moveNotice/time.Microsecond) {
+	if after := r.unsure[0].StaleSince - r.unsure[0].At; after != logic.Micros(moveNotice/time.Microsecond) {
 		t.Errorf("counts as told %d us after, expected %v", after, moveNotice)
 	}
 }
@@ -82,7 +82,7 @@
 	for name, left := range map[string]logic.Micros{"at once": -1, "as its connection comes up": 1} {
 		r := newRig(t, plan{workers: []string{at}, decide: func(in *input.Input) (out logic.Result) {
 			switch in.Kind {
-			case input.TransactionCame:
+			case input.TransactionArrived:
 				out.Rulings = []logic.Ruling{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w0", SendBy: in.At + left}}
 			case input.HandOffEnded:
 				out.Rulings = []logic.Ruling{{Kind: logic.Defer, Transaction: in.End.Transaction}}
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -22,7 +22,7 @@
 func newPeers(p *Platform) (*peers, error) {
 	x := &peers{p: p, from: map[string]logic.SentryID{}}
 	post := p.post.Load()
-	if post.PeerListenAddress == "" || !post.Settings.Standing.MayMessage {
+	if post.PeerListenAddress == "" || !post.Settings.Policy.MayMessage {
 		return x, nil
 	}
 	at, err := net.ResolveUDPAddr("udp", post.PeerListenAddress)
@@ -51,7 +51,7 @@
 	if x.conn == nil {
 		return
 	}
-	buffer := make([]byte, 2*sentry.MostSaid)
+	buffer := make([]byte, 2*sentry.MaxPeerMessageBytes)
 	for {
 		n, from, err := x.conn.ReadFromUDP(buffer)
 		if err != nil {
@@ -60,8 +60,8 @@
 			}
 			continue
 		}
-		if id, known := x.from[from.String()]; known && n <= sentry.MostSaid {
-			x.p.sentry.Said(id, append([]byte(nil), buffer[:n]...))
+		if id, known := x.from[from.String()]; known && n <= sentry.MaxPeerMessageBytes {
+			x.p.sentry.PeerMessageReceived(id, append([]byte(nil), buffer[:n]...))
 		}
 	}
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -82,9 +82,9 @@
 }
 
 // Begin connects to the services.
-func (p *Platform) Begin() {
+func (p *Platform) Start() {
 	if n := p.post.Load().ReleaseStatus; n != nil {
-		p.sentry.Told(n)
+		p.sentry.ReleaseUpdated(n)
 	}
 	p.discovery.keep(p.post.Load())
 	go p.desk.run()
@@ -92,7 +92,7 @@
 }
 
 // End closes everything.
-func (p *Platform) End() {
+func (p *Platform) Close() {
 	close(p.done)
 	p.discovery.close()
 	if p.peers.conn != nil {
@@ -105,7 +105,7 @@
 // addresses. If the sentry can't take it, the old one stays whole.
 func (p *Platform) Reload(now *Config) error {
 	old := p.post.Load()
-	now.Settings.Post.Seed = old.Settings.Post.Seed // it is for a start
+	now.Settings.Endpoints.Seed = old.Settings.Endpoints.Seed // it is for a start
 	if !reflect.DeepEqual(old.Settings, now.Settings) {
 		if err := p.sentry.Reload(now.Settings); err != nil {
 			return err
@@ -121,10 +121,10 @@
 	return nil
 }
 
-func (p *Platform) StopListening() { p.server.StopListening() }
-func (p *Platform) StopReading()   { p.server.StopReading() }
-func (p *Platform) Waiting() int   { return p.server.Waiting() }
+func (p *Platform) StopListening()            { p.server.StopListening() }
+func (p *Platform) StopReading()              { p.server.StopReading() }
+func (p *Platform) UnwrittenConnections() int { return p.server.Waiting() }
 
-func (p *Platform) Ask(follow bool, since uint64) { p.discovery.ask(follow, since) }
-func (p *Platform) Vote(m *pb.Vote) bool          { return p.desk.vote(m) }
-func (p *Platform) Say(m logic.Message) int       { return p.peers.say(m) }
+func (p *Platform) RequestList(follow bool, since uint64) { p.discovery.ask(follow, since) }
+func (p *Platform) SendVote(m *pb.Vote) bool              { return p.desk.vote(m) }
+func (p *Platform) SendMessage(m logic.Message) int       { return p.peers.say(m) }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -205,7 +205,7 @@
 	time.Sleep(20 * time.Millisecond)
 	n := nobody{make(chan string, 1)}
 	m := []resp.Value{{Kind: resp.Array, ArrayLen: 4}, {Text: []byte("Q.DO")}, {Text: []byte("k")}, {Text: []byte("b")}, {Text: []byte("d=1")}}
-	r.s.Joined(n).Asked(&wire.Ask{ID: 1, Profile: 2, Left: 800_000, Key: []byte("k"), Payload: pack(nil, m, 2, 3)})
+	r.s.AddClient(n).TransactionReceived(&wire.Ask{ID: 1, Profile: 2, Left: 800_000, Key: []byte("k"), Payload: pack(nil, m, 2, 3)})
 	r.wait("the hand-off", func() bool { return r.rulings[logic.HandOff] == 2 })
 	time.Sleep(20 * time.Millisecond)
 	release()
@@ -359,7 +359,7 @@
 		mu.Unlock()
 	})
 	r := newRig(t, plan{sockets: 160, workers: []string{at}, decide: func(in *input.Input) (out logic.Result) {
-		if in.Kind == input.TransactionCame { // all at once
+		if in.Kind == input.TransactionArrived { // all at once
 			out.Rulings = []logic.Ruling{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w0"}}
 		}
 		return out
@@ -372,7 +372,7 @@
 	for i := range 16 {
 		flood += read(fmt.Sprint("r", i))
 	}
-	r.s.Inspect(func() { r.p.post.Load().Settings.Bounds.Ways = 4 })
+	r.s.Inspect(func() { r.p.post.Load().Settings.Bounds.WorkerConnections = 4 })
 	c.say(flood)
 	for i := range 16 {
 		c.want(fmt.Sprint("v-r", i))
@@ -459,7 +459,7 @@
 		"ERR unavailable", "ERR too_many_calls", "OK 9 0 Progre", "ERR bad_request", "\x00")
 	r := newRig(t, plan{desk: desk, other: []string{`"answer_wait_ns":300000000`, `"answer_wait_ns":60000000000`}, decide: func(in *input.Input) logic.Result {
 		out := logic.Result{WakeAt: in.At + 50_000}
-		if in.Kind == input.Woke {
+		if in.Kind == input.TimerFired {
 			out.Votes = []logic.Vote{{Build: 8, Verdict: logic.Hold}}
 		}
 		return out
@@ -558,7 +558,7 @@
 	}
 	r.wait("what the peer said", func() bool { return r.said == "peer" })
 	got := make([]byte, 10)
-	if sent := r.p.Say(logic.Message{To: 1, Body: []byte("hello")}); sent != 1 || string(got[:must(there.Read(got))]) != "hello" {
+	if sent := r.p.SendMessage(logic.Message{To: 1, Body: []byte("hello")}); sent != 1 || string(got[:must(there.Read(got))]) != "hello" {
 		t.Errorf("%d sent, the peer got %q", sent, got)
 	}
 }
--- a/internal/platform/rare_test.go
+++ b/internal/platform/rare_test.go
@@ -19,7 +19,7 @@
 func toFirst(look func(in *input.Input)) func(*input.Input) logic.Result {
 	return func(in *input.Input) (out logic.Result) {
 		look(in)
-		if in.Kind == input.TransactionCame {
+		if in.Kind == input.TransactionArrived {
 			out.Rulings = []logic.Ruling{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w0"}}
 		}
 		return out
@@ -73,7 +73,7 @@
 		came, gate := make(chan struct{}), make(chan struct{})
 		n := 0
 		r := newRig(t, plan{workers: []string{at}, decide: toFirst(func(in *input.Input) {
-			if in.Kind == input.TransactionCame {
+			if in.Kind == input.TransactionArrived {
 				if n++; n == 2 {
 					close(came)
 					<-gate
@@ -96,7 +96,7 @@
 		gate, ready, built := make(chan struct{}), make(chan struct{}), make(chan struct{})
 		n := 0
 		r = newRig(t, plan{workers: []string{at}, decide: toFirst(func(in *input.Input) {
-			if in.Kind == input.TransactionCame {
+			if in.Kind == input.TransactionArrived {
 				<-built
 				if n++; n == 1 { // before the connection is told of
 					go r.s.Inspect(func() { close(ready); <-gate })
@@ -135,9 +135,9 @@
 		var r *rig
 		ready, n := make(chan struct{}), 0
 		r = newRig(t, plan{workers: []string{was}, decide: toFirst(func(in *input.Input) {
-			if in.Kind == input.TransactionCame {
+			if in.Kind == input.TransactionArrived {
 				if <-ready; n == 0 { // it is told while a connection is dialled
-					r.s.Reported(&pb.Report{Version: 50, Lines: []*pb.Line{line}}, nil)
+					r.s.ListReceived(&pb.Report{Version: 50, Lines: []*pb.Line{line}}, nil)
 				}
 				n++
 			}
@@ -186,7 +186,7 @@
 // connection can be had.
 func TestRested(t *testing.T) {
 	only := newRig(t, plan{workers: []string{worker(t, good)}, decide: toFirst(func(*input.Input) {})})
-	only.s.Inspect(func() { only.p.post.Load().Settings.Bounds.Connections = 1 })
+	only.s.Inspect(func() { only.p.post.Load().Settings.Bounds.ConnectionsPerWorker = 1 })
 	l := must(net.Listen("tcp", "127.0.0.1:0"))
 	go func() {
 		c, err := l.Accept()
@@ -246,7 +246,7 @@
 	if err := two.p.Reload(must(parsePost(configuration(256, closed(), closed(), []string{at}, append(other, `"free":2`, `"free":7`)...)))); err != nil {
 		t.Fatal(err)
 	}
-	if a, b := one.p.post.Load().Settings.Standing.FreeExposure, two.p.post.Load().Settings.Standing.FreeExposure; a != 2 || b != 7 {
+	if a, b := one.p.post.Load().Settings.Policy.FreeExposure, two.p.post.Load().Settings.Policy.FreeExposure; a != 2 || b != 7 {
 		t.Errorf("free exposure %v and %v, expected 2 and 7", a, b)
 	}
 }
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -127,7 +127,7 @@
 	post := must(parsePost(configuration(cmp.Or(p.sockets, 256), cmp.Or(p.discovery, closed()), cmp.Or(p.desk, closed()), p.workers, p.other...)))
 	r := &rig{t: t, rulings: map[logic.RulingKind]int{}}
 	r.p = must(New(post, zerolog.Nop()))
-	r.s = must(sentry.Start(post.Settings, sentry.Options{Log: zerolog.Nop(), Ends: r.p, Known: post.InitialList, Record: r.record, Decide: p.decide}))
+	r.s = must(sentry.Start(post.Settings, sentry.Options{Log: zerolog.Nop(), Transport: r.p, CachedList: post.InitialList, Record: r.record, Decide: p.decide}))
 	t.Cleanup(func() {
 		r.s.Stop()
 		select {
@@ -148,17 +148,17 @@
 	switch in.Kind {
 	case input.HandOffEnded:
 		r.ends = append(r.ends, in.End)
-	case input.NewsCame:
-		r.news = append(r.news, in.News)
-	case input.ListCame:
+	case input.ReleaseUpdated:
+		r.news = append(r.news, in.ReleaseStatus)
+	case input.ListReceived:
 		r.lists = append(r.lists, in.List)
-	case input.ListRefused:
+	case input.ListRequestFailed:
 		r.refused++
-	case input.ListUnsure:
+	case input.ListMayBeStale:
 		r.unsure = append(r.unsure, *in)
-	case input.Ordered:
+	case input.Reconfigured:
 		r.orders++
-	case input.PeerSaid:
+	case input.PeerMessageReceived:
 		r.said += string(in.Body)
 	}
 	for _, x := range out.Rulings {
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -124,7 +124,7 @@
 	}
 	r.wait("the list of the other address", r.told("x", 8))
 	r.p.discovery.tell(watch, report(90, 9)) // it had passed its own check as the address changed
-	r.s.ReportRefused(false, func() bool { return r.p.discovery.failed(watch) })
+	r.s.ListRequestFailed(false, func() bool { return r.p.discovery.failed(watch) })
 	r.p.discovery.tell(once, report(91, 9))
 	r.s.Inspect(func() {
 		if r.p.discovery.watch == nil || r.p.discovery.watch == watch {
@@ -233,7 +233,7 @@
 	x.Release = 8
 	next <- indented(list(51, false, x)) + "\n"
 	r.wait("an indented change", r.told("x", 8))
-	r.s.Inspect(func() { r.p.Ask(false, 0) })
+	r.s.Inspect(func() { r.p.RequestList(false, 0) })
 	r.wait("an indented list asked for once", r.told("x", 9))
 }
 
--- a/internal/platform/way.go
+++ b/internal/platform/way.go
@@ -27,7 +27,7 @@
 type way struct {
 	*wire.Link
 	p      *Platform
-	ear    sentry.WayEar
+	ear    sentry.WorkerConnHandler
 	reader resp.Reader
 
 	mu     sync.Mutex
@@ -45,15 +45,15 @@
 }
 
 // Ordered says that answers come in the order of the hand-offs.
-func (p *Platform) Ordered() bool { return true }
+func (p *Platform) AnswersInOrder() bool { return true }
 
 // Dial opens a way to a worker.
-func (p *Platform) Dial(ear sentry.WayEar, address string, limit time.Duration) (sentry.Way, error) {
+func (p *Platform) Dial(ear sentry.WorkerConnHandler, address string, limit time.Duration) (sentry.WorkerConn, error) {
 	w := &way{p: p, ear: ear, reader: resp.Reader{Limits: answerBounds}}
 	link, err := wire.DialRaw(address, limit, wire.Bounds{Frame: mostValue, Pending: 4 * mostValue}, w.read,
 		func(_ *wire.Link, reason error) {
 			w.ended()
-			ear.Lost(reason)
+			ear.ConnectionClosed(reason)
 		})
 	if err != nil {
 		return nil, err
@@ -72,10 +72,10 @@
 }
 
 // Greet has nothing to say: a connection that stands may carry hand-offs.
-func (w *way) Greet() { w.ear.Welcome() }
+func (w *way) SendHello() { w.ear.Ready() }
 
 // MayHave says whether the worker may have all of a hand-off.
-func (w *way) MayHave(id uint64) bool {
+func (w *way) MayHaveReceived(id uint64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i := slices.IndexFunc(w.out, func(x sent) bool { return x.id == id })
@@ -83,17 +83,17 @@
 }
 
 // Begun says whether a hand-off's answer has begun and is not whole, or could not be read.
-func (w *way) Begun(id uint64) bool {
+func (w *way) AnswerStarted(id uint64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.begun && len(w.out) > 0 && w.out[0].id == id
 }
 
-func (w *way) Cancel(uint64) {} // its connection is closed
-func (w *way) Probe(uint64)  {}
+func (w *way) Cancel(uint64)    {} // its connection is closed
+func (w *way) SendProbe(uint64) {}
 
 // Work writes a hand-off.
-func (w *way) Work(m *wire.Work) bool {
+func (w *way) SendWork(m *wire.Work) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.spoilt || len(w.out) == 0 && !w.Quiet() {
@@ -143,7 +143,7 @@
 		more := len(w.out) == 0 && len(rest) > 0
 		w.spoilt = w.spoilt || more
 		w.mu.Unlock()
-		w.ear.Done(&done)
+		w.ear.HandOffEnded(&done)
 		if more {
 			return nil, errMore
 		}
@@ -157,8 +157,8 @@
 const partShare = 2
 
 func (p *Config) partMost() time.Duration {
-	shortest := p.Settings.OuterLimit()
-	for _, x := range p.Settings.Standing.Profiles {
+	shortest := p.Settings.MaxDeadline()
+	for _, x := range p.Settings.Policy.Profiles {
 		shortest = min(shortest, x.DueTime)
 	}
 	return time.Duration(shortest/partShare) * time.Microsecond
@@ -232,12 +232,12 @@
 		if err != nil || !(v >= 0 && v < 1e6) {
 			continue
 		}
-		switch slices.Index(facts.LoadNames[:], string(name)) {
-		case facts.LoadHeld:
+		switch slices.Index(facts.LoadFieldNames[:], string(name)) {
+		case facts.LoadFieldHeld:
 			d.Held = uint32(math.Round(v)) + 1
-		case facts.LoadBusy:
+		case facts.LoadFieldBusy:
 			d.Busy = uint32(math.Round(1000*v)) + 1
-		case facts.LoadServed:
+		case facts.LoadFieldServed:
 			d.Served = uint32(math.Round(1000*v)) + 1
 		}
 	}
--- a/internal/sentry/book.go
+++ b/internal/sentry/book.go
@@ -147,7 +147,7 @@
 	m, err := s.atStart, error(nil)
 	if m == nil {
 		var data []byte
-		data, err = os.ReadFile(s.sheet.Post.Memory)
+		data, err = os.ReadFile(s.sheet.Endpoints.CachedListFile)
 		if errors.Is(err, os.ErrNotExist) {
 			return nil
 		}
@@ -156,7 +156,7 @@
 		}
 	}
 	if err != nil {
-		s.log.Warn().Str("file", s.sheet.Post.Memory).Err(err).Msg("no remembered list")
+		s.log.Warn().Str("file", s.sheet.Endpoints.CachedListFile).Err(err).Msg("no remembered list")
 		return nil
 	}
 	list := s.book.take(m, s.now)
@@ -173,7 +173,7 @@
 const saveWait = logic.Micros(500_000)
 
 func (s *Sentry) saveSoon() {
-	if s.book.unsaved || s.sheet.Post.Memory == "" {
+	if s.book.unsaved || s.sheet.Endpoints.CachedListFile == "" {
 		return
 	}
 	s.book.unsaved = true
@@ -192,7 +192,7 @@
 	}
 	s.book.unsaved, s.book.writing = false, true
 	s.writing.Add(1)
-	file := s.sheet.Post.Memory // new orders may take the sheet's place meanwhile
+	file := s.sheet.Endpoints.CachedListFile // new orders may take the sheet's place meanwhile
 	go func() {
 		defer s.writing.Done()
 		s.inbox.put(&event{kind: evSaved, err: replaceFile(file, data)}, false)
@@ -202,7 +202,7 @@
 func (s *Sentry) saved(err error) {
 	s.book.writing = false
 	if err != nil {
-		s.log.Error().Str("file", s.sheet.Post.Memory).Err(err).Msg("the list could not be saved")
+		s.log.Error().Str("file", s.sheet.Endpoints.CachedListFile).Err(err).Msg("the list could not be saved")
 	}
 	if s.book.unsaved {
 		s.timers.add(timer{due: s.now + saveWait, kind: timeSave})
@@ -217,7 +217,7 @@
 	}
 	data, err := s.book.encode(s.now)
 	if err == nil {
-		err = replaceFile(s.sheet.Post.Memory, data)
+		err = replaceFile(s.sheet.Endpoints.CachedListFile, data)
 	}
 	s.book.unsaved = false
 	s.saved(err)
--- a/internal/sentry/breach.go
+++ b/internal/sentry/breach.go
@@ -120,7 +120,7 @@
 	for range times {
 		m := &wire.Work{ID: 1, Profile: t.profile, Key: []byte(t.key), Left: uint64(max(1, t.limit-s.now)), Mark: t.mark,
 			Payload: t.payload, Transaction: []byte(t.id), Number: uint32(len(t.sends)), Hint: t.hint}
-		c.link.Work(m)
+		c.link.SendWork(m)
 		s.dirty = append(s.dirty, c.link)
 	}
 }
--- a/internal/sentry/ends.go
+++ b/internal/sentry/ends.go
@@ -14,26 +14,26 @@
 // Ends are all that a sentry writes to and hears from. Frames are one implementation, internal/platform another. What
 // they hear goes to the sentry's ears from any goroutine; calls out come from the loop, unless said otherwise, and must
 // not wait. Ends decide nothing.
-type Ends interface {
-	Clients
-	Workers
-	List
-	Desk
-	Peers
-	Begin() // once, before anything else is called by the loop
-	End()   // once, when the loop has ended: everything is closed
+type Transport interface {
+	ClientListener
+	WorkerDialer
+	Discovery
+	ControlPlane
+	PeerSender
+	Start() // once, before anything else is called by the loop
+	Close() // once, when the loop has ended: everything is closed
 }
 
 // Clients come to a door.
-type Clients interface {
-	Open(s *Sentry) (address string, err error) // before the loop begins
-	StopListening()                             // from any goroutine
-	StopReading()                               // no more of any connection, from when it returns
-	Waiting() int                               // connections on which something waits to be written
+type ClientListener interface {
+	Listen(s *Sentry) (address string, err error) // before the loop begins
+	StopListening()                               // from any goroutine
+	StopReading()                                 // no more of any connection, from when it returns
+	UnwrittenConnections() int                    // connections on which something waits to be written
 }
 
 // Caller is a connection of a client or of a peer.
-type Caller interface {
+type ClientConn interface {
 	Answer(*wire.Answer) bool // false if the connection has ended
 	Flush()
 	Dead() bool
@@ -42,65 +42,65 @@
 }
 
 // Workers are reached by ways, each a connection.
-type Workers interface {
+type WorkerDialer interface {
 	// Dial blocks for at most the limit, on a goroutine of its own.
-	Dial(ear WayEar, address string, limit time.Duration) (Way, error)
+	Dial(ear WorkerConnHandler, address string, limit time.Duration) (WorkerConn, error)
 	// Ordered says that answers on a way come in the order of its hand-offs: one that is given up costs the way, so each gets
 	// one of its own while there may be more.
-	Ordered() bool
+	AnswersInOrder() bool
 }
 
 // Way is a connection to a worker.
-type Way interface {
-	Greet()               // the first call
-	Work(*wire.Work) bool // false if nothing of it will ever leave
+type WorkerConn interface {
+	SendHello()               // the first call
+	SendWork(*wire.Work) bool // false if nothing of it will ever leave
 	Cancel(id uint64)
-	MayHave(id uint64) bool // the worker may have all of a hand-off
-	Begun(id uint64) bool   // its answer has begun to come and is not whole, or could not be read
-	Probe(id uint64)
+	MayHaveReceived(id uint64) bool // the worker may have all of a hand-off
+	AnswerStarted(id uint64) bool   // its answer has begun to come and is not whole, or could not be read
+	SendProbe(id uint64)
 	Flush()
 	Dead() bool
 	Close(reason error)
 }
 
 // List is asked for the workers.
-type List interface {
-	Ask(follow bool, since uint64) // for changes from now on, or for all of it once
+type Discovery interface {
+	RequestList(follow bool, since uint64) // for changes from now on, or for all of it once
 }
 
 // Desk takes votes.
-type Desk interface {
-	Vote(*pb.Vote) bool // false if it was not sent
+type ControlPlane interface {
+	SendVote(*pb.Vote) bool // false if it was not sent
 }
 
 // Peers are told what the module says to them.
-type Peers interface {
-	Say(logic.Message) (sent int)
+type PeerSender interface {
+	SendMessage(logic.Message) (sent int)
 }
 
 // ClientEar hears what comes on one client's connection.
-type ClientEar struct {
+type ClientHandler struct {
 	s *Sentry
 	c *client
 }
 
 // Joined makes a client of a connection.
-func (s *Sentry) Joined(c Caller) ClientEar { return ClientEar{s, &client{link: c}} }
+func (s *Sentry) AddClient(c ClientConn) ClientHandler { return ClientHandler{s, &client{link: c}} }
 
 // Asked hears a transaction. Its profile and account are ones that there are; key and payload are copied.
-func (e ClientEar) Asked(m *wire.Ask) {
+func (e ClientHandler) TransactionReceived(m *wire.Ask) {
 	ev := e.asked(m)
 	ev.key = logic.Key(m.Key)
 	e.put(&ev, m)
 }
 
-func (e ClientEar) asked(m *wire.Ask) event {
+func (e ClientHandler) asked(m *wire.Ask) event {
 	return event{kind: evAsk, client: e.c, id: m.ID, profile: m.Profile, account: m.Account, left: m.Left, hint: m.Hint,
 		again: m.Again}
 }
 
 // put keeps mark and payload beyond what they came in.
-func (e ClientEar) put(ev *event, m *wire.Ask) {
+func (e ClientHandler) put(ev *event, m *wire.Ask) {
 	if len(m.Mark)+len(m.Payload) > 0 {
 		ev.buffer = borrow()
 		both := append(append((*ev.buffer)[:0], m.Mark...), m.Payload...)
@@ -113,7 +113,7 @@
 }
 
 // refuse answers a request that the loop did not take and will not: it has ended.
-func (e ClientEar) refuse(ev *event) {
+func (e ClientHandler) refuse(ev *event) {
 	giveBack(ev.buffer)
 	if !e.s.killed.Load() && e.c.link.Answer(&wire.Answer{ID: ev.id, Outcome: uint32(pb.Outcome_NOT_TAKEN)}) {
 		e.c.link.Flush()
@@ -121,7 +121,7 @@
 }
 
 // Gone hears that the connection has ended.
-func (e ClientEar) Gone(reason error) {
+func (e ClientHandler) ConnectionClosed(reason error) {
 	if reason != nil && !errors.Is(reason, wire.ErrClosed) {
 		e.s.metrics.faults.Inc()
 		e.s.log.Warn().Str("from", e.c.link.RemoteAddr()).Err(reason).Msg("connection closed")
@@ -130,16 +130,16 @@
 }
 
 // WayEar hears what comes on one way.
-type WayEar struct {
+type WorkerConnHandler struct {
 	s *Sentry
 	c *conn
 }
 
 // Welcome hears that the way may carry hand-offs.
-func (e WayEar) Welcome() { e.s.inbox.put(&event{kind: evWelcome, conn: e.c}, false) }
+func (e WorkerConnHandler) Ready() { e.s.inbox.put(&event{kind: evWelcome, conn: e.c}, false) }
 
 // Done hears the end of a hand-off; the payload is copied.
-func (e WayEar) Done(m *wire.Done) {
+func (e WorkerConnHandler) HandOffEnded(m *wire.Done) {
 	ev := event{kind: evDone, conn: e.c, id: m.ID, ended: m.Ended, held: m.Held, busy: m.Busy, served: m.Served}
 	if len(m.Payload) > 0 {
 		ev.buffer = borrow()
@@ -150,7 +150,7 @@
 }
 
 // Lost hears that the way has ended.
-func (e WayEar) Lost(reason error) {
+func (e WorkerConnHandler) ConnectionClosed(reason error) {
 	if reason != nil && !errors.Is(reason, wire.ErrClosed) {
 		e.s.metrics.faults.Inc()
 		e.s.log.Warn().Str("worker", string(e.c.worker.id)).Err(reason).Msg("connection closed")
@@ -159,45 +159,45 @@
 }
 
 // MostSaid bounds a message between sentries, in bytes.
-const MostSaid = 256
+const MaxPeerMessageBytes = 256
 
 // Reported hears a list or what has changed of it, or that it was refused. When its turn comes, the loop asks whether it is
 // still to be taken: what has told it may be outdated by then.
-func (s *Sentry) Reported(m *pb.Report, takes func() bool) {
+func (s *Sentry) ListReceived(m *pb.Report, takes func() bool) {
 	s.inbox.put(&event{kind: evReport, report: m, takes: takes}, true)
 }
 
 // ReportRefused hears that a call for the list has failed or a watch has ended; busy says that the call was turned away.
-func (s *Sentry) ReportRefused(busy bool, takes func() bool) {
+func (s *Sentry) ListRequestFailed(busy bool, takes func() bool) {
 	s.inbox.put(&event{kind: evRefused, turned: busy, takes: takes}, true)
 }
 
 // ReportBegun hears that a list has begun to come some time ago and is not whole yet. When its turn comes, the loop asks
 // whether that still matters.
-func (s *Sentry) ReportBegun(ago time.Duration, takes func() bool) {
+func (s *Sentry) ListPartlyReceived(ago time.Duration, takes func() bool) {
 	s.inbox.put(&event{kind: evUnsure, ago: logic.Micros(ago / time.Microsecond), takes: takes}, true)
 }
 
 // ListUnsure tells the module that what discovery tells from a time on counts as told and may not arrive. It is called on
 // the loop.
-func (s *Sentry) ListUnsure(since logic.Micros) {
+func (s *Sentry) ListMayBeStale(since logic.Micros) {
 	s.log.Warn().Dur("since_ms", span(since-s.now)).Msg("list in doubt: discovery may have told what has not arrived")
-	s.tell(input.Input{Kind: input.ListUnsure, Since: since})
+	s.tell(input.Input{Kind: input.ListMayBeStale, StaleSince: since})
 }
 
 // Now is the loop's time. It is called on the loop.
 func (s *Sentry) Now() logic.Micros { return s.now }
 
 // Told hears the platform's news.
-func (s *Sentry) Told(m *pb.News) { s.inbox.put(&event{kind: evNews, news: m}, true) }
+func (s *Sentry) ReleaseUpdated(m *pb.News) { s.inbox.put(&event{kind: evNews, news: m}, true) }
 
 // Said hears a peer's message.
-func (s *Sentry) Said(from logic.SentryID, body []byte) {
+func (s *Sentry) PeerMessageReceived(from logic.SentryID, body []byte) {
 	s.inbox.put(&event{kind: evPeer, client: &client{from: from}, payload: body}, true)
 }
 
 // Unanswered hears that no answer will come to some votes any more.
-func (s *Sentry) Unanswered(votes []uint64) {
+func (s *Sentry) VotesTimedOut(votes []uint64) {
 	for _, id := range votes {
 		s.inbox.put(&event{kind: evUnanswered, id: id}, false)
 	}
@@ -206,7 +206,7 @@
 func (s *Sentry) unanswered(id uint64) {
 	if s.votes[id] {
 		delete(s.votes, id)
-		s.tell(input.Input{Kind: input.NewsCame, News: logic.News{Fate: logic.VoteUnanswered}})
+		s.tell(input.Input{Kind: input.ReleaseUpdated, ReleaseStatus: logic.News{Fate: logic.VoteUnanswered}})
 	}
 }
 
@@ -217,28 +217,28 @@
 	bounds wire.Bounds // no new orders change them
 }
 
-func (f *frames) Open(s *Sentry) (string, error) {
+func (f *frames) Listen(s *Sentry) (string, error) {
 	f.bounds = s.bounds()
-	server, err := wire.Serve(s.sheet.Post.Listen, f.bounds, s.accept)
+	server, err := wire.Serve(s.sheet.Endpoints.Listen, f.bounds, s.accept)
 	if err != nil {
-		return "", fmt.Errorf("listen on %s: %w", s.sheet.Post.Listen, err)
+		return "", fmt.Errorf("listen on %s: %w", s.sheet.Endpoints.Listen, err)
 	}
 	f.server = server
 	return server.Address, nil
 }
 
-func (f *frames) StopListening() { f.server.StopListening() }
-func (f *frames) StopReading()   { f.server.StopReading() }
-func (f *frames) Waiting() int   { return f.server.Waiting() }
+func (f *frames) StopListening()            { f.server.StopListening() }
+func (f *frames) StopReading()              { f.server.StopReading() }
+func (f *frames) UnwrittenConnections() int { return f.server.Waiting() }
 
-func (f *frames) Begin() {
+func (f *frames) Start() {
 	f.connect(f.desk)
 	if f.list.keep {
 		f.askList(true)
 	}
 }
 
-func (f *frames) End() {
+func (f *frames) Close() {
 	for _, u := range append([]*upstream{f.list, f.desk}, f.peers...) {
 		if u != nil && u.link != nil {
 			u.link.Close(wire.ErrClosed)
@@ -255,9 +255,9 @@
 	lingerMost = 250 * time.Millisecond
 )
 
-func (f *frames) Ask(follow bool, _ uint64) { f.askList(follow) }
+func (f *frames) RequestList(follow bool, _ uint64) { f.askList(follow) }
 
-func (f *frames) Vote(m *pb.Vote) bool {
+func (f *frames) SendVote(m *pb.Vote) bool {
 	if f.desk.link == nil || !f.desk.link.PutProto(wire.KindVote, m) {
 		return false
 	}
@@ -265,7 +265,7 @@
 	return true
 }
 
-func (f *frames) Say(m logic.Message) (sent int) {
+func (f *frames) SendMessage(m logic.Message) (sent int) {
 	for i, u := range f.peers {
 		if u == nil || m.To != logic.EverySentry && m.To != logic.SentryID(i) {
 			continue
@@ -282,12 +282,12 @@
 	return sent
 }
 
-func (f *frames) Ordered() bool { return false }
+func (f *frames) AnswersInOrder() bool { return false }
 
-func (f *frames) Dial(ear WayEar, address string, limit time.Duration) (Way, error) {
+func (f *frames) Dial(ear WorkerConnHandler, address string, limit time.Duration) (WorkerConn, error) {
 	link, err := wire.Dial(address, limit, f.bounds,
 		func(_ *wire.Link, kind wire.Kind, body []byte) error { return f.fromWorker(ear, kind, body) },
-		func(_ *wire.Link, reason error) { ear.Lost(reason) })
+		func(_ *wire.Link, reason error) { ear.ConnectionClosed(reason) })
 	if err != nil {
 		return nil, err
 	}
@@ -305,14 +305,14 @@
 	s *Sentry
 }
 
-func (f *frameWay) Greet() {
+func (f *frameWay) SendHello() {
 	f.PutProto(wire.KindHello, &pb.Hello{Version: wire.Version, Role: pb.Hello_SENTRY, Position: uint32(f.s.orders.Position),
 		Zone: f.s.book.zoneName(f.s.orders.Zone)})
 }
 
-func (f *frameWay) Work(m *wire.Work) bool { return f.Put(wire.KindWork, m) }
-func (f *frameWay) Probe(id uint64)        { f.Put(wire.KindProbe, &wire.Plain{ID: id}) }
+func (f *frameWay) SendWork(m *wire.Work) bool { return f.Put(wire.KindWork, m) }
+func (f *frameWay) SendProbe(id uint64)        { f.Put(wire.KindProbe, &wire.Plain{ID: id}) }
 
-func (f *frameWay) Cancel(id uint64)    { f.Put(wire.KindCancel, &wire.Plain{ID: id}) }
-func (f *frameWay) MayHave(uint64) bool { return true }
-func (f *frameWay) Begun(uint64) bool   { return false }
+func (f *frameWay) Cancel(id uint64)            { f.Put(wire.KindCancel, &wire.Plain{ID: id}) }
+func (f *frameWay) MayHaveReceived(uint64) bool { return true }
+func (f *frameWay) AnswerStarted(uint64) bool   { return false }
--- a/internal/sentry/inbox.go
+++ b/internal/sentry/inbox.go
@@ -76,7 +76,7 @@
 	worker   *worker
 	up       *upstream
 	link     *wire.Link // of an upstream
-	way      Way
+	way      WorkerConn
 	err      error
 	report   *pb.Report
 	ago      logic.Micros // of a list that is not whole: since its first byte
--- a/internal/sentry/metrics.go
+++ b/internal/sentry/metrics.go
@@ -182,7 +182,7 @@
 }
 
 // Count reads a counter by name, for tests and reports: its labels joined in the order of their names.
-func (s *Sentry) Count(name string) map[string]float64 {
+func (s *Sentry) CounterValues(name string) map[string]float64 {
 	found := map[string]float64{}
 	families, err := s.metrics.registry.Gather()
 	if err != nil {
--- a/internal/sentry/rig_test.go
+++ b/internal/sentry/rig_test.go
@@ -97,7 +97,7 @@
 	stage   *standin.Stage
 	list    *standin.List
 	desk    *standin.Desk
-	sheet   *orders.Sheet
+	sheet   *orders.Settings
 	text    string // of the sheet, without routes
 	log     *logBuffer
 	mu      sync.Mutex
--- a/internal/sentry/routing.go
+++ b/internal/sentry/routing.go
@@ -15,7 +15,7 @@
 // routing is the routes in use. A transaction that carries attributes is judged when its frame is read, on the poller, by
 // the one routing that it finds then; what it got it keeps, however often it is handed off and whatever is loaded later.
 type routing struct {
-	sheet *orders.Sheet
+	sheet *orders.Settings
 	book  *routes.Book // nil if it has none
 	spare sync.Pool    // of *judge
 }
@@ -35,7 +35,7 @@
 	unknown, misfits int
 }
 
-func newRouting(sheet *orders.Sheet) *routing {
+func newRouting(sheet *orders.Settings) *routing {
 	b := sheet.Routes
 	r := &routing{sheet: sheet, book: b}
 	if b == nil {
@@ -114,37 +114,37 @@
 }
 
 // Sheet is what the sentry runs by. What is read to be loaded is read beside it.
-func (s *Sentry) Sheet() *orders.Sheet { return s.routing.Load().sheet }
+func (s *Sentry) Settings() *orders.Settings { return s.routing.Load().sheet }
 
 // Reload takes the orders of a sheet that was read anew, whole, between two inputs of the loop. What was taken ends under
 // the profile that it came with; nothing that a rule counts starts anew. What a running sentry can't change is refused,
 // and the old orders stay.
-func (s *Sentry) Reload(sheet *orders.Sheet) (err error) {
+func (s *Sentry) Reload(sheet *orders.Settings) (err error) {
 	err = errors.New("the sentry has stopped, expected it to run")
 	s.Inspect(func() { err = s.reorder(sheet) })
 	return err
 }
 
 // reorder is Reload on the loop.
-func (s *Sentry) reorder(sheet *orders.Sheet) error {
-	if all := s.sheet.Clashes(sheet); len(all) > 0 {
+func (s *Sentry) reorder(sheet *orders.Settings) error {
+	if all := s.sheet.Conflicts(sheet); len(all) > 0 {
 		return all[0]
 	}
-	sheet = sheet.After(s.sheet)
+	sheet = sheet.KeepSlots(s.sheet)
 	asked := s.orders.AskForList
 	s.setPeers(sheet)
 	s.metrics.name(sheet.ProfileNames)
-	s.sheet, s.orders = sheet, &sheet.Standing
+	s.sheet, s.orders = sheet, &sheet.Policy
 	s.routing.Store(newRouting(sheet))
-	s.tell(input.Input{Kind: input.Ordered, Orders: s.orders})
+	s.tell(input.Input{Kind: input.Reconfigured, Config: s.orders})
 	if s.list.keep = !s.orders.AskForList; asked && s.list.keep {
-		s.ends.Ask(true, s.book.version)
+		s.ends.RequestList(true, s.book.version)
 	}
 	return nil
 }
 
 // Loaded books the outcome of a reload, with what was wrong.
-func (s *Sentry) Loaded(sheet *orders.Sheet, err error) {
+func (s *Sentry) RecordReload(sheet *orders.Settings, err error) {
 	if err != nil {
 		s.metrics.refused.Inc()
 		s.log.Error().Err(err).Msg("orders refused, the old ones stay")
--- a/internal/sentry/routing_test.go
+++ b/internal/sentry/routing_test.go
@@ -128,7 +128,7 @@
 	c.want(100, pb.Outcome_NO_ROUTE)
 }
 
-func (r *rig) sheetWith(t *testing.T, routes string) *orders.Sheet {
+func (r *rig) sheetWith(t *testing.T, routes string) *orders.Settings {
 	t.Helper()
 	sheet, err := orders.Parse("rig.hcl", []byte(r.text+routes))
 	if err != nil {
@@ -210,7 +210,7 @@
 			}
 		})
 	}
-	sheets := [2]*orders.Sheet{r.sheetWith(t, one), r.sheetWith(t, two)}
+	sheets := [2]*orders.Settings{r.sheetWith(t, one), r.sheetWith(t, two)}
 	clients.Go(func() { // and swaps as fast as can be, so that no way through two of them stays unseen
 		for i := 0; ; i++ {
 			select {
@@ -236,11 +236,11 @@
 		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		sheet, err := orders.LoadBeside(file, r.sheet)
+		sheet, err := orders.LoadUpdate(file, r.sheet)
 		if err == nil {
 			err = r.s.Reload(sheet)
 		}
-		r.s.Loaded(sheet, err)
+		r.s.RecordReload(sheet, err)
 		if err == nil {
 			taken++
 		} else {
@@ -269,7 +269,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := newRouting(&orders.Sheet{Routes: book})
+	r := newRouting(&orders.Settings{Routes: book})
 	s := &Sentry{}
 	body := attribute(attribute(words("kind", "reading", "truck", "0123456789abcdef"), "temp", match.Carried{Kind: match.Measure, Fig: 4, Unit: "celsius"}),
 		"legs", match.Carried{Kind: match.List, Items: []match.Carried{{Kind: match.Whole, Num: 4}, {Kind: match.Whole, Num: 9}}})
--- a/internal/sentry/sentry.go
+++ b/internal/sentry/sentry.go
@@ -26,12 +26,12 @@
 
 // Sentry is one running sentry.
 type Sentry struct {
-	sheet   *orders.Sheet
+	sheet   *orders.Settings
 	orders  *logic.StandingOrders
 	log     zerolog.Logger
 	clock   clock
 	inbox   *inbox
-	ends    Ends
+	ends    Transport
 	address string
 	metrics *metrics
 	done    chan struct{}
@@ -81,12 +81,12 @@
 
 // Options are what a caller may add to a sentry's sheet.
 type Options struct {
-	Log    zerolog.Logger
-	Record func(*input.Input, *logic.Result) // sees each input with what the module made of it, on the loop
-	Break  Breach                            // breaks a rule on purpose, to try the auditor
-	Decide func(*input.Input) logic.Result   // in the module's place: a baseline to compare with
-	Ends   Ends                              // frames if there are none
-	Known  *pb.Report                        // the list as remembered, in place of the file
+	Log        zerolog.Logger
+	Record     func(*input.Input, *logic.Result) // sees each input with what the module made of it, on the loop
+	Breach     Breach                            // breaks a rule on purpose, to try the auditor
+	Decide     func(*input.Input) logic.Result   // in the module's place: a baseline to compare with
+	Transport  Transport                         // frames if there are none
+	CachedList *pb.Report                        // the list as remembered, in place of the file
 }
 
 // transaction is one that a client asked for and the sentry took.
@@ -122,7 +122,7 @@
 
 // client is a connection of a client or of a peer.
 type client struct {
-	link    Caller
+	link    ClientConn
 	greeted bool
 	peer    bool
 	from    logic.SentryID
@@ -131,21 +131,21 @@
 }
 
 // Start opens the sockets and begins to work.
-func Start(sheet *orders.Sheet, opts Options) (*Sentry, error) {
+func Start(sheet *orders.Settings, opts Options) (*Sentry, error) {
 	s := &Sentry{
-		sheet: sheet, orders: &sheet.Standing, log: opts.Log, clock: newClock(), done: make(chan struct{}),
-		record: opts.Record, breach: opts.Break,
+		sheet: sheet, orders: &sheet.Policy, log: opts.Log, clock: newClock(), done: make(chan struct{}),
+		record: opts.Record, breach: opts.Breach,
 		open: map[logic.TransactionID]*transaction{}, workers: map[logic.WorkerID]*worker{}, votes: map[uint64]bool{},
-		run: strconv.FormatInt(time.Now().UnixMicro(), 36) + "-" + strconv.Itoa(int(sheet.Standing.Position)) + "-", // wall clock: a name
+		run: strconv.FormatInt(time.Now().UnixMicro(), 36) + "-" + strconv.Itoa(int(sheet.Policy.Position)) + "-", // wall clock: a name
 	}
-	seed := sheet.Post.Seed
+	seed := sheet.Endpoints.Seed
 	if seed == 0 {
 		seed = time.Now().UnixNano() // wall clock: a seed
 	}
-	s.inbox = newInbox(sheet.Bounds.Inbox, s.clock)
+	s.inbox = newInbox(sheet.Bounds.InboxEvents, s.clock)
 	s.decide = opts.Decide
 	if s.decide == nil {
-		module := logic.New(sheet.Standing, seed)
+		module := logic.New(sheet.Policy, seed)
 		s.decide = func(in *input.Input) logic.Result { return input.Apply(module, in) }
 	}
 	s.routing.Store(newRouting(sheet))
@@ -154,22 +154,22 @@
 	s.now = s.clock.now()
 	s.book = newBook(sheet.Zones)
 	s.setPeers(sheet)
-	s.list = &upstream{name: "list", address: sheet.Post.List, role: pb.Hello_SENTRY, keep: !s.orders.AskForList}
-	s.desk = &upstream{name: "desk", address: sheet.Post.Desk, role: pb.Hello_SENTRY, keep: true}
+	s.list = &upstream{name: "list", address: sheet.Endpoints.Discovery, role: pb.Hello_SENTRY, keep: !s.orders.AskForList}
+	s.desk = &upstream{name: "desk", address: sheet.Endpoints.ControlPlane, role: pb.Hello_SENTRY, keep: true}
 
-	s.atStart = opts.Known
-	s.ends = opts.Ends
+	s.atStart = opts.CachedList
+	s.ends = opts.Transport
 	if s.ends == nil {
 		s.ends = &frames{Sentry: s}
 	}
-	address, err := s.ends.Open(s)
+	address, err := s.ends.Listen(s)
 	if err != nil {
 		return nil, err
 	}
 	s.address = address
-	if err := s.metrics.serve(sheet.Post.Metrics); err != nil {
-		s.ends.End()
-		return nil, fmt.Errorf("metrics on %s: %w", sheet.Post.Metrics, err)
+	if err := s.metrics.serve(sheet.Endpoints.Metrics); err != nil {
+		s.ends.Close()
+		return nil, fmt.Errorf("metrics on %s: %w", sheet.Endpoints.Metrics, err)
 	}
 	s.log.Info().Str("address", s.address).Int64("seed", seed).Msg("listening")
 	go s.loop()
@@ -177,7 +177,7 @@
 }
 
 func (s *Sentry) bounds() wire.Bounds {
-	return wire.Bounds{Frame: s.sheet.Bounds.Frame, Pending: s.sheet.Bounds.Unwritten}
+	return wire.Bounds{Frame: s.sheet.Bounds.FrameBytes, Pending: s.sheet.Bounds.UnwrittenBytes}
 }
 
 // Address is where the sentry listens.
@@ -209,9 +209,9 @@
 
 // accept makes a client of a new connection. Its frames are decoded on the poller and wait there for room.
 func (s *Sentry) accept(l *wire.Link) (wire.Handler, func(*wire.Link, error)) {
-	ear := s.Joined(frameCaller{l})
+	ear := s.AddClient(frameCaller{l})
 	return func(l *wire.Link, kind wire.Kind, body []byte) error { return s.fromClient(ear, kind, body) },
-		func(_ *wire.Link, reason error) { ear.Gone(reason) }
+		func(_ *wire.Link, reason error) { ear.ConnectionClosed(reason) }
 }
 
 // Loop and timers.
@@ -271,7 +271,7 @@
 		s.now = max(s.now, at)
 		if wake {
 			s.wakeAt = 0
-			s.tell(input.Input{Kind: input.Woke})
+			s.tell(input.Input{Kind: input.TimerFired})
 			continue
 		}
 		t := s.timers.pop()
@@ -410,7 +410,7 @@
 	case evWelcome:
 		s.welcomed(e.conn)
 	case evProbed:
-		s.tell(input.Input{Kind: input.Probed, Worker: e.conn.worker.id, Held: float64(e.held) - 1})
+		s.tell(input.Input{Kind: input.ProbeAnswered, Worker: e.conn.worker.id, Held: float64(e.held) - 1})
 	case evUpDialed:
 		s.upDialed(e.up, e.link, e.err)
 	case evUpLost:
@@ -425,14 +425,14 @@
 		}
 	case evUnsure:
 		if e.takes() {
-			s.ListUnsure(e.at - e.ago)
+			s.ListMayBeStale(e.at - e.ago)
 		}
 	case evNews:
 		s.told(e.news)
 	case evPeer:
-		s.tell(input.Input{Kind: input.PeerSaid, From: e.client.from, Body: e.payload})
+		s.tell(input.Input{Kind: input.PeerMessageReceived, From: e.client.from, Body: e.payload})
 	case evComplaint:
-		s.tell(input.Input{Kind: input.Complained, Complaint: logic.Complaint{
+		s.tell(input.Input{Kind: input.ComplaintReceived, Complaint: logic.Complaint{
 			Profile: logic.ProfileID(e.profile), Worker: logic.WorkerID(e.key), Age: logic.Micros(e.left)}})
 	case evUnanswered:
 		s.unanswered(e.id)
@@ -513,10 +513,10 @@
 		s.vote(v)
 	}
 	if r.Follow {
-		s.ends.Ask(true, s.book.version)
+		s.ends.RequestList(true, s.book.version)
 	}
 	if r.ReadList {
-		s.ends.Ask(false, s.book.version)
+		s.ends.RequestList(false, s.book.version)
 	}
 	for _, id := range r.Probes {
 		s.probe(id)
@@ -531,7 +531,7 @@
 
 // Clients.
 
-func (s *Sentry) fromClient(ear ClientEar, kind wire.Kind, body []byte) error {
+func (s *Sentry) fromClient(ear ClientHandler, kind wire.Kind, body []byte) error {
 	c := ear.c
 	if !c.greeted {
 		return s.greet(c, kind, body)
@@ -579,8 +579,8 @@
 		if err := unmarshal(body, &m); err != nil {
 			return err
 		}
-		if len(m.Body) > MostSaid {
-			return fault(strconv.Itoa(len(m.Body))+" bytes between sentries", "at most "+strconv.Itoa(MostSaid))
+		if len(m.Body) > MaxPeerMessageBytes {
+			return fault(strconv.Itoa(len(m.Body))+" bytes between sentries", "at most "+strconv.Itoa(MaxPeerMessageBytes))
 		}
 		s.inbox.put(&event{kind: evPeer, client: c, payload: m.Body}, true)
 		return nil
@@ -602,7 +602,7 @@
 	switch m.Role {
 	case pb.Hello_CLIENT:
 	case pb.Hello_PEER:
-		if o := &s.routing.Load().sheet.Standing; int(m.Position) >= o.Sentries || logic.SentryID(m.Position) == o.Position {
+		if o := &s.routing.Load().sheet.Policy; int(m.Position) >= o.Sentries || logic.SentryID(m.Position) == o.Position {
 			return fault("a peer at position "+strconv.Itoa(int(m.Position)), "that of another sentry")
 		}
 		c.peer, c.from = true, logic.SentryID(m.Position)
@@ -631,7 +631,7 @@
 		return
 	}
 	// A profile may have gone since the frame was read.
-	if s.stopping || s.answerBy != 0 && e.at >= s.answerBy || s.unclosed >= s.sheet.Bounds.Open || e.unrouted == 0 && !s.sheet.Takes(int(e.profile)) {
+	if s.stopping || s.answerBy != 0 && e.at >= s.answerBy || s.unclosed >= s.sheet.Bounds.OpenTransactions || e.unrouted == 0 && !s.sheet.AcceptsProfile(int(e.profile)) {
 		s.metrics.notTaken.Inc()
 		a := &s.scratch.answer
 		*a = wire.Answer{ID: e.id, Outcome: uint32(pb.Outcome_NOT_TAKEN)}
@@ -658,7 +658,7 @@
 	s.unclosed++
 	s.metrics.taken[e.profile].Inc()
 	s.alarm(t)
-	s.tell(input.Input{Kind: input.TransactionCame, Transaction: logic.Transaction{
+	s.tell(input.Input{Kind: input.TransactionArrived, Transaction: logic.Transaction{
 		ID: t.id, Profile: logic.ProfileID(e.profile), Account: logic.AccountID(e.account) - 1, Key: e.key,
 		Limit: t.limit, Hint: logic.Micros(e.hint), Again: e.again}})
 }
@@ -751,8 +751,8 @@
 	s.now = s.clock.now()
 	s.listAt = s.now
 	list := s.remembered()
-	s.tell(input.Input{Kind: input.ListCame, ListKind: logic.ListRemembered, List: list})
-	s.ends.Begin()
+	s.tell(input.Input{Kind: input.ListReceived, ListKind: logic.ListRemembered, List: list})
+	s.ends.Start()
 	s.sweepLater()
 }
 
@@ -763,11 +763,11 @@
 		// What has been read by now or is until reading stops gets its answer: it came too late to be taken.
 		for _, e := range s.inbox.close() {
 			if e.kind == evAsk {
-				ClientEar{s, e.client}.refuse(&e)
+				ClientHandler{s, e.client}.refuse(&e)
 			}
 		}
 		s.ends.StopReading()
-		for i := 0; i < 500 && s.ends.Waiting() > 0; i++ {
+		for i := 0; i < 500 && s.ends.UnwrittenConnections() > 0; i++ {
 			time.Sleep(2 * time.Millisecond)
 		}
 		s.saveLast()
@@ -775,7 +775,7 @@
 	for _, c := range s.conns {
 		c.link.Close(wire.ErrClosed)
 	}
-	s.ends.End()
+	s.ends.Close()
 	s.metrics.close()
 	s.log.Info().Msg("stopped")
 }
--- a/internal/sentry/sentry_test.go
+++ b/internal/sentry/sentry_test.go
@@ -149,7 +149,7 @@
 	c := r.caller()
 	c.ask(1, 0)
 	c.want(1, pb.Outcome_DEFERRED)
-	r.wait("two late ends", func() bool { return r.s.Count("late_ends_total")["0"] == 2 })
+	r.wait("two late ends", func() bool { return r.s.CounterValues("late_ends_total")["0"] == 2 })
 	c.none(20 * time.Millisecond)
 	c.ask(2, 0)
 	c.answer()
@@ -165,12 +165,12 @@
 	})
 	c, other := r.caller(), r.caller()
 	other.ask(1, 2)
-	r.wait("a hand-off", func() bool { return r.s.Count("hand_offs_total")["0"] == 1 })
+	r.wait("a hand-off", func() bool { return r.s.CounterValues("hand_offs_total")["0"] == 1 })
 	for id := uint64(1); id <= 5; id++ { // one goes out, the others wait for room
 		c.ask(id, 2)
 	}
-	r.wait("hand-offs", func() bool { return r.s.Count("hand_offs_total")["0"] == 2 })
-	r.wait("the others", func() bool { return r.seen(input.TransactionCame) == 6 }) // what a link has not written goes with it
+	r.wait("hand-offs", func() bool { return r.s.CounterValues("hand_offs_total")["0"] == 2 })
+	r.wait("the others", func() bool { return r.seen(input.TransactionArrived) == 6 }) // what a link has not written goes with it
 	c.link.Close(wire.ErrClosed)
 	r.wait("five clients that left", func() bool { return r.seen(input.ClientLeft) == 5 })
 	close(release)
@@ -182,7 +182,7 @@
 	if a, c := r.count(logic.Answered), r.count(logic.Cancelled); a != 1 || c != 1 {
 		t.Errorf("%d hand-offs answered, %d cancelled, expected the other client's and the one of the client that left", a, c)
 	}
-	if r.s.Count("hand_offs_total")["0"] != 2 {
+	if r.s.CounterValues("hand_offs_total")["0"] != 2 {
 		t.Error("a hand-off for clients that had left")
 	}
 }
@@ -249,7 +249,7 @@
 	}
 	r.worker("w2", good)
 	r.wait("an answer by the other worker", func() bool {
-		c.ask(uint64(1000+r.seen(input.TransactionCame)), 0)
+		c.ask(uint64(1000+r.seen(input.TransactionArrived)), 0)
 		return c.answer().Outcome == uint32(pb.Outcome_SATISFIED)
 	})
 }
@@ -283,15 +283,15 @@
 	probed := make(chan struct{}, 1)
 	decide := func(in *input.Input) (out logic.Result) {
 		switch in.Kind {
-		case input.TransactionCame:
+		case input.TransactionArrived:
 			out.Rulings = []logic.Ruling{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w", Until: in.Transaction.Limit}}
 		case input.HandOffEnded:
 			out.Probes = []logic.WorkerID{"w", "nobody"}
 			out.Messages = []logic.Message{{To: logic.EverySentry, Body: []byte("to all")}, {To: 1, Body: make([]byte, 256)},
 				{To: 1, Body: make([]byte, 257)}, {To: 0, Body: []byte("to itself")}}
-		case input.ListCame:
+		case input.ListReceived:
 			out.Follow = in.ListKind == logic.ListRemembered
-		case input.Probed:
+		case input.ProbeAnswered:
 			select {
 			case probed <- struct{}{}:
 			default:
@@ -353,7 +353,7 @@
 	other.PutProto(wire.KindHello, &pb.Hello{Version: 1, Role: pb.Hello_PEER, Position: 1})
 	other.Send(wire.KindSay, &pb.Say{Body: []byte("hello")})
 	c.link.Send(wire.KindComplain, &pb.Complain{Profile: 0, Worker: "w", Age: 5})
-	r.wait("a message and a complaint", func() bool { return r.seen(input.PeerSaid) == 1 && r.seen(input.Complained) == 1 })
+	r.wait("a message and a complaint", func() bool { return r.seen(input.PeerMessageReceived) == 1 && r.seen(input.ComplaintReceived) == 1 })
 }
 
 // Workers that are gone are forgotten once nothing of them can be out any more.
@@ -447,7 +447,7 @@
 	c := r.caller()
 	c.ask(1, 2)
 	c.want(1, pb.Outcome_DEFERRED) // nothing has run
-	r.wait("refusals", func() bool { return r.seen(input.ListRefused) >= 2 })
+	r.wait("refusals", func() bool { return r.seen(input.ListRequestFailed) >= 2 })
 	if err := r.list.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -516,12 +516,12 @@
 		r.tell(trial)
 		r.desk.Offer(11)
 		c := r.caller()
-		id, asked := uint64(0), r.s.Count("votes_total")["0"]
+		id, asked := uint64(0), r.s.CounterValues("votes_total")["0"]
 		r.wait("votes that are asked again", func() bool {
 			id++
 			c.ask(id, 0)
 			c.want(id, pb.Outcome_SATISFIED)
-			return r.s.Count("votes_total")["0"] >= asked+2
+			return r.s.CounterValues("votes_total")["0"] >= asked+2
 		})
 		if s := r.desk.State(); s.Phase != logic.OnTrial || s.Stage != 0 {
 			t.Errorf("refused votes moved the build: %+v", s)
@@ -616,7 +616,7 @@
 		}()
 	}
 	r.wait("load", func() bool {
-		return r.s.Count("clients_left_total")["0"] == 0 && r.seen(input.TransactionCame) >= callers*each/2
+		return r.s.CounterValues("clients_left_total")["0"] == 0 && r.seen(input.TransactionArrived) >= callers*each/2
 	})
 	r.s.Stop()
 	close(stop)
@@ -627,13 +627,13 @@
 		total.writtenOff, total.notTaken = total.writtenOff+n.writtenOff, total.notTaken+n.notTaken
 	}
 	<-r.s.Done()
-	if taken := r.seen(input.TransactionCame); total.satisfied+total.deferred+total.writtenOff != taken {
+	if taken := r.seen(input.TransactionArrived); total.satisfied+total.deferred+total.writtenOff != taken {
 		t.Errorf("%d taken, answers %+v", taken, total)
 	}
 	if total.satisfied == 0 {
 		t.Error("nothing was served")
 	}
-	if n := r.s.Count("overdue_total")["0"]; n != 0 {
+	if n := r.s.CounterValues("overdue_total")["0"]; n != 0 {
 		t.Errorf("%g were overdue", n)
 	}
 }
@@ -693,8 +693,8 @@
 		o := &logic.StandingOrders{Sentries: 2, Profiles: make([]logic.Profile, 3), Accounts: make([]logic.Account, 1)}
 		for _, c := range []*client{{}, {greeted: true}, {greeted: true, peer: true, from: 1}} {
 			s := &Sentry{orders: o, inbox: newInbox(8, newClock())}
-			s.routing.Store(newRouting(&orders.Sheet{Standing: *o, ProfileNames: make([]string, 3), AccountNames: make([]string, 1)}))
-			err := s.fromClient(ClientEar{s, c}, wire.Kind(kind), body)
+			s.routing.Store(newRouting(&orders.Settings{Policy: *o, ProfileNames: make([]string, 3), AccountNames: make([]string, 1)}))
+			err := s.fromClient(ClientHandler{s, c}, wire.Kind(kind), body)
 			for _, e := range s.inbox.take(nil) {
 				if err != nil || int(e.profile) >= len(o.Profiles) || int(e.account) > len(o.Accounts) || len(e.payload) > len(body) {
 					t.Errorf("event %+v from %d %x, error %v", e, kind, body, err)
@@ -780,9 +780,9 @@
 // neverWhole is the ends on frames with ways of which no last byte leaves, as their links know.
 type neverWhole struct{ *frames }
 
-type brokenWay struct{ Way }
+type brokenWay struct{ WorkerConn }
 
-func (n neverWhole) Dial(ear WayEar, address string, limit time.Duration) (Way, error) {
+func (n neverWhole) Dial(ear WorkerConnHandler, address string, limit time.Duration) (WorkerConn, error) {
 	way, err := n.frames.Dial(ear, address, limit)
 	return brokenWay{way}, err
 }
@@ -810,18 +810,18 @@
 func TestAnswerWithin(t *testing.T) {
 	toServer := true
 	r := newRig(t, rigPlan{decide: func(in *input.Input) (out logic.Result) {
-		if in.Kind == input.TransactionCame && toServer {
+		if in.Kind == input.TransactionArrived && toServer {
 			out.Rulings = []logic.Ruling{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w"}}
 		}
-		toServer = toServer && in.Kind != input.TransactionCame
-		out.Follow = in.Kind == input.ListCame && in.ListKind == logic.ListRemembered
+		toServer = toServer && in.Kind != input.TransactionArrived
+		out.Follow = in.Kind == input.ListReceived && in.ListKind == logic.ListRemembered
 		return out
 	}})
 	r.worker("w", func(*wire.Link, *wire.Work) {})
 	c := r.caller()
 	c.ask(1, 0)
 	c.ask(2, 0)
-	r.wait("both requests", func() bool { return r.seen(input.TransactionCame) == 2 })
+	r.wait("both requests", func() bool { return r.seen(input.TransactionArrived) == 2 })
 	r.s.AnswerWithin(50 * time.Millisecond)
 	outcomes := map[uint64]uint32{}
 	for range 2 {
@@ -833,7 +833,7 @@
 	}
 	c.ask(3, 0)
 	c.want(3, pb.Outcome_NOT_TAKEN)
-	if n := r.s.Count("overdue_total")["0"]; n != 0 {
+	if n := r.s.CounterValues("overdue_total")["0"]; n != 0 {
 		t.Errorf("%g were counted as overdue", n)
 	}
 }
@@ -851,9 +851,9 @@
 	last := uint64(1)
 	r = newRig(t, rigPlan{decide: func(in *input.Input) (out logic.Result) {
 		switch {
-		case in.Kind == input.TransactionCame:
+		case in.Kind == input.TransactionArrived:
 			out.Rulings = []logic.Ruling{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w"}}
-		case in.Kind == input.ListCame:
+		case in.Kind == input.ListReceived:
 			out.Follow = in.ListKind == logic.ListRemembered
 		case in.Kind == input.HandOffEnded:
 			close(more)
--- a/internal/sentry/switch_test.go
+++ b/internal/sentry/switch_test.go
@@ -32,7 +32,7 @@
 
 func (r *rig) reload(text string) {
 	r.t.Helper()
-	sheet, err := orders.ParseBeside("rig.hcl", []byte(text), r.s.Sheet())
+	sheet, err := orders.ParseUpdate("rig.hcl", []byte(text), r.s.Settings())
 	if err == nil {
 		err = r.s.Reload(sheet)
 	}
@@ -78,7 +78,7 @@
 	r.reload(r.changed(`hand_offs     = 3`, `hand_offs     = 1`))
 	first(pb.Ended_TURNED_AWAY)
 	c.want(5, pb.Outcome_DEFERRED)
-	if n := r.s.Count("transactions_taken_total"); len(works) > 0 || n["/look"] != 1 || n["/move"] != 3 {
+	if n := r.s.CounterValues("transactions_taken_total"); len(works) > 0 || n["/look"] != 1 || n["/move"] != 3 {
 		t.Errorf("%d hand-offs too many; taken %v", len(works), n)
 	}
 }
@@ -135,12 +135,12 @@
 		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		sheet, err := orders.LoadBeside(file, r.s.Sheet())
+		sheet, err := orders.LoadUpdate(file, r.s.Settings())
 		if from := r.stage.Now(); err == nil {
 			err = r.s.Reload(sheet)
-			r.stage.SeeAt(audit.Event{Kind: audit.Ordered, At: from, Span: r.stage.Now() - from, Orders: &sheet.Standing})
+			r.stage.SeeAt(audit.Event{Kind: audit.Ordered, At: from, Span: r.stage.Now() - from, Orders: &sheet.Policy})
 		}
-		if r.s.Loaded(sheet, err); (err == nil) != (want == "") ||
+		if r.s.RecordReload(sheet, err); (err == nil) != (want == "") ||
 			err != nil && !(strings.Contains(err.Error(), want) && strings.Contains(err.Error(), "orders.hcl:")) {
 			t.Errorf("load %d: %v, expected %q with file and line", i, err, want)
 		}
@@ -153,7 +153,7 @@
 	r.wait("the end of all that is open", func() bool { return callers.Open() == 0 })
 	callers.Close()
 	events := r.stage.Events()
-	f, strict, seen := audit.Check(&r.sheet.Standing, 60_000, events), r.sheet.Standing, map[string]int{}
+	f, strict, seen := audit.Check(&r.sheet.Policy, 60_000, events), r.sheet.Policy, map[string]int{}
 	strict.FreeExposure, strict.ExposureByProfile = -20, true
 	early := append([]audit.Event(nil), events...)
 	for i := range early {
@@ -172,13 +172,13 @@
 		}
 	}
 	t.Logf("%d asked, %d answered, %d hand-offs, %v", f.Asked, f.Answered, f.HandOffs, seen)
-	if n := r.s.Count("orders_refused_total")["0"]; n != 100 || f.Unclosed > 0 || len(f.Breaches) > 0 {
+	if n := r.s.CounterValues("orders_refused_total")["0"]; n != 100 || f.Unclosed > 0 || len(f.Breaches) > 0 {
 		t.Errorf("%v refused, %d unclosed, breaches %v", n, f.Unclosed, f.Breaches[:min(3, len(f.Breaches))])
 	}
 	if broken := audit.Check(&strict, 60_000, early).Rules(); !slices.Equal(broken, []int{3, 5}) {
 		t.Errorf("rules %v found broken in a record that breaks 3 and 5", broken)
 	}
-	if f.Answered < 400 || seen["to the trial"] < 50 || seen["loads without a number"] < 50 || r.seen(input.Counted) < 10 {
-		t.Errorf("too little happened for this to say anything: %d counts, %v", r.seen(input.Counted), seen)
+	if f.Answered < 400 || seen["to the trial"] < 50 || seen["loads without a number"] < 50 || r.seen(input.CountsReceived) < 10 {
+		t.Errorf("too little happened for this to say anything: %d counts, %v", r.seen(input.CountsReceived), seen)
 	}
 }
--- a/internal/sentry/upstream.go
+++ b/internal/sentry/upstream.go
@@ -154,7 +154,7 @@
 	s.list.asked = false
 	s.listSeq++
 	s.log.Warn().Str("why", why).Bool("busy", busy).Msg("the list could not be had")
-	s.tell(input.Input{Kind: input.ListRefused, Busy: busy})
+	s.tell(input.Input{Kind: input.ListRequestFailed, Busy: busy})
 }
 
 func (s *Sentry) reported(m *pb.Report) {
@@ -186,7 +186,7 @@
 			}
 		}
 	}
-	s.tell(input.Input{Kind: input.ListCame, ListKind: kind, List: list})
+	s.tell(input.Input{Kind: input.ListReceived, ListKind: kind, List: list})
 	for _, x := range stale {
 		if x.open() {
 			s.handOffEnds(x.t, x.n, logic.Unsent, logic.NoLoad)
@@ -249,7 +249,7 @@
 			n.Fate = logic.VoteRefused
 		}
 	}
-	s.tell(input.Input{Kind: input.NewsCame, News: n})
+	s.tell(input.Input{Kind: input.ReleaseUpdated, ReleaseStatus: n})
 	if n.Valid {
 		s.book.news = n
 	}
@@ -264,18 +264,18 @@
 				Msg("counts passed over, expected a profile that there is and no more failed than handed off")
 			continue
 		}
-		s.tell(input.Input{Kind: input.Counted, Counts: logic.Counts{Build: logic.BuildID(row.Build),
+		s.tell(input.Input{Kind: input.CountsReceived, Counts: logic.Counts{Build: logic.BuildID(row.Build),
 			Profile: logic.ProfileID(row.Profile), HandOffs: int(row.HandOffs), Failed: int(row.Failed),
 			Mean: logic.Micros(min(row.Mean, 1<<50)), Age: logic.Micros(min(m.Age, 1<<50))}})
 	}
 }
 
 // setPeers takes over the addresses of the other sentries; what is open to one that has not changed stays so.
-func (s *Sentry) setPeers(sheet *orders.Sheet) {
+func (s *Sentry) setPeers(sheet *orders.Settings) {
 	was := s.peers
-	s.peers = make([]*upstream, sheet.Standing.Sentries)
+	s.peers = make([]*upstream, sheet.Policy.Sentries)
 	for i := range s.peers {
-		address := sheet.Post.Peers[logic.SentryID(i)]
+		address := sheet.Endpoints.Peers[logic.SentryID(i)]
 		switch {
 		case i < len(was) && was[i] != nil && was[i].address == address:
 			s.peers[i], was[i] = was[i], nil
@@ -297,8 +297,8 @@
 	s.metrics.votes.Inc()
 	s.voteSeq++
 	m := &pb.Vote{Id: s.voteSeq, Build: uint32(v.Build), Stage: uint32(v.Stage), Verdict: uint32(v.Verdict)}
-	if !s.ends.Vote(m) {
-		s.tell(input.Input{Kind: input.NewsCame, News: logic.News{Fate: logic.VoteRefused}})
+	if !s.ends.SendVote(m) {
+		s.tell(input.Input{Kind: input.ReleaseUpdated, ReleaseStatus: logic.News{Fate: logic.VoteRefused}})
 		return
 	}
 	s.votes[s.voteSeq] = true
@@ -307,9 +307,9 @@
 
 // say sends a message to peers. What can't be sent is lost.
 func (s *Sentry) say(m logic.Message) {
-	if len(m.Body) > MostSaid {
+	if len(m.Body) > MaxPeerMessageBytes {
 		s.log.Error().Int("bytes", len(m.Body)).Msg("message between sentries dropped, expected at most 256")
 		return
 	}
-	s.metrics.said.Add(float64(s.ends.Say(m)))
+	s.metrics.said.Add(float64(s.ends.SendMessage(m)))
 }
--- a/internal/sentry/workers.go
+++ b/internal/sentry/workers.go
@@ -39,7 +39,7 @@
 type conn struct {
 	worker   *worker
 	address  string // that it leads to
-	link     Way
+	link     WorkerConn
 	slots    []slot
 	free     []int
 	seq      uint64
@@ -107,7 +107,7 @@
 
 // rests says until when a connection gets nothing new, 0 if it does not rest.
 func (s *Sentry) rests(c *conn) logic.Micros {
-	if until := c.answered + s.orders.ConnectLimit/restShare; s.ends.Ordered() && c.answered > 0 && c.idle() && until > s.now {
+	if until := c.answered + s.orders.ConnectLimit/restShare; s.ends.AnswersInOrder() && c.answered > 0 && c.idle() && until > s.now {
 		return until
 	}
 	return 0
@@ -145,7 +145,7 @@
 			best = c
 		}
 	}
-	if best != nil && !best.idle() && s.ends.Ordered() && (resting || w.dials > 0 || s.mayOpen(w)) {
+	if best != nil && !best.idle() && s.ends.AnswersInOrder() && (resting || w.dials > 0 || s.mayOpen(w)) {
 		return nil
 	}
 	return best
@@ -171,7 +171,7 @@
 		s.scratch.key = append(s.scratch.key[:0], t.key...)
 		*m = wire.Work{ID: id, Profile: t.profile, Key: s.scratch.key, Left: uint64(h.until - s.now),
 			Mark: t.mark, Payload: t.payload, Transaction: s.scratch.name, Number: uint32(n), Hint: t.hint}
-		if !c.link.Work(m) { // nothing of it has left: another connection may take it
+		if !c.link.SendWork(m) { // nothing of it has left: another connection may take it
 			tried = append(tried, c)
 			continue
 		}
@@ -209,17 +209,17 @@
 
 // perDial is how many hand-offs that wait a new connection is for.
 func (s *Sentry) perDial() int {
-	if s.ends.Ordered() {
+	if s.ends.AnswersInOrder() {
 		return 1
 	}
-	return s.sheet.Bounds.HandOffsConnection
+	return s.sheet.Bounds.HandOffsPerConnection
 }
 
 // mayOpen says whether one more connection to a worker is within the bounds, if need be in place of an idle one.
 func (s *Sentry) mayOpen(w *worker) bool {
 	b := &s.sheet.Bounds
-	return w.dials+len(w.conns) < b.Connections &&
-		(b.Ways == 0 || len(s.conns)+s.dials < b.Ways || slices.ContainsFunc(s.conns, (*conn).spare))
+	return w.dials+len(w.conns) < b.ConnectionsPerWorker &&
+		(b.WorkerConnections == 0 || len(s.conns)+s.dials < b.WorkerConnections || slices.ContainsFunc(s.conns, (*conn).spare))
 }
 
 // spare says that a connection may be closed for another.
@@ -243,7 +243,7 @@
 	if w.dials*s.perDial() >= want || !s.mayOpen(w) {
 		return
 	}
-	if most := s.sheet.Bounds.Ways; most > 0 && len(s.conns)+s.dials >= most {
+	if most := s.sheet.Bounds.WorkerConnections; most > 0 && len(s.conns)+s.dials >= most {
 		s.closeLongestIdle()
 	}
 	w.dials++
@@ -252,7 +252,7 @@
 	address, limit := w.address, span(s.orders.ConnectLimit)
 	go func() {
 		c := &conn{worker: w, address: address}
-		way, err := s.ends.Dial(WayEar{s, c}, address, limit)
+		way, err := s.ends.Dial(WorkerConnHandler{s, c}, address, limit)
 		s.inbox.put(&event{kind: evDialed, worker: w, conn: c, way: way, err: err}, false)
 	}()
 }
@@ -278,7 +278,7 @@
 		return
 	}
 	c.link, c.opened, c.used = e.way, s.now, s.now
-	c.link.Greet()
+	c.link.SendHello()
 	s.dirty, s.conns = append(s.dirty, c.link), append(s.conns, c)
 	s.timers.add(timer{due: s.now + s.orders.ConnectLimit, kind: timeWelcome, conn: c})
 }
@@ -288,7 +288,7 @@
 	if c.lost || c.welcome {
 		return
 	}
-	w, most := c.worker, s.sheet.Bounds.HandOffsConnection
+	w, most := c.worker, s.sheet.Bounds.HandOffsPerConnection
 	c.welcome, c.slots, c.used = true, make([]slot, most), s.now
 	for i := most - 1; i >= 0; i-- {
 		c.free = append(c.free, i)
@@ -372,13 +372,13 @@
 	if h.conn != nil {
 		switch {
 		case ending != logic.TimedOut && ending != logic.Broken:
-		case h.conn.link.Begun(h.id):
+		case h.conn.link.AnswerStarted(h.id):
 			ending = logic.Spoilt
-		case ending == logic.Broken && !h.conn.link.MayHave(h.id):
+		case ending == logic.Broken && !h.conn.link.MayHaveReceived(h.id):
 			ending = logic.Unconnected
 		}
 		h.conn.release(h.id)
-		if (ending == logic.TimedOut || ending == logic.Cancelled || ending == logic.Spoilt) && s.ends.Ordered() {
+		if (ending == logic.TimedOut || ending == logic.Cancelled || ending == logic.Spoilt) && s.ends.AnswersInOrder() {
 			h.conn.link.Close(wire.ErrClosed)
 			s.connLost(h.conn)
 		}
@@ -406,7 +406,7 @@
 }
 
 // fromWorker decodes a worker's frame on the poller.
-func (s *Sentry) fromWorker(ear WayEar, kind wire.Kind, body []byte) error {
+func (s *Sentry) fromWorker(ear WorkerConnHandler, kind wire.Kind, body []byte) error {
 	switch kind {
 	case wire.KindDone:
 		var m wire.Done
@@ -416,10 +416,10 @@
 		if m.Ended > uint32(pb.Ended_TURNED_AWAY) {
 			return fault("ending "+strconv.Itoa(int(m.Ended)), "0 to 2")
 		}
-		ear.Done(&m)
+		ear.HandOffEnded(&m)
 		return nil
 	case wire.KindWelcome:
-		ear.Welcome()
+		ear.Ready()
 		return nil
 	case wire.KindProbed:
 		var m pb.Probed
@@ -514,14 +514,14 @@
 		return
 	}
 	w.probes++
-	w.conns[0].link.Probe(w.probes)
+	w.conns[0].link.SendProbe(w.probes)
 	s.dirty = append(s.dirty, w.conns[0].link)
 }
 
 // closeIdle closes the connections that nothing has used for as long as the orders say.
 func (s *Sentry) closeIdle() {
 	for _, c := range slices.Clone(s.conns) {
-		if c.spare() && s.now-c.used >= s.orders.IdleClose/logic.Micros(max(1, s.sheet.Bounds.IdleShare)) {
+		if c.spare() && s.now-c.used >= s.orders.IdleClose/logic.Micros(max(1, s.sheet.Bounds.IdleTimeoutDivisor)) {
 			c.link.Close(wire.ErrClosed)
 			s.connLost(c)
 		}
@@ -533,7 +533,7 @@
 	if s.orders.IdleClose > 0 {
 		s.closeIdle()
 	}
-	outer := s.sheet.OuterLimit()
+	outer := s.sheet.MaxDeadline()
 	for id, w := range s.workers {
 		if w.line.State == logic.Gone && len(w.conns)+len(w.waiting)+w.dials == 0 && s.now-w.since > 2*outer {
 			delete(s.workers, id)
