--- a/cmd/scalechute/soak.go
+++ b/cmd/scalechute/soak.go
@@ -37,14 +37,14 @@
 			}
 			bad := 0
 			for n := range uint64(max(runs, 0)) {
-				plan := soak.Draw(seed + n)
+				plan := soak.RandomPlan(seed + n)
 				if open > 0 {
-					plan = soak.Pipelines(seed+n, clients, open, pause, answer)
+					plan = soak.PipelinePlan(seed+n, clients, open, pause, answer)
 				}
 				if breach != "" {
-					plan = soak.Breaking(seed+n, breach)
+					plan = soak.FaultPlan(seed+n, breach)
 				}
-				result, err := soak.Play(plan, options)
+				result, err := soak.Run(plan, options)
 				if err != nil {
 					return err
 				}
@@ -52,7 +52,7 @@
 				for _, example := range result.Examples {
 					fmt.Fprintln(c.OutOrStdout(), "  "+example)
 				}
-				if !result.Good() {
+				if !result.Passed() {
 					bad++
 				}
 			}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -17,9 +17,9 @@
 
 func (c *clocks) step(d time.Duration) { c.now.Wall = c.now.Wall.Add(d) }
 
-func newClocks() (*clocks, *Wall) {
+func newClocks() (*clocks, *WallClock) {
 	c := &clocks{Reading{time.Unix(1_800_000_000, 0), 5 * time.Second}}
-	return c, newWall(c.read)
+	return c, newWallClock(c.read)
 }
 
 // An age is right for stamps from before a step and from after it, whichever way and however far the clock was stepped, and
@@ -30,11 +30,11 @@
 		before := c.now.Wall
 		c.pass(700 * time.Millisecond)
 		c.step(step)
-		if got := w.Step(); got != step {
+		if got := w.DetectStep(); got != step {
 			t.Errorf("step of %v: told %v", step, got)
 		}
-		if w.Step() != 0 || w.Steps() != 1 {
-			t.Errorf("step of %v: told again, or %d steps", step, w.Steps())
+		if w.DetectStep() != 0 || w.StepCount() != 1 {
+			t.Errorf("step of %v: told again, or %d steps", step, w.StepCount())
 		}
 		c.pass(100 * time.Millisecond)
 		after := c.now.Wall
@@ -57,8 +57,8 @@
 	if got := w.Age(stamp); got != 2*time.Second {
 		t.Errorf("found %v, expected 2s", got)
 	}
-	if w.Steps() != 1 {
-		t.Errorf("%d steps, expected 1", w.Steps())
+	if w.StepCount() != 1 {
+		t.Errorf("%d steps, expected 1", w.StepCount())
 	}
 }
 
@@ -75,23 +75,23 @@
 	for range 1000 {
 		c.pass(time.Second)
 		c.step(400 * time.Microsecond)
-		w.Step()
+		w.DetectStep()
 	}
-	if w.Steps() > 1 { // 0.4 s in all
-		t.Errorf("%d steps for a slew, expected none", w.Steps())
+	if w.StepCount() > 1 { // 0.4 s in all
+		t.Errorf("%d steps for a slew, expected none", w.StepCount())
 	}
 	for i := range 100 {
 		c.step(time.Duration(i+1) * time.Minute)
-		w.Step()
+		w.DetectStep()
 	}
-	if len(w.offsets) > mostOffsets {
-		t.Errorf("%d offsets kept, expected %d at most", len(w.offsets), mostOffsets)
+	if len(w.offsets) > maxOffsets {
+		t.Errorf("%d offsets kept, expected %d at most", len(w.offsets), maxOffsets)
 	}
 }
 
 // The clock of the machine is read as it is.
 func TestRealClock(t *testing.T) {
-	w := NewWall()
+	w := NewWallClock()
 	if age := w.Age(time.Now().Add(-time.Minute)); age < time.Minute || age > 2*time.Minute {
 		t.Errorf("found %v, expected a minute", age)
 	}
--- a/internal/drill/file.go
+++ b/internal/drill/file.go
@@ -32,7 +32,7 @@
 	Seed     int64
 	Baseline bool
 	Fleet    FleetPlan
-	Load     standin.Load
+	Load     standin.Workload
 	Releases []Release
 	Troubles []Trouble
 }
@@ -54,7 +54,7 @@
 type Release struct {
 	Build logic.BuildID
 	At    logic.Micros
-	Make  standin.Make
+	Make  standin.BuildBehavior
 }
 
 // Trouble is one entry of the timeline. What its figures mean depends on its kind; docs/operating.md has a table.
@@ -129,18 +129,18 @@
 }
 
 func (d *Day) load(b *hclread.Body) {
-	d.Load = standin.Load{
-		PerSecond: b.Figure("per_second", true, 100, 0.1, 100_000), Keys: b.Whole("keys", false, 1000, 1, 1<<20),
-		Zipf: b.Figure("zipf", false, 0.7, 0, 3), Retries: b.Whole("retries", false, 2, 0, 10),
-		Backoff: span(b.Span("backoff", false, 30*ms, 0, time.Minute)), Attributes: b.Flag("attributes", false),
+	d.Load = standin.Workload{
+		PerSecond: b.Figure("per_second", true, 100, 0.1, 100_000), KeyCount: b.Whole("keys", false, 1000, 1, 1<<20),
+		ZipfExponent: b.Figure("zipf", false, 0.7, 0, 3), MaxRetries: b.Whole("retries", false, 2, 0, 10),
+		Backoff: span(b.Span("backoff", false, 30*ms, 0, time.Minute)), UseAttributes: b.Flag("attributes", false),
 		ProfileNames: d.Sheet.ProfileNames, AccountNames: d.Sheet.AccountNames,
-		TryShare: b.Figure("try_share", false, 0.9, 0.1, 1), Leaves: b.Figure("leaves", false, 0, 0, 1),
+		TryTimeoutShare: b.Figure("try_share", false, 0.9, 0.1, 1), AbandonShare: b.Figure("leaves", false, 0, 0, 1),
 	}
-	d.Load.Profiles = make([]standin.Mix, len(d.Sheet.ProfileNames))
+	d.Load.Profiles = make([]standin.ProfileLoad, len(d.Sheet.ProfileNames))
 	total := 0.0
 	for _, m := range b.Blocks("mix", 1) {
 		at := slices.Index(d.Sheet.ProfileNames, m.Labels[0])
-		mix := standin.Mix{Share: m.Figure("share", true, 0, 0, 1), Work: m.Span("work", true, ms, 10*time.Microsecond, time.Minute)}
+		mix := standin.ProfileLoad{Share: m.Figure("share", true, 0, 0, 1), MeanWork: m.Span("work", true, ms, 10*time.Microsecond, time.Minute)}
 		m.Done()
 		if at < 0 {
 			m.Fault("mix %q, expected one of the profiles %v", m.Labels[0], d.Sheet.ProfileNames)
@@ -152,11 +152,11 @@
 	if total < 0.999 || total > 1.001 {
 		b.Fault("shares of all mixes are %g together, expected 1", total)
 	}
-	if d.Load.Attributes && d.Sheet.Routes == nil {
+	if d.Load.UseAttributes && d.Sheet.Routes == nil {
 		b.FaultAt("attributes", "transactions carry attributes only, expected routes for them")
 	}
 	for _, a := range d.Sheet.Policy.Accounts {
-		d.Load.Accounts = append(d.Load.Accounts, a.Share)
+		d.Load.AccountShares = append(d.Load.AccountShares, a.Share)
 	}
 	b.Done()
 }
@@ -173,14 +173,14 @@
 }
 
 // make reads how a build behaves.
-func (d *Day) make(b *hclread.Body) standin.Make {
-	m := standin.Make{
-		Speed: b.Figure("speed", false, 1, 0.01, 10), Errors: b.Figure("errors", false, 0, 0, 1), Profile: -1,
-		SlowAfter: b.Span("slow_after", false, 0, 0, 10*time.Minute), SlowBy: b.Figure("slow_by", false, 1, 1, 100),
-		SlowsAll: b.Figure("slows_all", false, 0, 0, 100),
+func (d *Day) make(b *hclread.Body) standin.BuildBehavior {
+	m := standin.BuildBehavior{
+		RelativeSpeed: b.Figure("speed", false, 1, 0.01, 10), ErrorShare: b.Figure("errors", false, 0, 0, 1), FailingProfile: -1,
+		SlowAfterAge: b.Span("slow_after", false, 0, 0, 10*time.Minute), SlowFactor: b.Figure("slow_by", false, 1, 1, 100),
+		FleetSlowdown: b.Figure("slows_all", false, 0, 0, 100),
 	}
 	if b.Has("profile") {
-		m.Profile = logic.ProfileID(b.Word("profile", true, 0, d.Sheet.ProfileNames...))
+		m.FailingProfile = logic.ProfileID(b.Word("profile", true, 0, d.Sheet.ProfileNames...))
 	}
 	return m
 }
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -28,15 +28,15 @@
 // fleet starts and drains workers for the desk.
 type fleet struct {
 	d      *Day
-	stage  *standin.Stage
-	list   *standin.List
+	stage  *standin.Environment
+	list   *standin.Discovery
 	mu     sync.Mutex
 	places []*place
 	all    []*standin.Worker // in the order in which they first started
 	since  map[*standin.Worker]*spot
 }
 
-func newFleet(d *Day, stage *standin.Stage, list *standin.List) *fleet {
+func newFleet(d *Day, stage *standin.Environment, list *standin.Discovery) *fleet {
 	f := &fleet{d: d, stage: stage, list: list, since: map[*standin.Worker]*spot{}}
 	chance := rand.New(rand.NewSource(d.Seed))
 	zones := len(d.Sheet.Zones)
@@ -52,7 +52,7 @@
 	cores := f.d.Fleet.Cores
 	w := standin.NewWorker(f.stage, logic.Worker{ID: logic.WorkerID(fmt.Sprintf("w%02d-b%d", i, b)), Build: b,
 		Zone: logic.ZoneID(at.zone), Cell: at.cell, Size: float64(cores)}, cores, at.speed)
-	w.Cold, w.From = f.d.Fleet.Cold, f.d.Fleet.ColdFrom
+	w.WarmUp, w.ColdSpeedShare = f.d.Fleet.Cold, f.d.Fleet.ColdFrom
 	s := &spot{w: w, build: b}
 	at.workers = append(at.workers, s)
 	f.all = append(f.all, w)
@@ -64,7 +64,7 @@
 	s.starting = true
 	time.AfterFunc(span(f.d.Fleet.Boot), func() {
 		if err := w.Start(false); err == nil {
-			f.list.Tell(w, logic.Ready)
+			f.list.ReportWorker(w, logic.Ready)
 		}
 		f.mu.Lock()
 		s.starting = false
@@ -74,7 +74,7 @@
 }
 
 // Reach implements standin.Fleet.
-func (f *fleet) Reach(b logic.BuildID, share float64) bool {
+func (f *fleet) RollOut(b logic.BuildID, share float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	want := int(math.Ceil(share * float64(len(f.places))))
@@ -100,7 +100,7 @@
 }
 
 // Release implements standin.Fleet.
-func (f *fleet) Release(b logic.BuildID) {
+func (f *fleet) DrainEarlierBuilds(b logic.BuildID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, at := range f.places {
@@ -109,7 +109,7 @@
 }
 
 // Recall implements standin.Fleet. Places whose earlier worker was drained get a new one.
-func (f *fleet) Recall(b logic.BuildID) {
+func (f *fleet) DrainBuild(b logic.BuildID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	earlier := logic.BuildID(0)
@@ -142,11 +142,11 @@
 		}
 		s.draining = true
 		w := s.w
-		f.list.Tell(w, logic.Draining)
+		f.list.ReportWorker(w, logic.Draining)
 		grace := span(f.d.Fleet.ListLate + o.DrainGrace)
 		time.AfterFunc(grace, w.Drain)
 		time.AfterFunc(grace+span(f.d.Sheet.MaxDeadline())+time.Second, func() {
-			f.list.Tell(w, logic.Gone)
+			f.list.ReportWorker(w, logic.Gone)
 			w.Stop()
 		})
 	}
@@ -162,7 +162,7 @@
 			continue
 		}
 		for _, s := range at.workers {
-			if up, _, _ := s.w.Up(); up && !s.draining && len(found) < count {
+			if up, _, _ := s.w.RunState(); up && !s.draining && len(found) < count {
 				found = append(found, s.w)
 				break
 			}
--- a/internal/drill/fromday.go
+++ b/internal/drill/fromday.go
@@ -55,9 +55,9 @@
 	}
 	d.Troubles, d.Releases = nil, nil
 	for i, r := range f.Fam.Releases {
-		m := standin.Make{Speed: max(0.1, r.Speed), Profile: -1, SlowBy: 1}
+		m := standin.BuildBehavior{RelativeSpeed: max(0.1, r.Speed), FailingProfile: -1, SlowFactor: 1}
 		if r.Bad != "" {
-			m = bad(r.Bad, r.Strength, m.Speed, logic.ProfileID(min(r.Class, len(d.Sheet.ProfileNames)-1)))
+			m = bad(r.Bad, r.Strength, m.RelativeSpeed, logic.ProfileID(min(r.Class, len(d.Sheet.ProfileNames)-1)))
 		}
 		d.Releases = append(d.Releases, Release{Build: logic.BuildID(firstBuild + 1 + i), At: at(r.At), Make: m})
 	}
@@ -86,21 +86,21 @@
 }
 
 // bad is a build that is bad in one of the ways of the bench, by the words that it may use for them.
-func bad(how string, strength, speed float64, p logic.ProfileID) standin.Make {
-	m := standin.Make{Speed: speed, Profile: -1, SlowBy: 1}
+func bad(how string, strength, speed float64, p logic.ProfileID) standin.BuildBehavior {
+	m := standin.BuildBehavior{RelativeSpeed: speed, FailingProfile: -1, SlowFactor: 1}
 	strength = min(1, max(0, strength)) // how far within its range the day has drawn it
 	failing := 0.25 + 0.65*strength
 	switch how {
 	case "slow", "load":
-		m.Speed = speed / (1.7 + 2*strength)
+		m.RelativeSpeed = speed / (1.7 + 2*strength)
 	case "late":
-		m.SlowAfter, m.SlowBy, m.Errors = 3*second, 2+2*strength, 0.2
+		m.SlowAfterAge, m.SlowFactor, m.ErrorShare = 3*second, 2+2*strength, 0.2
 	case "shared":
-		m.SlowsAll = 1 + 2*strength
+		m.FleetSlowdown = 1 + 2*strength
 	case "class":
-		m.Errors, m.Profile = failing, p
+		m.ErrorShare, m.FailingProfile = failing, p
 	default:
-		m.Errors = failing
+		m.ErrorShare = failing
 	}
 	return m
 }
--- a/internal/drill/result.go
+++ b/internal/drill/result.go
@@ -64,7 +64,7 @@
 
 func (r *runner) result() (*Result, error) {
 	d, o := r.d, &r.d.Sheet.Policy
-	events := r.stage.Events()
+	events := r.stage.StopRecording()
 	r.linkMu.Lock()
 	hiccup := r.hiccup
 	r.linkMu.Unlock()
@@ -84,7 +84,7 @@
 		times := hdrhistogram.New(1, 3_600_000_000, 3)
 		due, late := 0, 0
 		for _, c := range r.callers {
-			for _, t := range c.Firsts() {
+			for _, t := range c.Transactions() {
 				if int(t.Profile) != i {
 					continue
 				}
@@ -93,15 +93,15 @@
 				line.WrittenOff += t.Outcomes[audit.WrittenOff]
 				line.Lost += t.Outcomes[3]
 				worth += p.Value
-				if t.Took == 0 {
+				if t.SatisfiedAfter == 0 {
 					continue
 				}
-				_ = times.RecordValue(int64(t.Took))
+				_ = times.RecordValue(int64(t.SatisfiedAfter))
 				switch {
-				case t.Took <= p.DueTime:
+				case t.SatisfiedAfter <= p.DueTime:
 					due++
 					value += p.Value
-				case t.Took <= p.OuterLimit:
+				case t.SatisfiedAfter <= p.OuterLimit:
 					late++
 					value += p.Value * p.LateShare
 				}
@@ -129,9 +129,9 @@
 			out.Restarted++
 		}
 	}
-	for _, t := range r.desk.Turns() {
-		out.Builds = append(out.Builds, BuildTurn{seconds(t.At), int(t.News.Build), t.News.Stage,
-			phaseNames[t.News.Phase], t.News.Cap})
+	for _, t := range r.desk.StatusChanges() {
+		out.Builds = append(out.Builds, BuildTurn{seconds(t.At), int(t.Status.Build), t.Status.Stage,
+			phaseNames[t.Status.Phase], t.Status.Cap})
 	}
 	return out, out.write(r.p.Dir, events)
 }
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -40,18 +40,18 @@
 type runner struct {
 	d        *Day
 	p        Plan
-	stage    *standin.Stage
-	list     *standin.List
-	desk     *standin.Desk
+	stage    *standin.Environment
+	list     *standin.Discovery
+	desk     *standin.ControlPlane
 	fleet    *fleet
 	mu       sync.Mutex
 	sentries []*process
-	callers  []*standin.Callers // by zone
-	linkMu   sync.Mutex         // of relays and reach alone
+	callers  []*standin.ClientPool // by zone
+	linkMu   sync.Mutex            // of relays and reach alone
 	relays   []*standin.Relay
 	reach    map[string]string
-	weather  [][]*standin.Weather // between zones, one way
-	peers    *standin.Weather     // on all links between sentries
+	weather  [][]*standin.Impairment // between zones, one way
+	peers    *standin.Impairment     // on all links between sentries
 	hiccup   time.Duration
 	restart  sync.WaitGroup
 }
@@ -61,7 +61,7 @@
 	if err := os.MkdirAll(p.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	r := &runner{d: d, p: p, reach: map[string]string{}, peers: &standin.Weather{}}
+	r := &runner{d: d, p: p, reach: map[string]string{}, peers: &standin.Impairment{}}
 	r.prepare()
 	defer r.close()
 	if err := r.set(); err != nil {
@@ -77,11 +77,11 @@
 // prepare makes the stage and the links between zones.
 func (r *runner) prepare() {
 	d := r.d
-	r.stage = standin.NewStage(&d.Sheet.Policy, d.Sheet.Zones, d.Seed)
+	r.stage = standin.NewEnvironment(&d.Sheet.Policy, d.Sheet.Zones, d.Seed)
 	for range d.Sheet.Zones {
-		row := make([]*standin.Weather, len(d.Sheet.Zones))
+		row := make([]*standin.Impairment, len(d.Sheet.Zones))
 		for j := range row {
-			row[j] = &standin.Weather{}
+			row[j] = &standin.Impairment{}
 		}
 		r.weather = append(r.weather, row)
 	}
@@ -102,20 +102,20 @@
 // services brings up the list, the desk and the fleet.
 func (r *runner) services() error {
 	d := r.d
-	r.list = standin.NewList(r.stage)
-	r.list.Reach = r.reached
+	r.list = standin.NewDiscovery(r.stage)
+	r.list.AddressFrom = r.reached
 	r.fleet = newFleet(d, r.stage, r.list)
-	r.desk = standin.NewDesk(r.stage, r.fleet, firstBuild)
-	r.desk.Late = span(d.Fleet.NewsLate)
+	r.desk = standin.NewControlPlane(r.stage, r.fleet, firstBuild)
+	r.desk.Delay = span(d.Fleet.NewsLate)
 	if err := errors.Join(r.list.Start(), r.desk.Start()); err != nil {
 		return err
 	}
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	for i, at := range r.fleet.places { // these are listed at once
-		r.list.Tell(r.fleet.start(at, i, firstBuild, true).w, logic.Ready)
+		r.list.ReportWorker(r.fleet.start(at, i, firstBuild, true).w, logic.Ready)
 	}
-	r.list.Set(func(l *standin.List) { l.Late = span(d.Fleet.ListLate) })
+	r.list.Set(func(l *standin.Discovery) { l.Delay = span(d.Fleet.ListLate) })
 	return nil
 }
 
@@ -168,7 +168,7 @@
 			}
 		}
 		part := float64(len(order)) / float64(len(r.sentries))
-		r.callers = append(r.callers, standin.NewCallers(r.stage, fmt.Sprintf("z%d/", z), d.Load, part, reach, order,
+		r.callers = append(r.callers, standin.NewClientPool(r.stage, fmt.Sprintf("z%d/", z), d.Load, part, reach, order,
 			d.Seed*100+int64(z)))
 	}
 	return nil
@@ -211,7 +211,7 @@
 	}
 	cmd := exec.Command(r.p.Program[0], args...)
 	cmd.Stderr, cmd.Stdout = log, log
-	r.stage.See(audit.Event{Kind: audit.SentryUp, Sentry: logic.SentryID(s.position)})
+	r.stage.Record(audit.Event{Kind: audit.SentryUp, Sentry: logic.SentryID(s.position)})
 	if err := cmd.Start(); err != nil {
 		log.Close()
 		return err
@@ -219,7 +219,7 @@
 	exited := make(chan struct{})
 	go func() {
 		_ = cmd.Wait()
-		r.stage.See(audit.Event{Kind: audit.SentryDown, Sentry: logic.SentryID(s.position)})
+		r.stage.Record(audit.Event{Kind: audit.SentryDown, Sentry: logic.SentryID(s.position)})
 		log.Close()
 		close(exited)
 	}()
@@ -268,10 +268,10 @@
 		c.Start()
 	}
 	for _, x := range r.d.Releases {
-		r.stage.SetBuild(x.Build, x.Make)
+		r.stage.SetBuildBehavior(x.Build, x.Make)
 		at(x.At, func() {
 			r.p.Say("%6.1f s  build %d offered", seconds(x.At), x.Build)
-			r.desk.Offer(x.Build)
+			r.desk.StartTrial(x.Build)
 		})
 	}
 	for _, t := range r.d.Troubles {
@@ -308,7 +308,7 @@
 
 func (r *runner) open() (n int) {
 	for _, c := range r.callers {
-		n += c.Open()
+		n += c.OpenTries()
 	}
 	return n
 }
--- a/internal/drill/trouble.go
+++ b/internal/drill/trouble.go
@@ -44,56 +44,56 @@
 	case "balancer_stall":
 		hit := r.pick(t)
 		for _, s := range hit {
-			r.stage.See(audit.Event{Kind: audit.Stopped, Sentry: logic.SentryID(s.position)})
+			r.stage.Record(audit.Event{Kind: audit.Stopped, Sentry: logic.SentryID(s.position)})
 			r.signal(s, syscall.SIGSTOP)
 		}
 		return func() {
 			for _, s := range hit {
 				r.signal(s, syscall.SIGCONT)
-				r.stage.See(audit.Event{Kind: audit.Resumed, Sentry: logic.SentryID(s.position)})
+				r.stage.Record(audit.Event{Kind: audit.Resumed, Sentry: logic.SentryID(s.position)})
 				s.trouble.Unlock()
 			}
 		}
 	case "reload":
 		return r.reload(t)
 	case "burst":
-		return r.callersWith(t, func(c *standin.Callers) { c.Burst = t.Size }, func(c *standin.Callers) { c.Burst = 1 })
+		return r.callersWith(t, func(c *standin.ClientPool) { c.LoadFactor = t.Size }, func(c *standin.ClientPool) { c.LoadFactor = 1 })
 	case "hot_key":
-		return r.callersWith(t, func(c *standin.Callers) { c.HotKey = t.Size }, func(c *standin.Callers) { c.HotKey = 0 })
+		return r.callersWith(t, func(c *standin.ClientPool) { c.HotKeyShare = t.Size }, func(c *standin.ClientPool) { c.HotKeyShare = 0 })
 	case "hot_caller":
-		return r.callersWith(t, func(c *standin.Callers) { c.HotCall = t.Size }, func(c *standin.Callers) { c.HotCall = 0 })
+		return r.callersWith(t, func(c *standin.ClientPool) { c.HotAccountShare = t.Size }, func(c *standin.ClientPool) { c.HotAccountShare = 0 })
 	case "shift":
 		return r.shift(t)
 	case "control_down":
 		late := span(r.d.Fleet.NewsLate)
-		r.desk.Set(func(d *standin.Desk) {
-			d.Quiet, d.Deny = t.How == "quiet", t.How == "deny"
+		r.desk.Set(func(d *standin.ControlPlane) {
+			d.Silent, d.Deny = t.How == "quiet", t.How == "deny"
 			if t.How == "late" {
-				d.Late = late + span(t.Span)
+				d.Delay = late + span(t.Span)
 			}
 		})
-		return func() { r.desk.Set(func(d *standin.Desk) { d.Quiet, d.Deny, d.Late = false, false, late }) }
+		return func() { r.desk.Set(func(d *standin.ControlPlane) { d.Silent, d.Deny, d.Delay = false, false, late }) }
 	case "crash":
 		hit := r.fleet.some(t.First, t.Count, t.Zone)
 		for _, w := range hit {
 			w.Stop()
-			r.list.Tell(w, logic.Gone)
+			r.list.ReportWorker(w, logic.Gone)
 		}
 		return func() {
 			for _, w := range hit {
 				if !r.fleet.draining(w) && w.Start(false) == nil {
-					r.list.Tell(w, logic.Ready)
+					r.list.ReportWorker(w, logic.Ready)
 				}
 			}
 		}
 	case "fast_errors":
-		return r.workersWith(t, func(w *standin.Worker) { w.FailQuick = t.Size }, func(w *standin.Worker) { w.FailQuick = 0 })
+		return r.workersWith(t, func(w *standin.Worker) { w.FastErrorShare = t.Size }, func(w *standin.Worker) { w.FastErrorShare = 0 })
 	case "handshake_slow":
-		return r.workersWith(t, func(w *standin.Worker) { w.Welcome = span(t.Span) }, func(w *standin.Worker) { w.Welcome = 0 })
+		return r.workersWith(t, func(w *standin.Worker) { w.HandshakeDelay = span(t.Span) }, func(w *standin.Worker) { w.HandshakeDelay = 0 })
 	case "probe_fail":
-		return r.workersWith(t, func(w *standin.Worker) { w.NoProbes = true }, func(w *standin.Worker) { w.NoProbes = false })
+		return r.workersWith(t, func(w *standin.Worker) { w.IgnoresProbes = true }, func(w *standin.Worker) { w.IgnoresProbes = false })
 	case "slow":
-		return r.workersWith(t, func(w *standin.Worker) { w.SlowBy = t.Size }, func(w *standin.Worker) { w.SlowBy = 1 })
+		return r.workersWith(t, func(w *standin.Worker) { w.SlowFactor = t.Size }, func(w *standin.Worker) { w.SlowFactor = 1 })
 	case "neighbour":
 		return r.neighbour(t)
 	case "peer_down":
@@ -127,8 +127,8 @@
 	}
 }
 
-func (r *runner) callersWith(t Trouble, on, off func(*standin.Callers)) func() {
-	each := func(f func(*standin.Callers)) {
+func (r *runner) callersWith(t Trouble, on, off func(*standin.ClientPool)) func() {
+	each := func(f func(*standin.ClientPool)) {
 		for z, c := range r.callers {
 			if t.Zone < 0 || t.Zone == z {
 				c.Set(f)
@@ -162,9 +162,9 @@
 		for on := true; ; on = !on {
 			for _, w := range hit {
 				w.Set(func(w *standin.Worker) {
-					w.SlowBy = 1
+					w.SlowFactor = 1
 					if on {
-						w.SlowBy = t.Size
+						w.SlowFactor = t.Size
 					}
 				})
 			}
@@ -179,7 +179,7 @@
 		close(done)
 		over.Wait()
 		for _, w := range hit {
-			w.Set(func(w *standin.Worker) { w.SlowBy = 1 })
+			w.Set(func(w *standin.Worker) { w.SlowFactor = 1 })
 		}
 	}
 }
@@ -235,14 +235,14 @@
 func (r *runner) shift(t Trouble) func() {
 	from := max(0, t.Zone)
 	to := (from + 1) % len(r.callers)
-	was, other := r.callers[from].Part(), r.callers[to].Part()
+	was, other := r.callers[from].LoadShare(), r.callers[to].LoadShare()
 	if from != to {
-		r.callers[from].SetPart(was * (1 - t.Size))
-		r.callers[to].SetPart(other + was*t.Size)
+		r.callers[from].SetLoadShare(was * (1 - t.Size))
+		r.callers[to].SetLoadShare(other + was*t.Size)
 	}
 	return func() {
-		r.callers[from].SetPart(was)
-		r.callers[to].SetPart(other)
+		r.callers[from].SetLoadShare(was)
+		r.callers[to].SetLoadShare(other)
 	}
 }
 
--- a/internal/drill/trouble_test.go
+++ b/internal/drill/trouble_test.go
@@ -21,14 +21,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &runner{d: d, p: Plan{Say: t.Logf}, reach: map[string]string{}, peers: &standin.Weather{}}
+	r := &runner{d: d, p: Plan{Say: t.Logf}, reach: map[string]string{}, peers: &standin.Impairment{}}
 	r.prepare()
 	defer r.close()
 	if err := r.services(); err != nil {
 		t.Fatal(err)
 	}
 	for i := range d.Sheet.Zones {
-		r.callers = append(r.callers, standin.NewCallers(r.stage, "", d.Load, 1/float64(len(d.Sheet.Zones)), nil, nil, int64(i)))
+		r.callers = append(r.callers, standin.NewClientPool(r.stage, "", d.Load, 1/float64(len(d.Sheet.Zones)), nil, nil, int64(i)))
 	}
 	worker := func(f func(w *standin.Worker) bool) func() bool {
 		return func() (so bool) {
@@ -37,35 +37,35 @@
 			return so
 		}
 	}
-	caller := func(f func(c *standin.Callers) bool) func() bool {
-		return func() (so bool) { r.callers[1].Set(func(c *standin.Callers) { so = f(c) }); return so }
+	caller := func(f func(c *standin.ClientPool) bool) func() bool {
+		return func() (so bool) { r.callers[1].Set(func(c *standin.ClientPool) { so = f(c) }); return so }
 	}
-	desk := func(f func(d *standin.Desk) bool) func() bool {
-		return func() (so bool) { r.desk.Set(func(d *standin.Desk) { so = f(d) }); return so }
+	desk := func(f func(d *standin.ControlPlane) bool) func() bool {
+		return func() (so bool) { r.desk.Set(func(d *standin.ControlPlane) { so = f(d) }); return so }
 	}
 	link := func(from, to int, delay time.Duration, cut bool) func() bool {
-		return func() bool { d, c := r.weather[from][to].Now(); return d == delay && c == cut }
+		return func() bool { d, c := r.weather[from][to].Current(); return d == delay && c == cut }
 	}
 	usual := span(d.Fleet.Link)
 	cases := []struct {
 		kind, how string
 		acts      []func() bool
 	}{
-		{"burst", "", []func() bool{caller(func(c *standin.Callers) bool { return c.Burst == 3 })}},
-		{"hot_key", "", []func() bool{caller(func(c *standin.Callers) bool { return c.HotKey == 3 })}},
-		{"hot_caller", "", []func() bool{caller(func(c *standin.Callers) bool { return c.HotCall == 3 }),
-			func() bool { return len(d.Load.Accounts) > 1 }}},
-		{"shift", "", []func() bool{func() bool { return r.callers[1].Part() < 0 && r.callers[2].Part() > 0.5 }}},
-		{"control_down", "quiet", []func() bool{desk(func(d *standin.Desk) bool { return d.Quiet && !d.Deny })}},
-		{"control_down", "deny", []func() bool{desk(func(d *standin.Desk) bool { return d.Deny && !d.Quiet })}},
-		{"control_down", "late", []func() bool{desk(func(x *standin.Desk) bool { return x.Late > span(d.Fleet.NewsLate) })}},
-		{"crash", "", []func() bool{func() bool { up, _, _ := r.fleet.all[2].Up(); return !up }}},
-		{"fast_errors", "", []func() bool{worker(func(w *standin.Worker) bool { return w.FailQuick == 3 })}},
-		{"handshake_slow", "", []func() bool{worker(func(w *standin.Worker) bool { return w.Welcome == 7*time.Millisecond })}},
-		{"probe_fail", "", []func() bool{worker(func(w *standin.Worker) bool { return w.NoProbes })}},
-		{"slow", "", []func() bool{worker(func(w *standin.Worker) bool { return w.SlowBy == 3 })}},
+		{"burst", "", []func() bool{caller(func(c *standin.ClientPool) bool { return c.LoadFactor == 3 })}},
+		{"hot_key", "", []func() bool{caller(func(c *standin.ClientPool) bool { return c.HotKeyShare == 3 })}},
+		{"hot_caller", "", []func() bool{caller(func(c *standin.ClientPool) bool { return c.HotAccountShare == 3 }),
+			func() bool { return len(d.Load.AccountShares) > 1 }}},
+		{"shift", "", []func() bool{func() bool { return r.callers[1].LoadShare() < 0 && r.callers[2].LoadShare() > 0.5 }}},
+		{"control_down", "quiet", []func() bool{desk(func(d *standin.ControlPlane) bool { return d.Silent && !d.Deny })}},
+		{"control_down", "deny", []func() bool{desk(func(d *standin.ControlPlane) bool { return d.Deny && !d.Silent })}},
+		{"control_down", "late", []func() bool{desk(func(x *standin.ControlPlane) bool { return x.Delay > span(d.Fleet.NewsLate) })}},
+		{"crash", "", []func() bool{func() bool { up, _, _ := r.fleet.all[2].RunState(); return !up }}},
+		{"fast_errors", "", []func() bool{worker(func(w *standin.Worker) bool { return w.FastErrorShare == 3 })}},
+		{"handshake_slow", "", []func() bool{worker(func(w *standin.Worker) bool { return w.HandshakeDelay == 7*time.Millisecond })}},
+		{"probe_fail", "", []func() bool{worker(func(w *standin.Worker) bool { return w.IgnoresProbes })}},
+		{"slow", "", []func() bool{worker(func(w *standin.Worker) bool { return w.SlowFactor == 3 })}},
 		{"neighbour", "", []func() bool{func() bool {
-			slow := worker(func(w *standin.Worker) bool { return w.SlowBy == 3 })
+			slow := worker(func(w *standin.Worker) bool { return w.SlowFactor == 3 })
 			var seen [2]bool
 			for range 400 { // on and off, each for 35 ms
 				if slow() {
@@ -77,7 +77,7 @@
 			}
 			return seen[0] && seen[1]
 		}}},
-		{"peer_down", "", []func() bool{func() bool { _, cut := r.peers.Now(); return cut }}},
+		{"peer_down", "", []func() bool{func() bool { _, cut := r.peers.Current(); return cut }}},
 		{"slow_link", "", []func() bool{link(1, 0, usual+7*time.Millisecond, false), link(0, 1, usual+7*time.Millisecond, false)}},
 		{"zone_cut", "", []func() bool{link(1, 0, usual, true), link(0, 1, usual, true), link(1, 2, usual, true)}},
 		{"one_sided", "", []func() bool{link(1, 0, usual, true), link(1, 2, usual, true), link(0, 1, usual, false)}},
--- a/internal/measure/bare.go
+++ b/internal/measure/bare.go
@@ -21,14 +21,14 @@
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	go http.ListenAndServe(metrics, mux)
-	_, err := wire.Serve(listen, wire.DefaultBounds, func(in *wire.Link) (wire.Handler, func(*wire.Link, error)) {
+	_, err := wire.Serve(listen, wire.DefaultLimits, func(in *wire.Link) (wire.Handler, func(*wire.Link, error)) {
 		var mu sync.Mutex
 		var out []*wire.Link
 		chance := rand.New(rand.NewSource(time.Now().UnixNano())) // wall clock: a seed
 		go func() {                                               // dialling on the poller would wait for itself
 			for _, w := range workers {
-				l, err := wire.Dial(w, time.Second, wire.DefaultBounds, func(_ *wire.Link, kind wire.Kind, body []byte) error {
-					in.PutFrame(kind, body)
+				l, err := wire.Dial(w, time.Second, wire.DefaultLimits, func(_ *wire.Link, kind wire.Kind, body []byte) error {
+					in.PutEncoded(kind, body)
 					in.Flush()
 					return nil
 				}, nil)
@@ -49,7 +49,7 @@
 					return nil
 				}
 				l := out[chance.Intn(len(out))]
-				l.PutFrame(kind, body)
+				l.PutEncoded(kind, body)
 				l.Flush()
 				return nil
 			}, func(*wire.Link, error) {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -57,18 +57,18 @@
 // workers answers at once whatever it is asked, as a worker of a sentry or as one behind the relay.
 func workers(n int) (servers []*wire.Server, err error) {
 	for range n {
-		s, err := wire.Serve("127.0.0.1:0", wire.DefaultBounds, func(*wire.Link) (wire.Handler, func(*wire.Link, error)) {
+		s, err := wire.Serve("127.0.0.1:0", wire.DefaultLimits, func(*wire.Link) (wire.Handler, func(*wire.Link, error)) {
 			var work wire.Work
 			var ask wire.Ask
 			return func(l *wire.Link, kind wire.Kind, body []byte) error {
 				switch kind {
 				case wire.KindHello:
-					l.PutProto(wire.KindWelcome, &pb.Welcome{Version: wire.Version})
+					l.PutProto(wire.KindWelcome, &pb.Welcome{Version: wire.ProtocolVersion})
 				case wire.KindWork:
 					if err := work.Read(body); err != nil {
 						return err
 					}
-					l.Put(wire.KindDone, &wire.Done{ID: work.ID, Payload: work.Payload, Held: 1})
+					l.Put(wire.KindDone, &wire.Done{ID: work.ID, Payload: work.Payload, InFlight: 1})
 				case wire.KindAsk:
 					if err := ask.Read(body); err != nil {
 						return err
@@ -143,9 +143,9 @@
 // still is a fleet that does not move.
 type still struct{}
 
-func (still) Reach(logic.BuildID, float64) bool { return true }
-func (still) Release(logic.BuildID)             {}
-func (still) Recall(logic.BuildID)              {}
+func (still) RollOut(logic.BuildID, float64) bool { return true }
+func (still) DrainEarlierBuilds(logic.BuildID)    {}
+func (still) DrainBuild(logic.BuildID)            {}
 
 // Sentry measures a sentry, Relay the bare relay.
 func Sentry(p Plan) (*Reading, error) {
@@ -154,9 +154,9 @@
 		return nil, err
 	}
 	defer closeAll(servers)
-	stage := standin.NewStage(&logic.StandingOrders{StageCaps: []float64{1}, StageShares: []float64{1}, VotesPerSecond: 10,
+	stage := standin.NewEnvironment(&logic.StandingOrders{StageCaps: []float64{1}, StageShares: []float64{1}, VotesPerSecond: 10,
 		BackVotes: 1}, []string{"z"}, 1)
-	list, desk := standin.NewList(stage), standin.NewDesk(stage, still{}, 10)
+	list, desk := standin.NewDiscovery(stage), standin.NewControlPlane(stage, still{}, 10)
 	if err := list.Start(); err != nil {
 		return nil, err
 	}
@@ -169,7 +169,7 @@
 	for i, s := range servers {
 		lines = append(lines, &pb.Line{Id: fmt.Sprint("w", i), Address: s.Address, Build: 10, Zone: "z", Size: 1, Life: 1})
 	}
-	list.TellNow(lines, 0)
+	list.ReportLines(lines, 0)
 	listen, metrics, err := addresses()
 	if err != nil {
 		return nil, err
@@ -246,7 +246,7 @@
 		d.samples = samples(p.Routes)
 	}
 	for try := 0; ; try++ {
-		link, err := wire.Dial(listen, time.Second, wire.DefaultBounds, d.answered(nil), nil)
+		link, err := wire.Dial(listen, time.Second, wire.DefaultLimits, d.answered(nil), nil)
 		if err == nil {
 			link.Close(wire.ErrClosed)
 			break
@@ -316,7 +316,7 @@
 	c.id++
 	c.sent[c.id] = time.Now()
 	c.key = strconv.AppendUint(c.key[:0], c.id*0x9e3779b97f4a7c15, 16)
-	m := &wire.Ask{ID: c.id, Left: 4_000_000, Payload: payload}
+	m := &wire.Ask{ID: c.id, Timeout: 4_000_000, Payload: payload}
 	if samples := c.d.samples; samples == nil {
 		m.Key = c.key
 	} else {
@@ -359,12 +359,12 @@
 	d.reset()
 	for range d.p.Clients {
 		c := &caller{d: d, sent: map[uint64]time.Time{}}
-		link, err := wire.Dial(address, 5*time.Second, wire.DefaultBounds, d.answered(c), nil)
+		link, err := wire.Dial(address, 5*time.Second, wire.DefaultLimits, d.answered(c), nil)
 		if err != nil {
 			return fmt.Errorf("client %d: %w", len(d.links), err)
 		}
 		c.link = link
-		link.Send(wire.KindHello, &pb.Hello{Version: wire.Version})
+		link.Send(wire.KindHello, &pb.Hello{Version: wire.ProtocolVersion})
 		d.links = append(d.links, c)
 	}
 	return nil
--- a/internal/platform/breach.go
+++ b/internal/platform/breach.go
@@ -62,10 +62,10 @@
 		second := &queue[1]
 		difference := len(second.text) - len(first.text)
 		if first.held {
-			c.Hold(difference)
+			c.AddBuffered(difference)
 		}
 		if second.held {
-			c.Hold(-difference)
+			c.AddBuffered(-difference)
 		}
 		first.text, second.text = second.text, first.text
 	case !queue[1].done && b.takes(CloseEarly):
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -50,7 +50,7 @@
 	ending       bool      // nothing is owed on it, and its end has begun
 	scratch      []byte
 	// of a client that is idle and has yet to take an answer; the poller's
-	progress wire.Progress
+	progress wire.ReadProgress
 }
 
 type reply struct {
@@ -67,8 +67,8 @@
 // Open listens for clients.
 func (p *Platform) Listen(s *sentry.Sentry) (string, error) {
 	p.sentry = s
-	server, err := wire.ServeRaw(p.post.Load().Settings.Endpoints.Listen, wire.Bounds{Frame: mostValue, Pending: maxUnwritten, Budget: p.budget},
-		func(l *wire.Link) (wire.Reader, func(*wire.Link, error)) {
+	server, err := wire.ServeRaw(p.post.Load().Settings.Endpoints.Listen, wire.Limits{MaxFrameBytes: mostValue, MaxPendingBytes: maxUnwritten, Budget: p.budget},
+		func(l *wire.Link) (wire.DataHandler, func(*wire.Link, error)) {
 			now := time.Now()
 			c := &clientConn{Link: l, p: p, used: now, partialSince: now, reader: resp.Reader{Limits: commandBounds, CommandsOnly: true}}
 			c.ear = s.AddClient(c)
@@ -117,7 +117,7 @@
 		return a.used.Compare(b.used)
 	})
 	for _, x := range out {
-		if x.CloseUnread(wire.ErrClosed, !x.hasSent) {
+		if x.CloseIfIdle(wire.ErrClosed, !x.hasSent) {
 			return
 		}
 	}
@@ -125,7 +125,7 @@
 	c.mu.Lock()
 	c.overLimit = true
 	c.mu.Unlock()
-	wire.OnPoller(c.closeIfDue)
+	wire.RunOnPoller(c.closeIfDue)
 }
 
 // shouldClose says whether a client is to close as soon as nothing is owed to it. The lock is held.
@@ -159,8 +159,8 @@
 // watchClients has those clients closed that say nothing and, once the sentry is to stop, all of them.
 func (p *Platform) watchClients() {
 	for range p.ticks(sweepEvery) {
-		if step := p.wall.Step(); step != 0 {
-			p.log.Warn().Dur("by_ms", step).Int("steps", p.wall.Steps()).Msg("the wall clock was stepped")
+		if step := p.wall.DetectStep(); step != 0 {
+			p.log.Warn().Dur("by_ms", step).Int("steps", p.wall.StepCount()).Msg("the wall clock was stepped")
 		}
 		p.sweepClients()
 	}
@@ -198,7 +198,7 @@
 	c.mu.Lock()
 	late := !c.partialSince.IsZero() && now.Sub(c.partialSince) > firstCommandTimeout
 	c.mu.Unlock()
-	if !c.CloseUnread(wire.ErrClosed, late) && c.Stalled(&c.progress, now) {
+	if !c.CloseIfIdle(wire.ErrClosed, late) && c.PeerStalled(&c.progress, now) {
 		c.Close(wire.ErrSlowReader)
 	}
 }
@@ -296,7 +296,7 @@
 func (p *Platform) fits() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return int64(len(p.ids)+1)*p.meanAnswer <= p.budget.Left()
+	return int64(len(p.ids)+1)*p.meanAnswer <= p.budget.Remaining()
 }
 
 // answered forgets an open id, and learns how great answers are.
@@ -334,8 +334,8 @@
 		r.text = resp.AppendBulkString(r.text, a.Payload)
 	case pb.Outcome_DEFERRED:
 		line := "BUSY"
-		if a.ComeBack > 0 {
-			line += " " + strconv.FormatUint(max(1, a.ComeBack/1000), 10)
+		if a.RetryAfter > 0 {
+			line += " " + strconv.FormatUint(max(1, a.RetryAfter/1000), 10)
 		}
 		r.text = resp.AppendLine(r.text, resp.Error, line)
 	case pb.Outcome_NOT_TAKEN: // nothing of it was handed off
@@ -351,7 +351,7 @@
 	c.mu.Unlock()
 	c.p.answered(id, size)
 	if idle {
-		c.WhenWritten(func() { wire.OnPoller(c.closeIfDue) })
+		c.WhenWritten(func() { wire.RunOnPoller(c.closeIfDue) })
 	}
 	c.endIfSettled()
 	return good
@@ -361,7 +361,7 @@
 func (c *clientConn) hold(r *reply) {
 	if r != &c.queue[0] {
 		r.held = true
-		c.Hold(r.size())
+		c.AddBuffered(r.size())
 	}
 }
 
@@ -373,10 +373,10 @@
 		c.breachBefore(c.queue[n:])
 		r := &c.queue[n]
 		if r.held {
-			c.Hold(-r.size())
+			c.AddBuffered(-r.size())
 		}
 		if !r.skipped {
-			good = c.PutRawOwed(r.text) && good
+			good = c.PutRawUnbounded(r.text) && good
 		}
 		n++
 	}
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -15,7 +15,7 @@
 // heldPoller holds the poller until the test says so: what comes meanwhile stays in the system, unread and not taken up.
 func heldPoller() (release func()) {
 	held, gate := make(chan struct{}), make(chan struct{})
-	wire.OnPoller(func() { close(held); <-gate })
+	wire.RunOnPoller(func() { close(held); <-gate })
 	<-held
 	return func() { close(gate) }
 }
@@ -44,12 +44,12 @@
 		c.want("v-a")
 		x := r.onlyClient()
 		release := heldPoller()
-		wire.OnPoller(x.closeIfDue)
+		wire.RunOnPoller(x.closeIfDue)
 		c.say(read("b"))
 		time.Sleep(20 * time.Millisecond)
 		r.drainedAt()
 		if !first {
-			wire.OnPoller(x.closeIfDue)
+			wire.RunOnPoller(x.closeIfDue)
 		}
 		release()
 		c.want("v-b")
@@ -68,8 +68,8 @@
 	}
 	parts := func() (n int) {
 		done := make(chan int)
-		wire.OnPoller(func() { // what has come by now has been read, or will be by the next turn
-			wire.OnPoller(func() { done <- len(r.p.clientList()) })
+		wire.RunOnPoller(func() { // what has come by now has been read, or will be by the next turn
+			wire.RunOnPoller(func() { done <- len(r.p.clientList()) })
 		})
 		return <-done
 	}
@@ -123,7 +123,7 @@
 	}
 	release := heldPoller()
 	more := make(chan testClient, 1)
-	wire.OnPoller(func() { // the oldest's command stands in the system as the new one is taken up
+	wire.RunOnPoller(func() { // the oldest's command stands in the system as the new one is taken up
 		all[0].say(read("oldest"))
 		time.Sleep(20 * time.Millisecond)
 		oldest, since := (*clientConn)(nil), time.Time{}
@@ -134,7 +134,7 @@
 			}
 			x.mu.Unlock()
 		}
-		if oldest.CloseUnread(wire.ErrClosed, false) {
+		if oldest.CloseIfIdle(wire.ErrClosed, false) {
 			t.Error("a client was closed over a command that had come")
 		}
 	})
--- a/internal/platform/command.go
+++ b/internal/platform/command.go
@@ -63,12 +63,12 @@
 			if err != nil || ms == 0 {
 				return c, "found no time to wait, expected milliseconds"
 			}
-			c.ask.Left = ms * 1000
+			c.ask.Timeout = ms * 1000
 			from, to = at+2, at+end
 		case 'k':
 			marked = len(value) > 0
 		case 'r':
-			c.ask.Again = string(value) == "1"
+			c.ask.Retry = string(value) == "1"
 		}
 		at += end + 1
 	}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -33,7 +33,7 @@
 	InitialList          *pb.Report
 	Settings             *orders.Settings
 	names                *facts.Names
-	wall                 *clock.Wall
+	wall                 *clock.WallClock
 }
 
 // ReadPost reads the configuration that the environment names.
@@ -108,7 +108,7 @@
 	}
 	p := &Config{Name: f.Name, DiscoveryAddress: f.Discovery, ControlPlaneAddress: f.Desk.Address, PeerListenAddress: f.PeerListen, PeerAddresses: f.Peers,
 		PeerBroadcastAddress: f.PeersAll, MemoryMB: f.Limits.MemoryMB, Cores: f.Limits.Cores, MaxSockets: f.Limits.Sockets, names: names,
-		InitialList: &pb.Report{Whole: true}, wall: clock.NewWall()}
+		InitialList: &pb.Report{Whole: true}, wall: clock.NewWallClock()}
 	if f.Known != nil {
 		if p.InitialList, err = f.Known.report(p.wall); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
@@ -183,7 +183,7 @@
 var states = map[string]pb.Line_State{"active": pb.Line_READY, "leaving": pb.Line_DRAINING, "left": pb.Line_GONE}
 
 // report gives what discovery told in the sentry's terms. A server's start comes as a stamp of the platform's clock.
-func (t *targets) report(wall *clock.Wall) (*pb.Report, error) {
+func (t *targets) report(wall *clock.WallClock) (*pb.Report, error) {
 	m := &pb.Report{Whole: t.All, Version: t.Rev}
 	for _, x := range t.Targets {
 		state, ok := states[x.State]
--- a/internal/platform/control_plane.go
+++ b/internal/platform/control_plane.go
@@ -56,7 +56,7 @@
 // serve holds one connection until it ends, and says whether it was of any use.
 func (d *desk) serve(address string) (good bool) {
 	ended := make(chan struct{})
-	link, err := wire.DialRaw(address, reachMost, wire.Bounds{Frame: mostLine, Pending: mostValue}, d.read,
+	link, err := wire.DialRaw(address, reachMost, wire.Limits{MaxFrameBytes: mostLine, MaxPendingBytes: mostValue}, d.read,
 		func(*wire.Link, error) { close(ended) })
 	if err != nil {
 		d.p.log.Warn().Err(err).Msg("desk")
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -71,7 +71,7 @@
 		case c.partOver(now, answered):
 			c.giveUpPart()
 		case c.wantsTurn(now):
-			wire.OnPoller(c.closeIfDue)
+			wire.RunOnPoller(c.closeIfDue)
 		}
 	}
 	switch {
@@ -79,7 +79,7 @@
 		p.server.CloseListenerNow()
 		p.sentry.Stop()
 	case len(all) == 0 && p.drainedFor(listenFor):
-		p.server.CloseListener(func(closed bool) {
+		p.server.CloseListenerIfIdle(func(closed bool) {
 			if closed {
 				p.sentry.Stop()
 			}
@@ -104,10 +104,10 @@
 	if stopped {
 		return
 	}
-	if rests := !open && !c.InPart(); rests && (c.CloseUnread(wire.ErrClosed, false) || !closing) {
+	if rests := !open && !c.HasPartialMessage(); rests && (c.CloseIfIdle(wire.ErrClosed, false) || !closing) {
 		return
 	}
-	if !c.StopReading(c.reader.MissingBytes) { // the system is short of something: the next look tries again
+	if !c.StopReadingAtMessageEnd(c.reader.MissingBytes) { // the system is short of something: the next look tries again
 		return
 	}
 	c.mu.Lock()
@@ -125,7 +125,7 @@
 	case stopped:
 		c.endIfSettled()
 	case closes:
-		wire.OnPoller(c.closeIfDue)
+		wire.RunOnPoller(c.closeIfDue)
 	}
 }
 
@@ -141,7 +141,7 @@
 
 // giveUpPart ends the wait for the rest of a command: it never came whole.
 func (c *clientConn) giveUpPart() {
-	c.EndReading()
+	c.StopReadingNow()
 	c.mu.Lock()
 	c.partialSince = time.Time{}
 	c.mu.Unlock()
@@ -155,6 +155,6 @@
 	c.ending = c.ending || settled
 	c.mu.Unlock()
 	if settled {
-		c.Finish(wire.ErrClosed, linger, lingerMost)
+		c.FlushAndClose(wire.ErrClosed, linger, lingerMost)
 	}
 }
--- a/internal/platform/great_answers_test.go
+++ b/internal/platform/great_answers_test.go
@@ -61,7 +61,7 @@
 		}
 		r.wait("their ends", func() bool { r.p.mu.Lock(); defer r.p.mu.Unlock(); return len(r.p.ids) == 0 })
 	}
-	if left, most := r.p.budget.Left(), r.p.post.Load().MemoryMB<<20/answersShare; left < -most/4 {
+	if left, most := r.p.budget.Remaining(), r.p.post.Load().MemoryMB<<20/answersShare; left < -most/4 {
 		t.Errorf("%d bytes wait over the budget of %d", -left, most)
 	}
 	refused := 0
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -29,11 +29,11 @@
 	drainAt atomic.Pointer[time.Time] // with its monotonic reading; nil if the sentry is not to stop
 	// the longest deadline as the stop was asked for, in microseconds; 0 if it was not
 	drainLongest atomic.Int64
-	wall         *clock.Wall
+	wall         *clock.WallClock
 
 	mu         sync.Mutex
 	breaker    breaker
-	budget     *wire.Budget // of what waits for clients
+	budget     *wire.BufferBudget // of what waits for clients
 	clients    map[*clientConn]struct{}
 	ids        map[string]struct{} // of open transactions
 	meanAnswer int64               // bytes of an answer
@@ -46,7 +46,7 @@
 func New(post *Config, log zerolog.Logger) (*Platform, error) {
 	p := &Platform{log: log, wall: post.wall, done: make(chan struct{}), clients: map[*clientConn]struct{}{}, ids: map[string]struct{}{}}
 	p.post.Store(post)
-	p.budget = wire.NewBudget(post.MemoryMB << 20 / answersShare)
+	p.budget = wire.NewBufferBudget(post.MemoryMB << 20 / answersShare)
 	p.discovery = newDiscovery(p, post.DiscoveryAddress)
 	p.desk = &desk{p: p, address: post.ControlPlaneAddress, wake: make(chan struct{}, 1)}
 	var err error
@@ -121,9 +121,9 @@
 	return nil
 }
 
-func (p *Platform) StopListening()            { p.server.StopListening() }
+func (p *Platform) StopListening()            { p.server.RejectConnections() }
 func (p *Platform) StopReading()              { p.server.StopReading() }
-func (p *Platform) UnwrittenConnections() int { return p.server.Waiting() }
+func (p *Platform) UnwrittenConnections() int { return p.server.LinksWithPendingWrites() }
 
 func (p *Platform) RequestList(follow bool, since uint64) { p.discovery.ask(follow, since) }
 func (p *Platform) SendVote(m *pb.Vote) bool              { return p.desk.vote(m) }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -205,7 +205,7 @@
 	time.Sleep(20 * time.Millisecond)
 	n := nobody{make(chan string, 1)}
 	m := []resp.Value{{Kind: resp.Array, ArrayLen: 4}, {Text: []byte("Q.DO")}, {Text: []byte("k")}, {Text: []byte("b")}, {Text: []byte("d=1")}}
-	r.s.AddClient(n).TransactionReceived(&wire.Ask{ID: 1, Profile: 2, Left: 800_000, Key: []byte("k"), Payload: pack(nil, m, 2, 3)})
+	r.s.AddClient(n).TransactionReceived(&wire.Ask{ID: 1, Profile: 2, Timeout: 800_000, Key: []byte("k"), Payload: pack(nil, m, 2, 3)})
 	r.wait("the hand-off", func() bool { return r.rulings[logic.HandOff] == 2 })
 	time.Sleep(20 * time.Millisecond)
 	release()
--- a/internal/platform/way.go
+++ b/internal/platform/way.go
@@ -50,7 +50,7 @@
 // Dial opens a way to a worker.
 func (p *Platform) Dial(ear sentry.WorkerConnHandler, address string, limit time.Duration) (sentry.WorkerConn, error) {
 	w := &way{p: p, ear: ear, reader: resp.Reader{Limits: answerBounds}}
-	link, err := wire.DialRaw(address, limit, wire.Bounds{Frame: mostValue, Pending: 4 * mostValue}, w.read,
+	link, err := wire.DialRaw(address, limit, wire.Limits{MaxFrameBytes: mostValue, MaxPendingBytes: 4 * mostValue}, w.read,
 		func(_ *wire.Link, reason error) {
 			w.ended()
 			ear.ConnectionClosed(reason)
@@ -79,7 +79,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i := slices.IndexFunc(w.out, func(x sent) bool { return x.id == id })
-	return i < 0 || w.Link.MayHave(w.out[i].end)
+	return i < 0 || w.Link.MayHaveSent(w.out[i].end)
 }
 
 // Begun says whether a hand-off's answer has begun and is not whole, or could not be read.
@@ -96,14 +96,14 @@
 func (w *way) SendWork(m *wire.Work) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.spoilt || len(w.out) == 0 && !w.Quiet() {
+	if w.spoilt || len(w.out) == 0 && !w.IsReadIdle() {
 		return false
 	}
-	w.text = unpack(w.text[:0], m.Payload, logic.Micros(m.Left))
+	w.text = unpack(w.text[:0], m.Payload, logic.Micros(m.Timeout))
 	if !w.PutRaw(w.text) {
 		return false
 	}
-	w.out = append(w.out, sent{m.ID, w.Mark()})
+	w.out = append(w.out, sent{m.ID, w.PutOffset()})
 	if cap(w.text) > 8<<10 {
 		w.text = nil
 	}
@@ -187,7 +187,7 @@
 	defer w.mu.Unlock()
 	switch {
 	case !w.begun || w.wait == nil:
-	case w.Quiet():
+	case w.IsReadIdle():
 		go w.Close(errPart) // its end takes the lock
 	default:
 		w.wait.Reset(w.p.post.Load().partMost())
@@ -200,7 +200,7 @@
 func (w *way) done(m []resp.Value) (d wire.Done, err error) {
 	switch {
 	case m[0].Kind == resp.Array && len(m) == 4 && m[1].Kind == resp.BulkString && m[2].Kind == resp.Null:
-		d.Ended, d.Payload = uint32(pb.Ended_ANSWERED), m[1].Text
+		d.Ending, d.Payload = uint32(pb.Ended_ANSWERED), m[1].Text
 		if m[3].Kind == resp.BulkString {
 			w.load(&d, m[3].Text)
 		}
@@ -209,9 +209,9 @@
 		word, rest, _ := bytes.Cut(m[0].Text, []byte(" "))
 		switch string(word) {
 		case "BUSY":
-			d.Ended = uint32(pb.Ended_TURNED_AWAY)
+			d.Ending = uint32(pb.Ended_TURNED_AWAY)
 		case "ERR":
-			d.Ended = uint32(pb.Ended_ERRORED)
+			d.Ending = uint32(pb.Ended_ERRORED)
 		default:
 			return d, errAnswer
 		}
@@ -234,11 +234,11 @@
 		}
 		switch slices.Index(facts.LoadFieldNames[:], string(name)) {
 		case facts.LoadFieldHeld:
-			d.Held = uint32(math.Round(v)) + 1
+			d.InFlight = uint32(math.Round(v)) + 1
 		case facts.LoadFieldBusy:
-			d.Busy = uint32(math.Round(1000*v)) + 1
+			d.CPUUse = uint32(math.Round(1000*v)) + 1
 		case facts.LoadFieldServed:
-			d.Served = uint32(math.Round(1000*v)) + 1
+			d.ServedRate = uint32(math.Round(1000*v)) + 1
 		}
 	}
 }
--- a/internal/sentry/breach.go
+++ b/internal/sentry/breach.go
@@ -118,8 +118,8 @@
 	}
 	c := w.conns[0]
 	for range times {
-		m := &wire.Work{ID: 1, Profile: t.profile, Key: []byte(t.key), Left: uint64(max(1, t.limit-s.now)), Mark: t.mark,
-			Payload: t.payload, Transaction: []byte(t.id), Number: uint32(len(t.sends)), Hint: t.hint}
+		m := &wire.Work{ID: 1, Profile: t.profile, Key: []byte(t.key), Timeout: uint64(max(1, t.limit-s.now)), DeduplicationToken: t.mark,
+			Payload: t.payload, Transaction: []byte(t.id), HandOffNumber: uint32(len(t.sends)), ExpectedWork: t.hint}
 		c.link.SendWork(m)
 		s.dirty = append(s.dirty, c.link)
 	}
--- a/internal/sentry/ends.go
+++ b/internal/sentry/ends.go
@@ -95,17 +95,17 @@
 }
 
 func (e ClientHandler) asked(m *wire.Ask) event {
-	return event{kind: evAsk, client: e.c, id: m.ID, profile: m.Profile, account: m.Account, left: m.Left, hint: m.Hint,
-		again: m.Again}
+	return event{kind: evAsk, client: e.c, id: m.ID, profile: m.Profile, account: m.Account, left: m.Timeout, hint: m.ExpectedWork,
+		again: m.Retry}
 }
 
 // put keeps mark and payload beyond what they came in.
 func (e ClientHandler) put(ev *event, m *wire.Ask) {
-	if len(m.Mark)+len(m.Payload) > 0 {
+	if len(m.DeduplicationToken)+len(m.Payload) > 0 {
 		ev.buffer = borrow()
-		both := append(append((*ev.buffer)[:0], m.Mark...), m.Payload...)
+		both := append(append((*ev.buffer)[:0], m.DeduplicationToken...), m.Payload...)
 		*ev.buffer = both
-		ev.mark, ev.payload = both[:len(m.Mark):len(m.Mark)], both[len(m.Mark):]
+		ev.mark, ev.payload = both[:len(m.DeduplicationToken):len(m.DeduplicationToken)], both[len(m.DeduplicationToken):]
 	}
 	if !e.s.inbox.put(ev, true) {
 		e.refuse(ev)
@@ -140,7 +140,7 @@
 
 // Done hears the end of a hand-off; the payload is copied.
 func (e WorkerConnHandler) HandOffEnded(m *wire.Done) {
-	ev := event{kind: evDone, conn: e.c, id: m.ID, ended: m.Ended, held: m.Held, busy: m.Busy, served: m.Served}
+	ev := event{kind: evDone, conn: e.c, id: m.ID, ended: m.Ending, held: m.InFlight, busy: m.CPUUse, served: m.ServedRate}
 	if len(m.Payload) > 0 {
 		ev.buffer = borrow()
 		*ev.buffer = append((*ev.buffer)[:0], m.Payload...)
@@ -214,7 +214,7 @@
 type frames struct {
 	*Sentry
 	server *wire.Server
-	bounds wire.Bounds // no new orders change them
+	bounds wire.Limits // no new orders change them
 }
 
 func (f *frames) Listen(s *Sentry) (string, error) {
@@ -227,9 +227,9 @@
 	return server.Address, nil
 }
 
-func (f *frames) StopListening()            { f.server.StopListening() }
+func (f *frames) StopListening()            { f.server.RejectConnections() }
 func (f *frames) StopReading()              { f.server.StopReading() }
-func (f *frames) UnwrittenConnections() int { return f.server.Waiting() }
+func (f *frames) UnwrittenConnections() int { return f.server.LinksWithPendingWrites() }
 
 func (f *frames) Start() {
 	f.connect(f.desk)
@@ -244,7 +244,7 @@
 			u.link.Close(wire.ErrClosed)
 		}
 	}
-	f.server.Finish(linger, lingerMost)
+	f.server.FlushAndClose(linger, lingerMost)
 	f.server.Close()
 }
 
@@ -297,7 +297,7 @@
 // frameCaller is a Caller on frames.
 type frameCaller struct{ *wire.Link }
 
-func (f frameCaller) Answer(a *wire.Answer) bool { return f.PutOwed(wire.KindAnswer, a) }
+func (f frameCaller) Answer(a *wire.Answer) bool { return f.PutUnbounded(wire.KindAnswer, a) }
 
 // frameWay is a Way on frames: hand-offs in any order, and a worker told of what is given up.
 type frameWay struct {
@@ -306,13 +306,13 @@
 }
 
 func (f *frameWay) SendHello() {
-	f.PutProto(wire.KindHello, &pb.Hello{Version: wire.Version, Role: pb.Hello_SENTRY, Position: uint32(f.s.orders.Position),
+	f.PutProto(wire.KindHello, &pb.Hello{Version: wire.ProtocolVersion, Role: pb.Hello_SENTRY, Position: uint32(f.s.orders.Position),
 		Zone: f.s.book.zoneName(f.s.orders.Zone)})
 }
 
 func (f *frameWay) SendWork(m *wire.Work) bool { return f.Put(wire.KindWork, m) }
-func (f *frameWay) SendProbe(id uint64)        { f.Put(wire.KindProbe, &wire.Plain{ID: id}) }
+func (f *frameWay) SendProbe(id uint64)        { f.Put(wire.KindProbe, &wire.IDMessage{ID: id}) }
 
-func (f *frameWay) Cancel(id uint64)            { f.Put(wire.KindCancel, &wire.Plain{ID: id}) }
+func (f *frameWay) Cancel(id uint64)            { f.Put(wire.KindCancel, &wire.IDMessage{ID: id}) }
 func (f *frameWay) MayHaveReceived(uint64) bool { return true }
 func (f *frameWay) AnswerStarted(uint64) bool   { return false }
--- a/internal/sentry/rig_test.go
+++ b/internal/sentry/rig_test.go
@@ -94,9 +94,9 @@
 type rig struct {
 	t       *testing.T
 	s       *Sentry
-	stage   *standin.Stage
-	list    *standin.List
-	desk    *standin.Desk
+	stage   *standin.Environment
+	list    *standin.Discovery
+	desk    *standin.ControlPlane
 	sheet   *orders.Settings
 	text    string // of the sheet, without routes
 	log     *logBuffer
@@ -125,9 +125,9 @@
 
 type still struct{}
 
-func (still) Reach(logic.BuildID, float64) bool { return true }
-func (still) Release(logic.BuildID)             {}
-func (still) Recall(logic.BuildID)              {}
+func (still) RollOut(logic.BuildID, float64) bool { return true }
+func (still) DrainEarlierBuilds(logic.BuildID)    {}
+func (still) DrainBuild(logic.BuildID)            {}
 
 type rigPlan struct {
 	copies, noList, pushed bool
@@ -166,9 +166,9 @@
 		Profiles: []logic.Profile{{DueTime: 200_000, OuterLimit: 600_000},
 			{DueTime: 200_000, OuterLimit: 600_000, Repeat: logic.Labelled, Window: 500_000},
 			{DueTime: 200_000, OuterLimit: 600_000, Repeat: logic.Irreversible}}}
-	r.stage = standin.NewStage(o, []string{"here", "there"}, 1)
-	r.list = standin.NewList(r.stage)
-	r.desk = standin.NewDesk(r.stage, still{}, 10)
+	r.stage = standin.NewEnvironment(o, []string{"here", "there"}, 1)
+	r.list = standin.NewDiscovery(r.stage)
+	r.desk = standin.NewControlPlane(r.stage, still{}, 10)
 	if err := r.list.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -270,11 +270,11 @@
 
 func (r *rig) workerThat(id string, welcomes bool, script func(l *wire.Link, m *wire.Work)) *wire.Server {
 	r.t.Helper()
-	server, err := wire.Serve("127.0.0.1:0", wire.DefaultBounds, func(*wire.Link) (wire.Handler, func(*wire.Link, error)) {
+	server, err := wire.Serve("127.0.0.1:0", wire.DefaultLimits, func(*wire.Link) (wire.Handler, func(*wire.Link, error)) {
 		return func(l *wire.Link, kind wire.Kind, body []byte) error {
 			switch {
 			case kind == wire.KindHello && welcomes:
-				l.Send(wire.KindWelcome, &pb.Welcome{Version: wire.Version})
+				l.Send(wire.KindWelcome, &pb.Welcome{Version: wire.ProtocolVersion})
 			case kind == wire.KindWork:
 				var m wire.Work
 				if err := m.Read(body); err != nil {
@@ -300,7 +300,7 @@
 // tell lists workers and waits until the sentry knows.
 func (r *rig) tell(lines ...*pb.Line) {
 	r.t.Helper()
-	r.list.TellNow(lines, 0)
+	r.list.ReportLines(lines, 0)
 	if r.s == nil {
 		return
 	}
@@ -314,7 +314,7 @@
 }
 
 func reply(l *wire.Link, m *wire.Work, ended pb.Ended) {
-	l.Put(wire.KindDone, &wire.Done{ID: m.ID, Ended: uint32(ended), Payload: m.Payload})
+	l.Put(wire.KindDone, &wire.Done{ID: m.ID, Ending: uint32(ended), Payload: m.Payload})
 	l.Flush()
 }
 
@@ -329,7 +329,7 @@
 func (r *rig) caller() *caller {
 	r.t.Helper()
 	c := &caller{r: r, answers: make(chan wire.Answer, 10_000), closed: make(chan error, 1)}
-	link, err := wire.Dial(r.s.Address(), time.Second, wire.DefaultBounds,
+	link, err := wire.Dial(r.s.Address(), time.Second, wire.DefaultLimits,
 		func(_ *wire.Link, _ wire.Kind, body []byte) error {
 			var m wire.Answer
 			err := m.Read(body)
@@ -342,12 +342,12 @@
 	}
 	c.link = link
 	r.t.Cleanup(func() { link.Close(wire.ErrClosed) })
-	link.Send(wire.KindHello, &pb.Hello{Version: wire.Version})
+	link.Send(wire.KindHello, &pb.Hello{Version: wire.ProtocolVersion})
 	return c
 }
 
 func (c *caller) ask(id uint64, profile uint32) {
-	c.link.Put(wire.KindAsk, &wire.Ask{ID: id, Profile: profile, Key: []byte(fmt.Sprint("k", id)), Left: 400_000,
+	c.link.Put(wire.KindAsk, &wire.Ask{ID: id, Profile: profile, Key: []byte(fmt.Sprint("k", id)), Timeout: 400_000,
 		Payload: []byte(fmt.Sprint("p", id))})
 	c.link.Flush()
 }
--- a/internal/sentry/routing_test.go
+++ b/internal/sentry/routing_test.go
@@ -36,7 +36,7 @@
 	if attributes == nil {
 		attributes = []byte{}
 	}
-	c.link.Put(wire.KindAsk, &wire.Ask{ID: id, Left: 400_000, Payload: []byte(fmt.Sprint("p", id)), Attributes: attributes})
+	c.link.Put(wire.KindAsk, &wire.Ask{ID: id, Timeout: 400_000, Payload: []byte(fmt.Sprint("p", id)), Attributes: attributes})
 	c.link.Flush()
 }
 
@@ -164,7 +164,7 @@
 			wrong++
 		}
 		mu.Unlock()
-		if m.Number == 0 && len(id)%2 == 0 {
+		if m.HandOffNumber == 0 && len(id)%2 == 0 {
 			reply(l, m, pb.Ended_TURNED_AWAY)
 			return
 		}
--- a/internal/sentry/sentry.go
+++ b/internal/sentry/sentry.go
@@ -176,8 +176,8 @@
 	return s, nil
 }
 
-func (s *Sentry) bounds() wire.Bounds {
-	return wire.Bounds{Frame: s.sheet.Bounds.FrameBytes, Pending: s.sheet.Bounds.UnwrittenBytes}
+func (s *Sentry) bounds() wire.Limits {
+	return wire.Limits{MaxFrameBytes: s.sheet.Bounds.FrameBytes, MaxPendingBytes: s.sheet.Bounds.UnwrittenBytes}
 }
 
 // Address is where the sentry listens.
@@ -558,7 +558,7 @@
 		ear.put(&e, &m)
 		return nil
 	case kind == wire.KindLeave && !c.peer:
-		var m wire.Plain
+		var m wire.IDMessage
 		if err := m.Read(body); err != nil {
 			return err
 		}
@@ -596,8 +596,8 @@
 	if err := unmarshal(body, &m); err != nil {
 		return err
 	}
-	if m.Version != wire.Version {
-		return fault("protocol version "+strconv.Itoa(int(m.Version)), strconv.Itoa(wire.Version))
+	if m.Version != wire.ProtocolVersion {
+		return fault("protocol version "+strconv.Itoa(int(m.Version)), strconv.Itoa(wire.ProtocolVersion))
 	}
 	switch m.Role {
 	case pb.Hello_CLIENT:
@@ -613,7 +613,7 @@
 	return nil
 }
 
-func fault(found, expected string) error { return &wire.FrameFault{Found: found, Expected: expected} }
+func fault(found, expected string) error { return &wire.FrameError{Found: found, Expected: expected} }
 
 func (s *Sentry) take(e *event) {
 	c := e.client
@@ -690,7 +690,7 @@
 			Dur("after_ms", span(s.now-t.came)).Msg("request ended without a server's answer")
 	}
 	a := &s.scratch.answer
-	*a = wire.Answer{ID: t.asked, Outcome: uint32(o), ComeBack: uint64(comeBack), Payload: payload, Worker: worker,
+	*a = wire.Answer{ID: t.asked, Outcome: uint32(o), RetryAfter: uint64(comeBack), Payload: payload, Worker: worker,
 		Profile: t.profile}
 	s.put(t.client, a)
 	s.breachAnswer(t, a)
--- a/internal/sentry/sentry_test.go
+++ b/internal/sentry/sentry_test.go
@@ -50,7 +50,7 @@
 		}, logic.Broken, pb.Outcome_WRITTEN_OFF},
 		{"cancelled", rigPlan{copies: true, handOffs: 2}, 0, func(r *rig) {
 			script := func(l *wire.Link, m *wire.Work) {
-				if m.Number == 1 || string(m.Payload) != "p1" {
+				if m.HandOffNumber == 1 || string(m.Payload) != "p1" {
 					reply(l, m, pb.Ended_ANSWERED)
 				}
 			}
@@ -86,7 +86,7 @@
 			r.s.Inspect(func() { w := r.s.workers["w"]; waits = w != nil && len(w.waiting) == 1 })
 			return waits
 		})
-		c.link.Put(wire.KindLeave, &wire.Plain{ID: 1})
+		c.link.Put(wire.KindLeave, &wire.IDMessage{ID: 1})
 		c.link.Flush()
 		r.s.Inspect(func() {})
 		r.wait("the client's leaving", func() bool { return r.seen(input.ClientLeft) == 1 })
@@ -238,7 +238,7 @@
 	c := r.caller()
 	big := make([]byte, 256<<10)
 	for id := uint64(1); id < 200 && !r.ended(logic.Unconnected); id++ {
-		c.link.Put(wire.KindAsk, &wire.Ask{ID: id, Profile: 2, Left: 250_000, Payload: big})
+		c.link.Put(wire.KindAsk, &wire.Ask{ID: id, Profile: 2, Timeout: 250_000, Payload: big})
 		c.link.Flush()
 		if a := c.answer(); a.Outcome == uint32(pb.Outcome_SATISFIED) {
 			t.Fatal("satisfied by a worker that reads nothing")
@@ -262,7 +262,7 @@
 		body int
 	}
 	heard := make(chan said, 100)
-	peer, err := wire.Serve("127.0.0.1:0", wire.DefaultBounds, func(*wire.Link) (wire.Handler, func(*wire.Link, error)) {
+	peer, err := wire.Serve("127.0.0.1:0", wire.DefaultLimits, func(*wire.Link) (wire.Handler, func(*wire.Link, error)) {
 		hello := &pb.Hello{}
 		return func(_ *wire.Link, kind wire.Kind, body []byte) error {
 			m := &pb.Say{}
@@ -300,7 +300,7 @@
 		return out
 	}
 	r := newRig(t, rigPlan{peer: peer.Address, decide: decide})
-	server, err := wire.Serve("127.0.0.1:0", wire.DefaultBounds, func(*wire.Link) (wire.Handler, func(*wire.Link, error)) {
+	server, err := wire.Serve("127.0.0.1:0", wire.DefaultLimits, func(*wire.Link) (wire.Handler, func(*wire.Link, error)) {
 		return func(l *wire.Link, kind wire.Kind, body []byte) error {
 			var m wire.Work
 			switch kind {
@@ -344,8 +344,8 @@
 		t.Error("nothing said of a message of 257 bytes")
 	}
 	from := r.caller() // a client may not speak as a peer does, and a peer says who it is
-	from.link.Put(wire.KindLeave, &wire.Plain{ID: 1})
-	other, err := wire.Dial(r.s.Address(), time.Second, wire.DefaultBounds, nil, nil)
+	from.link.Put(wire.KindLeave, &wire.IDMessage{ID: 1})
+	other, err := wire.Dial(r.s.Address(), time.Second, wire.DefaultLimits, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -463,7 +463,7 @@
 	server := first.worker("w", good)
 	young := line("cold", server.Address)
 	young.Young, young.Age, young.Life = true, 1000, 4
-	first.list.TellNow([]*pb.Line{young}, first.stage.Now())
+	first.list.ReportLines([]*pb.Line{young}, first.stage.Now())
 	first.wait("the saved list", func() bool {
 		data, err := os.ReadFile(memory)
 		if err != nil {
@@ -509,12 +509,12 @@
 	t.Parallel()
 	{
 		r := newRig(t, rigPlan{})
-		r.desk.Set(func(d *standin.Desk) { d.Deny, d.Quiet = true, quiet })
+		r.desk.Set(func(d *standin.ControlPlane) { d.Deny, d.Silent = true, quiet })
 		r.worker("w", good)
 		trial := line("t", r.worker("w2", good).Address)
 		trial.Build = 11
 		r.tell(trial)
-		r.desk.Offer(11)
+		r.desk.StartTrial(11)
 		c := r.caller()
 		id, asked := uint64(0), r.s.CounterValues("votes_total")["0"]
 		r.wait("votes that are asked again", func() bool {
@@ -523,15 +523,15 @@
 			c.want(id, pb.Outcome_SATISFIED)
 			return r.s.CounterValues("votes_total")["0"] >= asked+2
 		})
-		if s := r.desk.State(); s.Phase != logic.OnTrial || s.Stage != 0 {
+		if s := r.desk.Status(); s.Phase != logic.OnTrial || s.Stage != 0 {
 			t.Errorf("refused votes moved the build: %+v", s)
 		}
-		r.desk.Set(func(d *standin.Desk) { d.Deny, d.Quiet = false, false })
+		r.desk.Set(func(d *standin.ControlPlane) { d.Deny, d.Silent = false, false })
 		r.wait("the next stage", func() bool {
 			id++
 			c.ask(id, 0)
 			c.want(id, pb.Outcome_SATISFIED)
-			return r.desk.State().Stage == 1
+			return r.desk.Status().Stage == 1
 		})
 	}
 }
@@ -762,7 +762,7 @@
 	gone := line("other", elsewhere.Address)
 	gone.State = pb.Line_GONE
 	r.tell(gone)
-	r.list.TellNow([]*pb.Line{line("w", elsewhere.Address)}, 0)
+	r.list.ReportLines([]*pb.Line{line("w", elsewhere.Address)}, 0)
 	r.wait("the new address", func() (known bool) {
 		r.s.Inspect(func() { known = r.s.workers["w"].address == elsewhere.Address })
 		return known
--- a/internal/sentry/switch_test.go
+++ b/internal/sentry/switch_test.go
@@ -89,29 +89,29 @@
 // orders, and with the drains told earlier, it finds the same record to break them.
 func TestSwitchesUnderLoad(t *testing.T) {
 	r := newRig(t, rigPlan{handOffs: 3})
-	r.stage.SetBuild(11, standin.Make{Speed: 1, Errors: 0.02, Profile: -1})
+	r.stage.SetBuildBehavior(11, standin.BuildBehavior{RelativeSpeed: 1, ErrorShare: 0.02, FailingProfile: -1})
 	var drains []*standin.Worker
 	for i, b := range []logic.BuildID{10, 10, 10, 10, 10, 11, 11} {
 		w := standin.NewWorker(r.stage, logic.Worker{ID: logic.WorkerID("s" + string(rune('0'+i))), Build: b, Size: 1}, 4, 1)
-		w.Cold, w.NoHeld = 2_000_000, i%2 == 0 // and it is warm
+		w.WarmUp, w.OmitsInFlight = 2_000_000, i%2 == 0 // and it is warm
 		if err := w.Start(true); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(w.Stop)
-		if r.list.Tell(w, logic.Ready); i < 2 {
+		if r.list.ReportWorker(w, logic.Ready); i < 2 {
 			drains = append(drains, w)
 		}
 	}
-	r.desk.Set(func(d *standin.Desk) { d.Deny = true }) // the trial stays where it is
-	r.desk.Offer(11)
+	r.desk.Set(func(d *standin.ControlPlane) { d.Deny = true }) // the trial stays where it is
+	r.desk.StartTrial(11)
 	r.wait("the trial at the sentry", func() (on bool) {
 		r.s.Inspect(func() { on = r.s.book.news.Build == 11 && len(r.s.workers) == 7 })
 		return on
 	})
-	load := standin.Load{PerSecond: 300, Keys: 500, Zipf: 0.7, Retries: 1, Backoff: 20 * time.Millisecond, TryShare: 0.9,
-		Profiles: []standin.Mix{{Share: 0.4, Work: 4_000}, {Share: 0.3, Work: 4_000}, {Share: 0.3, Work: 4_000}}}
-	callers := standin.NewCallers(r.stage, "c/", load, 1, map[logic.SentryID]string{0: r.s.Address()}, []logic.SentryID{0}, 3)
-	r.stage.See(audit.Event{Kind: audit.SentryUp})
+	load := standin.Workload{PerSecond: 300, KeyCount: 500, ZipfExponent: 0.7, MaxRetries: 1, Backoff: 20 * time.Millisecond, TryTimeoutShare: 0.9,
+		Profiles: []standin.ProfileLoad{{Share: 0.4, MeanWork: 4_000}, {Share: 0.3, MeanWork: 4_000}, {Share: 0.3, MeanWork: 4_000}}}
+	callers := standin.NewClientPool(r.stage, "c/", load, 1, map[logic.SentryID]string{0: r.s.Address()}, []logic.SentryID{0}, 3)
+	r.stage.Record(audit.Event{Kind: audit.SentryUp})
 	callers.Start()
 	there := r.changed(`free         = 2`, `free         = 1`, `window       = "2s"`, "window = \"1s\"\n  by_profile = true",
 		`hand_offs     = 3`, `hand_offs     = 2`, `drain_grace   = "500ms"`, `drain_grace = "100ms"`,
@@ -126,7 +126,7 @@
 	file := filepath.Join(t.TempDir(), "orders.hcl")
 	for i := range 200 {
 		if i == 60 || i == 130 { // one under either orders
-			r.list.Tell(drains[i/100], logic.Draining)
+			r.list.ReportWorker(drains[i/100], logic.Draining)
 		}
 		text, want := []string{there, r.text}[i/2%2], ""
 		if i%2 == 1 {
@@ -138,7 +138,7 @@
 		sheet, err := orders.LoadUpdate(file, r.s.Settings())
 		if from := r.stage.Now(); err == nil {
 			err = r.s.Reload(sheet)
-			r.stage.SeeAt(audit.Event{Kind: audit.Ordered, At: from, Span: r.stage.Now() - from, Orders: &sheet.Policy})
+			r.stage.RecordAt(audit.Event{Kind: audit.Ordered, At: from, Span: r.stage.Now() - from, Orders: &sheet.Policy})
 		}
 		if r.s.RecordReload(sheet, err); (err == nil) != (want == "") ||
 			err != nil && !(strings.Contains(err.Error(), want) && strings.Contains(err.Error(), "orders.hcl:")) {
@@ -150,9 +150,9 @@
 		t.Errorf("a sheet that was not read beside the running one was taken (%v)", err)
 	}
 	callers.Stop()
-	r.wait("the end of all that is open", func() bool { return callers.Open() == 0 })
+	r.wait("the end of all that is open", func() bool { return callers.OpenTries() == 0 })
 	callers.Close()
-	events := r.stage.Events()
+	events := r.stage.StopRecording()
 	f, strict, seen := audit.Check(&r.sheet.Policy, 60_000, events), r.sheet.Policy, map[string]int{}
 	strict.FreeExposure, strict.ExposureByProfile = -20, true
 	early := append([]audit.Event(nil), events...)
--- a/internal/sentry/upstream.go
+++ b/internal/sentry/upstream.go
@@ -41,7 +41,7 @@
 	}
 	u.dialing = true
 	limit, bounds := max(span(s.orders.ConnectLimit), 250*time.Millisecond), s.bounds()
-	bounds.Frame = wire.MostFrame
+	bounds.MaxFrameBytes = wire.MaxFrameBytes
 	go func() {
 		link, err := wire.Dial(u.address, limit, bounds,
 			func(_ *wire.Link, kind wire.Kind, body []byte) error { return s.fromUpstream(u, kind, body) },
@@ -63,7 +63,7 @@
 		return
 	}
 	u.link, u.retry = link, 0
-	link.PutProto(wire.KindHello, &pb.Hello{Version: wire.Version, Role: u.role,
+	link.PutProto(wire.KindHello, &pb.Hello{Version: wire.ProtocolVersion, Role: u.role,
 		Position: uint32(s.orders.Position), Zone: s.book.zoneName(s.orders.Zone)})
 	s.dirty = append(s.dirty, link)
 	s.log.Info().Str("to", u.name).Msg("connected")
--- a/internal/sentry/workers.go
+++ b/internal/sentry/workers.go
@@ -169,8 +169,8 @@
 		m := &s.scratch.work
 		s.scratch.name = append(s.scratch.name[:0], t.id...)
 		s.scratch.key = append(s.scratch.key[:0], t.key...)
-		*m = wire.Work{ID: id, Profile: t.profile, Key: s.scratch.key, Left: uint64(h.until - s.now),
-			Mark: t.mark, Payload: t.payload, Transaction: s.scratch.name, Number: uint32(n), Hint: t.hint}
+		*m = wire.Work{ID: id, Profile: t.profile, Key: s.scratch.key, Timeout: uint64(h.until - s.now),
+			DeduplicationToken: t.mark, Payload: t.payload, Transaction: s.scratch.name, HandOffNumber: uint32(n), ExpectedWork: t.hint}
 		if !c.link.SendWork(m) { // nothing of it has left: another connection may take it
 			tried = append(tried, c)
 			continue
@@ -413,8 +413,8 @@
 		if err := m.Read(body); err != nil {
 			return err
 		}
-		if m.Ended > uint32(pb.Ended_TURNED_AWAY) {
-			return fault("ending "+strconv.Itoa(int(m.Ended)), "0 to 2")
+		if m.Ending > uint32(pb.Ended_TURNED_AWAY) {
+			return fault("ending "+strconv.Itoa(int(m.Ending)), "0 to 2")
 		}
 		ear.HandOffEnded(&m)
 		return nil
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -22,7 +22,7 @@
 	sent     time.Time // of its last byte
 	end      uint64    // where its last byte stands on the connection
 	answered time.Time // zero if it has no answer
-	fate     Fate
+	fate     Outcome
 }
 
 // client keeps requests open on one connection at a time.
@@ -92,7 +92,7 @@
 func (x *connection) write() {
 	for {
 		x.mu.Lock()
-		for len(x.open) >= x.plan.Open && !x.ended {
+		for len(x.open) >= x.plan.MaxOpenRequests && !x.ended {
 			x.free.Wait()
 		}
 		ended := x.ended
@@ -100,8 +100,8 @@
 		if ended || x.run.over() {
 			return
 		}
-		if x.plan.Pause > 0 {
-			time.Sleep(time.Duration(x.random.Int64N(int64(x.plan.Pause))))
+		if x.plan.MaxPause > 0 {
+			time.Sleep(time.Duration(x.random.Int64N(int64(x.plan.MaxPause))))
 		}
 		if !x.writeOne() {
 			return
@@ -113,9 +113,9 @@
 func (x *connection) writeOne() bool {
 	x.requests++
 	id := fmt.Sprintf("%s.%d", x.name, x.requests)
-	text := command("Q.ASK", keyFor(id, x.plan.Answer), id, fmt.Sprintf("c=read,d=%d", x.run.plan.Deadline.Milliseconds()),
-		x.filler[:x.plan.Body])
-	for piece := x.plan.Piece; piece > 0 && len(text) > piece; text = text[piece:] {
+	text := command("Q.ASK", keyFor(id, x.plan.AnswerBytes), id, fmt.Sprintf("c=read,d=%d", x.run.plan.Deadline.Milliseconds()),
+		x.filler[:x.plan.BodyBytes])
+	for piece := x.plan.ChunkBytes; piece > 0 && len(text) > piece; text = text[piece:] {
 		if !x.put(text[:piece]) {
 			return false
 		}
@@ -153,8 +153,8 @@
 func (x *connection) read() (reset bool) {
 	in := newMessages(x.conn, false)
 	for {
-		if x.plan.ReadDelay > 0 {
-			time.Sleep(time.Duration(x.delays.Int64N(int64(x.plan.ReadDelay))))
+		if x.plan.MaxReadDelay > 0 {
+			time.Sleep(time.Duration(x.delays.Int64N(int64(x.plan.MaxReadDelay))))
 		}
 		values, err := in.next()
 		var malformed *resp.ProtocolError
@@ -194,7 +194,7 @@
 	switch {
 	case v.Kind == resp.BulkString && id != r.id:
 		r.fate = Skipped
-	case r.answered.Sub(due) > x.run.plan.Deadline+lateBy && x.plan.ReadDelay == 0:
+	case r.answered.Sub(due) > x.run.plan.Deadline+lateBy && x.plan.MaxReadDelay == 0:
 		r.fate = Late
 	case v.Kind == resp.BulkString:
 		r.fate = Served
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -28,41 +28,41 @@
 
 // Plan is one run, drawn from its seed.
 type Plan struct {
-	Seed        uint64
-	Deadline    time.Duration // of every request
-	Servers     []ServerPlan
-	Clients     []ClientPlan
-	Descriptors int
-	Lives       []LifePlan // one for each start of the process
-	Break       string     // how the process is to break a promise, empty if not at all
+	Seed           uint64
+	Deadline       time.Duration // of every request
+	Servers        []ServerPlan
+	Clients        []ClientPlan
+	MaxDescriptors int
+	Processes      []ProcessPlan // one for each start of the process
+	InjectedFault  string        // how the process is to break a promise, empty if not at all
 }
 
 // ServerPlan is how one server answers.
 type ServerPlan struct {
-	Quick        time.Duration // how long most answers take
-	Slow         time.Duration
+	FastDelay    time.Duration // how long most answers take
+	SlowDelay    time.Duration
 	SlowPerMille uint64
-	Hang         time.Duration // longer than any deadline
+	HangDelay    time.Duration // longer than any deadline
 	HangPerMille uint64
 }
 
 // ClientPlan is how one client behaves.
 type ClientPlan struct {
-	Open      int           // requests that it keeps open on its connection
-	Pause     time.Duration // before the next request, at the most
-	Piece     int           // bytes that it writes at a time, 0 for whole commands
-	Body      int           // bytes of a request's body
-	Answer    int           // bytes of an answer
-	ReadDelay time.Duration // before each read, at the most
+	MaxOpenRequests int           // requests that it keeps open on its connection
+	MaxPause        time.Duration // before the next request, at the most
+	ChunkBytes      int           // bytes that it writes at a time, 0 for whole commands
+	BodyBytes       int           // bytes of a request's body
+	AnswerBytes     int           // bytes of an answer
+	MaxReadDelay    time.Duration // before each read, at the most
 }
 
 // LifePlan is one life of the process, counted from when it was ready.
-type LifePlan struct {
-	Reloads   []time.Duration // SIGHUP
-	Terminate time.Duration   // SIGTERM
-	Repeats   []time.Duration // after it: further SIGTERM
-	ReloadsIn []time.Duration // after it: further SIGHUP
-	HeldUp    time.Duration   // after it: the process stands still for heldUp from then on, 0 if it never does
+type ProcessPlan struct {
+	ReloadTimes        []time.Duration // SIGHUP
+	TerminateAfter     time.Duration   // SIGTERM
+	RepeatedTerminates []time.Duration // after it: further SIGTERM
+	ReloadsInShutdown  []time.Duration // after it: further SIGHUP
+	PauseAfter         time.Duration   // after it: the process stands still for heldUp from then on, 0 if it never does
 }
 
 // Bounds of what is drawn.
@@ -79,9 +79,9 @@
 )
 
 // Draw makes the plan of a seed.
-func Draw(seed uint64) *Plan {
+func RandomPlan(seed uint64) *Plan {
 	r := rand.New(rand.NewPCG(seed, 0))
-	p := &Plan{Seed: seed, Descriptors: manyDescriptors, Deadline: []time.Duration{600, 900, 900, 1500, 5000}[r.IntN(5)] * time.Millisecond}
+	p := &Plan{Seed: seed, MaxDescriptors: manyDescriptors, Deadline: []time.Duration{600, 900, 900, 1500, 5000}[r.IntN(5)] * time.Millisecond}
 	for range 2 + r.IntN(4) {
 		p.Servers = append(p.Servers, drawServer(r))
 	}
@@ -89,13 +89,13 @@
 		p.Clients = append(p.Clients, drawClient(r))
 	}
 	if seed%crowdOneIn == 0 {
-		p.Descriptors = fewDescriptors
+		p.MaxDescriptors = fewDescriptors
 		for range crowdClients {
-			p.Clients = append(p.Clients, ClientPlan{Open: 1, Pause: mostPause, Answer: smallAnswer})
+			p.Clients = append(p.Clients, ClientPlan{MaxOpenRequests: 1, MaxPause: mostPause, AnswerBytes: smallAnswer})
 		}
 	}
 	for range 1 + r.IntN(2) {
-		p.Lives = append(p.Lives, drawLife(r))
+		p.Processes = append(p.Processes, drawLife(r))
 	}
 	p.drawHolds()
 	return p
@@ -107,50 +107,50 @@
 // drawHolds has the process held up once in about half of its ends, up to the time at which it is killed.
 func (p *Plan) drawHolds() {
 	r := rand.New(rand.NewPCG(p.Seed, holdsStream))
-	for i := range p.Lives {
+	for i := range p.Processes {
 		if r.IntN(2) == 0 {
-			p.Lives[i].HeldUp = time.Duration(1 + r.Int64N(int64(p.killAfter()-heldUp)))
+			p.Processes[i].PauseAfter = time.Duration(1 + r.Int64N(int64(p.killAfter()-heldUp)))
 		}
 	}
 }
 
 func drawServer(r *rand.Rand) ServerPlan {
-	return ServerPlan{Quick: time.Millisecond, Slow: 250 * time.Millisecond, SlowPerMille: r.Uint64N(100),
-		Hang: 2 * time.Second, HangPerMille: r.Uint64N(30)}
+	return ServerPlan{FastDelay: time.Millisecond, SlowDelay: 250 * time.Millisecond, SlowPerMille: r.Uint64N(100),
+		HangDelay: 2 * time.Second, HangPerMille: r.Uint64N(30)}
 }
 
 func drawClient(r *rand.Rand) ClientPlan {
-	c := ClientPlan{Open: []int{1, 2, 4, 8, mostOpen}[r.IntN(5)], Answer: smallAnswer}
+	c := ClientPlan{MaxOpenRequests: []int{1, 2, 4, 8, mostOpen}[r.IntN(5)], AnswerBytes: smallAnswer}
 	if r.IntN(2) == 0 {
-		c.Pause = time.Duration(r.Int64N(int64(mostPause)))
+		c.MaxPause = time.Duration(r.Int64N(int64(mostPause)))
 	}
 	if r.IntN(4) == 0 {
-		c.Piece = 1 + r.IntN(40)
+		c.ChunkBytes = 1 + r.IntN(40)
 	}
 	switch r.IntN(6) {
 	case 0:
-		c.Answer = 1 + r.IntN(greatestValue-64)
+		c.AnswerBytes = 1 + r.IntN(greatestValue-64)
 	case 1:
-		c.Body = 1 + r.IntN(greatestValue)
-		c.Piece *= 1024
+		c.BodyBytes = 1 + r.IntN(greatestValue)
+		c.ChunkBytes *= 1024
 	}
 	if r.IntN(5) == 0 {
-		c.ReadDelay = time.Duration(r.Int64N(int64(100 * time.Millisecond)))
+		c.MaxReadDelay = time.Duration(r.Int64N(int64(100 * time.Millisecond)))
 	}
 	return c
 }
 
-func drawLife(r *rand.Rand) LifePlan {
-	var l LifePlan
-	l.Terminate = 300*time.Millisecond + time.Duration(r.Int64N(int64(700*time.Millisecond)))
+func drawLife(r *rand.Rand) ProcessPlan {
+	var l ProcessPlan
+	l.TerminateAfter = 300*time.Millisecond + time.Duration(r.Int64N(int64(700*time.Millisecond)))
 	for range r.IntN(4) {
-		l.Reloads = append(l.Reloads, time.Duration(r.Int64N(int64(l.Terminate))))
+		l.ReloadTimes = append(l.ReloadTimes, time.Duration(r.Int64N(int64(l.TerminateAfter))))
 	}
 	for range r.IntN(3) {
-		l.ReloadsIn = append(l.ReloadsIn, time.Duration(r.Int64N(int64(time.Second))))
+		l.ReloadsInShutdown = append(l.ReloadsInShutdown, time.Duration(r.Int64N(int64(time.Second))))
 	}
 	if r.IntN(3) == 0 {
-		l.Repeats = append(l.Repeats, time.Duration(r.Int64N(int64(time.Second))))
+		l.RepeatedTerminates = append(l.RepeatedTerminates, time.Duration(r.Int64N(int64(time.Second))))
 	}
 	return l
 }
@@ -162,28 +162,28 @@
 
 func (p *Plan) String() string {
 	return fmt.Sprintf("seed %d: %d clients, %d servers, deadline %v, %d descriptors, %d lives",
-		p.Seed, len(p.Clients), len(p.Servers), p.Deadline, p.Descriptors, len(p.Lives))
+		p.Seed, len(p.Clients), len(p.Servers), p.Deadline, p.MaxDescriptors, len(p.Processes))
 }
 
 // Pipelines is a plan of clients that keep the same number of requests open on a connection, with one life and no reloads.
-func Pipelines(seed uint64, clients, open int, pause time.Duration, answer int) *Plan {
-	p := &Plan{Seed: seed, Deadline: 900 * time.Millisecond, Descriptors: manyDescriptors, Lives: []LifePlan{{Terminate: 2 * time.Second}}}
+func PipelinePlan(seed uint64, clients, open int, pause time.Duration, answer int) *Plan {
+	p := &Plan{Seed: seed, Deadline: 900 * time.Millisecond, MaxDescriptors: manyDescriptors, Processes: []ProcessPlan{{TerminateAfter: 2 * time.Second}}}
 	for range 4 {
-		p.Servers = append(p.Servers, ServerPlan{Quick: time.Millisecond, Slow: 250 * time.Millisecond, SlowPerMille: 2, Hang: 2 * time.Second, HangPerMille: 1})
+		p.Servers = append(p.Servers, ServerPlan{FastDelay: time.Millisecond, SlowDelay: 250 * time.Millisecond, SlowPerMille: 2, HangDelay: 2 * time.Second, HangPerMille: 1})
 	}
 	for range clients {
-		p.Clients = append(p.Clients, ClientPlan{Open: open, Pause: pause, Answer: answer})
+		p.Clients = append(p.Clients, ClientPlan{MaxOpenRequests: open, MaxPause: pause, AnswerBytes: answer})
 	}
 	return p
 }
 
 // Breaking is a plan on which the process has every occasion to break a promise: full pipelines, and servers that answer out
 // of turn now and then.
-func Breaking(seed uint64, breach string) *Plan {
-	p := Pipelines(seed, 8, 8, 0, smallAnswer)
+func FaultPlan(seed uint64, breach string) *Plan {
+	p := PipelinePlan(seed, 8, 8, 0, smallAnswer)
 	for i := range p.Servers {
 		p.Servers[i].SlowPerMille = 50
 	}
-	p.Break = breach
+	p.InjectedFault = breach
 	return p
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -34,7 +34,7 @@
 // configure writes the configuration's file.
 func configure(file string, p *Plan, listen, discovery, list string) error {
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":2,"memory_mb":64,
- "sockets":%d},"release_api":{"address":"127.0.0.1:1"},"known":%s,"settings":%s}`, listen, discovery, p.Descriptors, list,
+ "sockets":%d},"release_api":{"address":"127.0.0.1:1"},"known":%s,"settings":%s}`, listen, discovery, p.MaxDescriptors, list,
 		fmt.Sprintf(settings, p.Deadline/3, p.Deadline))
 	return os.WriteFile(file, []byte(text), 0o600)
 }
@@ -42,8 +42,8 @@
 // start runs the program and waits until it answers.
 func start(program []string, p *Plan, file, address string, log io.Writer) (*process, error) {
 	arguments := append(program[1:len(program):len(program)], "sentry", "--platform")
-	if p.Break != "" {
-		arguments = append(arguments, "--break", p.Break)
+	if p.InjectedFault != "" {
+		arguments = append(arguments, "--break", p.InjectedFault)
 	}
 	x := &process{command: exec.Command(program[0], arguments...), ended: make(chan struct{})}
 	// A program that is built with the race detector sleeps for a second as it ends, unless it is told not to.
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -34,8 +34,8 @@
 }
 
 // Play plays a plan.
-func Play(p *Plan, o Options) (*Result, error) {
-	x := &run{plan: p, seen: &attempts{counts: map[string]int{}}, finish: make(chan struct{}), result: &Result{Plan: p, Breaches: map[Breach]int{}}}
+func Run(p *Plan, o Options) (*Result, error) {
+	x := &run{plan: p, seen: &attempts{counts: map[string]int{}}, finish: make(chan struct{}), result: &Result{Plan: p, Violations: map[Violation]int{}}}
 	x.changed = sync.NewCond(&x.mu)
 	servers := []*server{}
 	for _, plan := range p.Servers {
@@ -81,7 +81,7 @@
 	}
 	defer clients.Wait()
 	defer x.end()
-	for _, life := range x.plan.Lives {
+	for _, life := range x.plan.Processes {
 		p, err := start(o.Program, x.plan, file, x.address, o.Log)
 		if err != nil {
 			return err
@@ -92,29 +92,29 @@
 }
 
 // live plays one life of the process to its end.
-func (x *run) live(p *process, life LifePlan) {
+func (x *run) live(p *process, life ProcessPlan) {
 	x.mu.Lock()
 	x.killedAt = time.Time{}
 	x.mu.Unlock()
 	x.accept(true)
-	x.during(p, life.Reloads, syscall.SIGHUP)
+	x.during(p, life.ReloadTimes, syscall.SIGHUP)
 	select {
 	case <-p.ended:
 		x.note(crash)
 		x.accept(false)
 		return
-	case <-time.After(life.Terminate):
+	case <-time.After(life.TerminateAfter):
 	}
 	x.mu.Lock()
 	x.terminated = time.Now()
 	terminated := x.terminated
 	x.mu.Unlock()
 	p.signal(syscall.SIGTERM)
-	x.during(p, life.ReloadsIn, syscall.SIGHUP)
-	x.during(p, life.Repeats, syscall.SIGTERM)
-	if life.HeldUp > 0 {
-		x.during(p, []time.Duration{life.HeldUp}, syscall.SIGSTOP)
-		x.during(p, []time.Duration{life.HeldUp + heldUp}, syscall.SIGCONT)
+	x.during(p, life.ReloadsInShutdown, syscall.SIGHUP)
+	x.during(p, life.RepeatedTerminates, syscall.SIGTERM)
+	if life.PauseAfter > 0 {
+		x.during(p, []time.Duration{life.PauseAfter}, syscall.SIGSTOP)
+		x.during(p, []time.Duration{life.PauseAfter + heldUp}, syscall.SIGCONT)
 	}
 	newConnections := leastNewConnections + time.Duration(x.plan.Seed%2)*(mostNewConnections-leastNewConnections)
 	time.AfterFunc(newConnections, func() { x.accept(false) })
@@ -123,7 +123,7 @@
 	case <-time.After(time.Until(terminated.Add(x.plan.killAfter()))):
 		x.mu.Lock()
 		x.killedAt = time.Now()
-		x.result.Breaches[notEnded]++
+		x.result.Violations[notEnded]++
 		x.mu.Unlock()
 		p.kill()
 	}
@@ -131,8 +131,8 @@
 	time.Sleep(time.Until(terminated.Add(newConnections + reconnectPause)))
 	time.Sleep(resetWithin) // connections that the end has cut are told of as of this life
 	x.mu.Lock()
-	x.result.Ended = append(x.result.Ended, ended)
-	x.result.Memory = max(x.result.Memory, p.memory.Load())
+	x.result.ShutdownTimes = append(x.result.ShutdownTimes, ended)
+	x.result.MaxMemory = max(x.result.MaxMemory, p.memory.Load())
 	x.mu.Unlock()
 }
 
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -131,11 +131,11 @@
 	io.WriteString(h, id)
 	switch drawn := h.Sum64() % 1000; {
 	case drawn < s.plan.HangPerMille:
-		return s.plan.Hang
+		return s.plan.HangDelay
 	case drawn < s.plan.HangPerMille+s.plan.SlowPerMille:
-		return s.plan.Slow
+		return s.plan.SlowDelay
 	}
-	return s.plan.Quick
+	return s.plan.FastDelay
 }
 
 // A request's key ends with how many bytes its answer is to have.
--- a/internal/wire/detach.go
+++ b/internal/wire/detach.go
@@ -154,7 +154,7 @@
 
 // StopReading has nothing more read than the rest of the message that has come in part. It is called on the poller, once.
 // missing gives the bytes that a part lacks at the least. False says that the system can't do it now.
-func (l *Link) StopReading(missing func(part []byte) int) bool {
+func (l *Link) StopReadingAtMessageEnd(missing func(part []byte) int) bool {
 	l.missing, l.stopped = missing, true
 	mode := readNone
 	if len(l.carry) > 0 {
@@ -164,12 +164,12 @@
 }
 
 // stopReadingNow has nothing more read at all, on the poller. It waits for a read in hand.
-func (l *Link) stopReadingNow() {
+func (l *Link) stopAllReading() {
 	if !l.stopped {
 		l.stopped = true
 		l.detach(readNone)
 	}
-	l.EndReading()
+	l.StopReadingNow()
 }
 
 // attach gives a detached link back to the dependency, on the poller.
@@ -195,7 +195,7 @@
 }
 
 // EndReading has nothing more read at all, after StopReading. It waits for a read in hand.
-func (l *Link) EndReading() {
+func (l *Link) StopReadingNow() {
 	l.readMu.Lock()
 	defer l.readMu.Unlock()
 	l.endReading()
@@ -269,7 +269,7 @@
 // other side has ended its own. It is called after StopReading. A close over what stands unread resets the connection, and
 // would take answers with it that have not arrived: where the other side goes on, the close waits until it has acknowledged
 // all and linger has passed, and where something of it stands unread for most.
-func (l *Link) Finish(reason error, linger, most time.Duration) {
+func (l *Link) FlushAndClose(reason error, linger, most time.Duration) {
 	l.WhenWritten(func() {
 		l.fdMu.Lock()
 		if !l.gone {
@@ -279,7 +279,7 @@
 		began := time.Now()
 		var lingered func()
 		lingered = func() {
-			if l.unacknowledged() > 0 || !l.Quiet() && !l.isGone() && time.Since(began) < most {
+			if l.unacknowledged() > 0 || !l.IsReadIdle() && !l.isGone() && time.Since(began) < most {
 				time.AfterFunc(linger, lingered)
 				return
 			}
--- a/internal/wire/detach_race_test.go
+++ b/internal/wire/detach_race_test.go
@@ -16,11 +16,11 @@
 func TestResetWhileReadingStops(t *testing.T) {
 	var mu sync.Mutex
 	links := map[*Link]bool{}
-	server, err := ServeRaw("127.0.0.1:0", DefaultBounds, func(l *Link) (Reader, func(*Link, error)) {
+	server, err := ServeRaw("127.0.0.1:0", DefaultLimits, func(l *Link) (DataHandler, func(*Link, error)) {
 		mu.Lock()
 		links[l] = true
 		mu.Unlock()
-		return func(l *Link, data []byte) ([]byte, error) { l.PutRawOwed(data); l.Flush(); return nil, nil },
+		return func(l *Link, data []byte) ([]byte, error) { l.PutRawUnbounded(data); l.Flush(); return nil, nil },
 			func(l *Link, _ error) { mu.Lock(); delete(links, l); mu.Unlock() }
 	})
 	if err != nil {
--- a/internal/wire/detach_test.go
+++ b/internal/wire/detach_test.go
@@ -11,10 +11,10 @@
 )
 
 // serveOne gives the first connection of a server of bytes, with a client's end of it whose socket takes little.
-func serveOne(t *testing.T, read Reader) (*Link, *net.TCPConn) {
+func serveOne(t *testing.T, read DataHandler) (*Link, *net.TCPConn) {
 	t.Helper()
 	links := make(chan *Link, 1)
-	server, err := ServeRaw("127.0.0.1:0", DefaultBounds, func(l *Link) (Reader, func(*Link, error)) {
+	server, err := ServeRaw("127.0.0.1:0", DefaultLimits, func(l *Link) (DataHandler, func(*Link, error)) {
 		links <- l
 		return read, nil
 	})
@@ -38,7 +38,7 @@
 // onPoller waits for f to have had its turn.
 func onPoller(f func()) {
 	done := make(chan struct{})
-	OnPoller(func() { f(); close(done) })
+	RunOnPoller(func() { f(); close(done) })
 	<-done
 }
 
@@ -54,10 +54,10 @@
 	answer := bytes.Repeat([]byte("x"), 256<<10)
 	l.PutRaw(answer)
 	l.Flush()
-	for l.Waiting() {
+	for l.HasPendingWrites() {
 		time.Sleep(time.Millisecond)
 	}
-	onPoller(func() { l.CloseUnread(ErrClosed, false) })
+	onPoller(func() { l.CloseIfIdle(ErrClosed, false) })
 	conn.Write([]byte("next"))
 	time.Sleep(50 * time.Millisecond)
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -67,7 +67,7 @@
 	}
 	closed := false
 	for end := time.Now().Add(5 * time.Second); !closed && time.Now().Before(end); time.Sleep(time.Millisecond) {
-		onPoller(func() { closed = l.CloseUnread(ErrClosed, false) })
+		onPoller(func() { closed = l.CloseIfIdle(ErrClosed, false) })
 	}
 	if !closed {
 		t.Error("the connection does not close though all has arrived")
@@ -90,10 +90,10 @@
 	conn.Write([]byte("11111111222"))
 	part := false
 	for !part {
-		onPoller(func() { part = l.InPart() })
+		onPoller(func() { part = l.HasPartialMessage() })
 	}
 	onPoller(func() {
-		if !l.StopReading(func(part []byte) int { return whole - len(part) }) {
+		if !l.StopReadingAtMessageEnd(func(part []byte) int { return whole - len(part) }) {
 			t.Error("it does not stop reading")
 		}
 	})
@@ -105,11 +105,11 @@
 		t.Fatal(err)
 	}
 	time.Sleep(50 * time.Millisecond)
-	l.EndReading()
+	l.StopReadingNow()
 	if got.String() != "1111111122222222" {
 		t.Errorf("read %q, expected two messages and nothing of the third", got.String())
 	}
-	l.Finish(ErrClosed, 10*time.Millisecond, time.Second)
+	l.FlushAndClose(ErrClosed, 10*time.Millisecond, time.Second)
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := conn.Read(answer); !errors.Is(err, io.EOF) {
 		t.Errorf("%v at the end of the stream", err)
@@ -129,7 +129,7 @@
 func TestClientGoneWhileNothingIsRead(t *testing.T) {
 	l, conn := serveOne(t, func(*Link, []byte) ([]byte, error) { return nil, nil })
 	conn.Write([]byte("x"))
-	onPoller(func() { l.StopReading(func([]byte) int { return 1 }) })
+	onPoller(func() { l.StopReadingAtMessageEnd(func([]byte) int { return 1 }) })
 	conn.Write([]byte("unread"))
 	conn.Close()
 	for end := time.Now().Add(time.Second); !l.Dead(); time.Sleep(time.Millisecond) {
--- a/internal/wire/dial_test.go
+++ b/internal/wire/dial_test.go
@@ -78,7 +78,7 @@
 			faultyDials(t, c.socket, c.connect)
 			for range 20 {
 				got := make(chan string, 1)
-				l, err := DialRaw(address, 5*time.Second, DefaultBounds, func(_ *Link, data []byte) ([]byte, error) {
+				l, err := DialRaw(address, 5*time.Second, DefaultLimits, func(_ *Link, data []byte) ([]byte, error) {
 					got <- string(data)
 					return nil, nil
 				}, nil)
@@ -105,12 +105,12 @@
 	defer stop()
 	for _, fault := range []error{syscall.ECONNREFUSED, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ETIMEDOUT} {
 		sockets := faultyDials(t, fine, func(int64) (error, bool) { return fault, false })
-		if _, err := DialRaw(address, time.Minute, DefaultBounds, nil, nil); !errors.Is(err, fault) || sockets.Load() != 1 {
+		if _, err := DialRaw(address, time.Minute, DefaultLimits, nil, nil); !errors.Is(err, fault) || sockets.Load() != 1 {
 			t.Errorf("found %v after %d sockets, expected %v after one", err, sockets.Load(), fault)
 		}
 	}
 	sockets := faultyDials(t, func(int64) error { return syscall.ENOBUFS }, connects)
-	if _, err := DialRaw(address, 100*time.Millisecond, DefaultBounds, nil, nil); !errors.Is(err, syscall.ENOBUFS) || sockets.Load() > 20 {
+	if _, err := DialRaw(address, 100*time.Millisecond, DefaultLimits, nil, nil); !errors.Is(err, syscall.ENOBUFS) || sockets.Load() > 20 {
 		t.Errorf("found %v after %d sockets, expected %v after few", err, sockets.Load(), syscall.ENOBUFS)
 	}
 }
@@ -123,7 +123,7 @@
 	}
 	nobody := l.Addr().String()
 	l.Close()
-	if _, err := DialRaw(nobody, time.Second, DefaultBounds, nil, nil); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := DialRaw(nobody, time.Second, DefaultLimits, nil, nil); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("found %v, expected a refused connection", err)
 	}
 }
--- a/internal/wire/flow.go
+++ b/internal/wire/flow.go
@@ -12,28 +12,28 @@
 const slowReaderAfter = 10 * time.Second
 
 // Budget bounds what waits on the links of a server together.
-type Budget struct {
+type BufferBudget struct {
 	used atomic.Int64
 	most int64
 }
 
 // NewBudget makes a budget of so many bytes.
-func NewBudget(most int64) *Budget { return &Budget{most: most} }
+func NewBufferBudget(most int64) *BufferBudget { return &BufferBudget{most: most} }
 
 // Left is how many bytes more may wait; under 0 if more waits already.
-func (b *Budget) Left() int64 { return b.most - b.used.Load() }
+func (b *BufferBudget) Remaining() int64 { return b.most - b.used.Load() }
 
 // Hold says that the owner holds so many bytes more for the other side, or fewer, which it has not put yet.
-func (l *Link) Hold(bytes int) {
+func (l *Link) AddBuffered(bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held += int64(bytes)
+	l.buffered += int64(bytes)
 	l.account()
 }
 
 // account counts what waits, and has reading stop or go on by it. The lock is held.
 func (l *Link) account() {
-	waits := l.put - l.written + l.held
+	waits := l.put - l.written + l.buffered
 	if l.dead {
 		waits = 0
 	}
@@ -50,7 +50,7 @@
 		l.full = false
 	}
 	if l.full != was {
-		OnPoller(l.pauseOrResume)
+		RunOnPoller(l.pauseOrResume)
 	}
 }
 
@@ -69,14 +69,14 @@
 }
 
 // Progress is how far the other side had come when it was last seen to take something.
-type Progress struct {
+type ReadProgress struct {
 	arrived int64
 	since   time.Time // zero if it was not looked at
 }
 
 // Stalled says that the other side does not read: for its link's SlowReaderAfter something has waited for it, its socket took
 // nothing of that, and its system acknowledged nothing. A progress of its own belongs to each time that something waits.
-func (l *Link) Stalled(p *Progress, now time.Time) bool {
+func (l *Link) PeerStalled(p *ReadProgress, now time.Time) bool {
 	unacknowledged := l.unacknowledged()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wire/flow_test.go
+++ b/internal/wire/flow_test.go
@@ -10,21 +10,21 @@
 )
 
 // answering is a server that owes a great answer to each byte that it reads.
-func answering(t *testing.T, b Bounds, bytes int) (address string, read *atomic.Int64, ended chan error) {
+func answering(t *testing.T, b Limits, bytes int) (address string, read *atomic.Int64, ended chan error) {
 	t.Helper()
 	read, ended = &atomic.Int64{}, make(chan error, 10)
 	answer := make([]byte, bytes)
 	inRow := 0 // reads one after the other that found too much waiting; the poller's
-	server, err := ServeRaw("127.0.0.1:0", b, func(*Link) (Reader, func(*Link, error)) {
+	server, err := ServeRaw("127.0.0.1:0", b, func(*Link) (DataHandler, func(*Link, error)) {
 		return func(l *Link, data []byte) ([]byte, error) {
-			if inRow++; b.Budget.Left() >= 0 {
+			if inRow++; b.Budget.Remaining() >= 0 {
 				inRow = 0
 			}
 			if inRow > 1 { // the turn that stops the reading may come behind one more read
 				t.Errorf("%d reads in a row while too much waits", inRow)
 			}
 			for range data {
-				if !l.PutRawOwed(answer) {
+				if !l.PutRawUnbounded(answer) {
 					t.Error("an answer was refused on a link that stands")
 				}
 			}
@@ -44,8 +44,8 @@
 // again.
 func TestReadingStopsWhileMuchWaits(t *testing.T) {
 	const answer, requests, most = 64 << 10, 400, 1 << 20
-	budget := NewBudget(most)
-	address, read, _ := answering(t, Bounds{Pending: most, Budget: budget}, answer)
+	budget := NewBufferBudget(most)
+	address, read, _ := answering(t, Limits{MaxPendingBytes: most, Budget: budget}, answer)
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -62,16 +62,16 @@
 		settled = now
 		time.Sleep(300 * time.Millisecond)
 	}
-	if settled == requests || budget.Left() > 0 {
-		t.Errorf("%d of %d requests were read, %d bytes of the budget are left", settled, requests, budget.Left())
+	if settled == requests || budget.Remaining() > 0 {
+		t.Errorf("%d of %d requests were read, %d bytes of the budget are left", settled, requests, budget.Remaining())
 	}
 	conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if n, err := io.CopyN(io.Discard, conn, requests*answer); err != nil {
 		t.Fatalf("%d of %d bytes: %v", n, requests*answer, err)
 	}
-	for end := time.Now().Add(time.Second); budget.Left() != most; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(time.Second); budget.Remaining() != most; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes of the budget are left at the end, expected all", budget.Left())
+			t.Fatalf("%d bytes of the budget are left at the end, expected all", budget.Remaining())
 		}
 	}
 }
@@ -80,8 +80,8 @@
 // waited for a client that has gone is no more in the budget.
 func TestSlowReaderIsLetGo(t *testing.T) {
 	const answer = 16 << 20
-	budget := NewBudget(answer)
-	address, _, ended := answering(t, Bounds{Pending: 1 << 20, Budget: budget, SlowReaderAfter: 300 * time.Millisecond}, answer)
+	budget := NewBufferBudget(answer)
+	address, _, ended := answering(t, Limits{MaxPendingBytes: 1 << 20, Budget: budget, SlowReaderTimeout: 300 * time.Millisecond}, answer)
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("a client that takes nothing was not let go")
 	}
-	if budget.Left() != answer {
-		t.Errorf("%d bytes of the budget are left, expected all", budget.Left())
+	if budget.Remaining() != answer {
+		t.Errorf("%d bytes of the budget are left, expected all", budget.Remaining())
 	}
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -11,7 +11,7 @@
 )
 
 // Version is that of the protocol.
-const Version = 1
+const ProtocolVersion = 1
 
 // Kind says which message a frame carries.
 type Kind uint8
@@ -40,15 +40,15 @@
 const (
 	headerSize = 5
 	// MostFrame bounds the message of any frame, in bytes: a list of some tens of thousands of workers fits.
-	MostFrame = 4 << 20
+	MaxFrameBytes = 4 << 20
 )
 
 // FrameFault is what was wrong with a frame.
-type FrameFault struct {
+type FrameError struct {
 	Found, Expected string
 }
 
-func (f *FrameFault) Error() string {
+func (f *FrameError) Error() string {
 	return fmt.Sprintf("frame: found %s, expected %s", f.Found, f.Expected)
 }
 
@@ -62,9 +62,9 @@
 	kind = Kind(data[4])
 	switch {
 	case size < 1 || size-1 > most:
-		return 0, nil, data, false, &FrameFault{fmt.Sprintf("length %d", size), fmt.Sprintf("1 to %d", most+1)}
+		return 0, nil, data, false, &FrameError{fmt.Sprintf("length %d", size), fmt.Sprintf("1 to %d", most+1)}
 	case kind < KindHello || kind >= kinds:
-		return 0, nil, data, false, &FrameFault{fmt.Sprintf("kind %d", kind), fmt.Sprintf("1 to %d", kinds-1)}
+		return 0, nil, data, false, &FrameError{fmt.Sprintf("kind %d", kind), fmt.Sprintf("1 to %d", kinds-1)}
 	case len(data) < 4+size:
 		return 0, nil, data, false, nil
 	}
--- a/internal/wire/hot.go
+++ b/internal/wire/hot.go
@@ -10,54 +10,54 @@
 
 // Ask is pb.Ask.
 type Ask struct {
-	ID      uint64
-	Profile uint32
-	Account uint32
-	Key     []byte
-	Left    uint64
-	Hint    uint64
-	Again   bool
-	Mark    []byte
-	Payload []byte
+	ID                 uint64
+	Profile            uint32
+	Account            uint32
+	Key                []byte
+	Timeout            uint64
+	ExpectedWork       uint64
+	Retry              bool
+	DeduplicationToken []byte
+	Payload            []byte
 
 	Attributes []byte // pb.Attributes, nil if there are none
 }
 
 // Answer is pb.Answer.
 type Answer struct {
-	ID       uint64
-	Outcome  uint32
-	ComeBack uint64
-	Payload  []byte
-	Worker   []byte
-	Profile  uint32
+	ID         uint64
+	Outcome    uint32
+	RetryAfter uint64
+	Payload    []byte
+	Worker     []byte
+	Profile    uint32
 }
 
 // Work is pb.Work.
 type Work struct {
-	ID          uint64
-	Profile     uint32
-	Key         []byte
-	Left        uint64
-	Mark        []byte
-	Payload     []byte
-	Transaction []byte
-	Number      uint32
-	Hint        uint64
+	ID                 uint64
+	Profile            uint32
+	Key                []byte
+	Timeout            uint64
+	DeduplicationToken []byte
+	Payload            []byte
+	Transaction        []byte
+	HandOffNumber      uint32
+	ExpectedWork       uint64
 }
 
 // Done is pb.Done.
 type Done struct {
-	ID      uint64
-	Ended   uint32
-	Held    uint32
-	Payload []byte
-	Busy    uint32
-	Served  uint32
+	ID         uint64
+	Ending     uint32
+	InFlight   uint32
+	Payload    []byte
+	CPUUse     uint32
+	ServedRate uint32
 }
 
 // Plain is pb.Leave, pb.Cancel and pb.Probe: one number.
-type Plain struct{ ID uint64 }
+type IDMessage struct{ ID uint64 }
 
 // Message is what a link can put into a frame.
 type Message interface{ appendTo([]byte) []byte }
@@ -81,10 +81,10 @@
 	b = number(b, 2, uint64(m.Profile))
 	b = number(b, 3, uint64(m.Account))
 	b = bytesField(b, 4, m.Key)
-	b = number(b, 5, m.Left)
-	b = number(b, 6, m.Hint)
-	b = number(b, 7, protowire.EncodeBool(m.Again))
-	b = bytesField(b, 8, m.Mark)
+	b = number(b, 5, m.Timeout)
+	b = number(b, 6, m.ExpectedWork)
+	b = number(b, 7, protowire.EncodeBool(m.Retry))
+	b = bytesField(b, 8, m.DeduplicationToken)
 	b = bytesField(b, 9, m.Payload)
 	if m.Attributes != nil { // that there are none is said too
 		b = protowire.AppendBytes(protowire.AppendTag(b, 10, protowire.BytesType), m.Attributes)
@@ -95,7 +95,7 @@
 func (m *Answer) appendTo(b []byte) []byte {
 	b = number(b, 1, m.ID)
 	b = number(b, 2, uint64(m.Outcome))
-	b = number(b, 3, m.ComeBack)
+	b = number(b, 3, m.RetryAfter)
 	b = bytesField(b, 4, m.Payload)
 	b = bytesField(b, 5, m.Worker)
 	return number(b, 6, uint64(m.Profile))
@@ -105,24 +105,24 @@
 	b = number(b, 1, m.ID)
 	b = number(b, 2, uint64(m.Profile))
 	b = bytesField(b, 3, m.Key)
-	b = number(b, 4, m.Left)
-	b = bytesField(b, 5, m.Mark)
+	b = number(b, 4, m.Timeout)
+	b = bytesField(b, 5, m.DeduplicationToken)
 	b = bytesField(b, 6, m.Payload)
 	b = bytesField(b, 7, m.Transaction)
-	b = number(b, 8, uint64(m.Number))
-	return number(b, 9, m.Hint)
+	b = number(b, 8, uint64(m.HandOffNumber))
+	return number(b, 9, m.ExpectedWork)
 }
 
 func (m *Done) appendTo(b []byte) []byte {
 	b = number(b, 1, m.ID)
-	b = number(b, 2, uint64(m.Ended))
-	b = number(b, 3, uint64(m.Held))
+	b = number(b, 2, uint64(m.Ending))
+	b = number(b, 3, uint64(m.InFlight))
 	b = bytesField(b, 4, m.Payload)
-	b = number(b, 5, uint64(m.Busy))
-	return number(b, 6, uint64(m.Served))
+	b = number(b, 5, uint64(m.CPUUse))
+	return number(b, 6, uint64(m.ServedRate))
 }
 
-func (m *Plain) appendTo(b []byte) []byte { return number(b, 1, m.ID) }
+func (m *IDMessage) appendTo(b []byte) []byte { return number(b, 1, m.ID) }
 
 // each walks the fields of a message. What has another type than the schema gives it is passed over, as generated
 // code does with unknown fields.
@@ -171,18 +171,18 @@
 		case 3:
 			m.Account = uint32(v)
 		case 5:
-			m.Left = v
+			m.Timeout = v
 		case 6:
-			m.Hint = v
+			m.ExpectedWork = v
 		case 7:
-			m.Again = protowire.DecodeBool(v)
+			m.Retry = protowire.DecodeBool(v)
 		}
 	}, func(f protowire.Number, v []byte) {
 		switch f {
 		case 4:
 			m.Key = v
 		case 8:
-			m.Mark = v
+			m.DeduplicationToken = v
 		case 9:
 			m.Payload = v
 		case 10:
@@ -201,7 +201,7 @@
 		case 2:
 			m.Outcome = uint32(v)
 		case 3:
-			m.ComeBack = v
+			m.RetryAfter = v
 		case 6:
 			m.Profile = uint32(v)
 		}
@@ -225,18 +225,18 @@
 		case 2:
 			m.Profile = uint32(v)
 		case 4:
-			m.Left = v
+			m.Timeout = v
 		case 8:
-			m.Number = uint32(v)
+			m.HandOffNumber = uint32(v)
 		case 9:
-			m.Hint = v
+			m.ExpectedWork = v
 		}
 	}, func(f protowire.Number, v []byte) {
 		switch f {
 		case 3:
 			m.Key = v
 		case 5:
-			m.Mark = v
+			m.DeduplicationToken = v
 		case 6:
 			m.Payload = v
 		case 7:
@@ -253,13 +253,13 @@
 		case 1:
 			m.ID = v
 		case 2:
-			m.Ended = uint32(v)
+			m.Ending = uint32(v)
 		case 3:
-			m.Held = uint32(v)
+			m.InFlight = uint32(v)
 		case 5:
-			m.Busy = uint32(v)
+			m.CPUUse = uint32(v)
 		case 6:
-			m.Served = uint32(v)
+			m.ServedRate = uint32(v)
 		}
 	}, func(f protowire.Number, v []byte) {
 		if f == 4 {
@@ -269,8 +269,8 @@
 }
 
 // Read takes the message from a frame's body.
-func (m *Plain) Read(b []byte) error {
-	*m = Plain{}
+func (m *IDMessage) Read(b []byte) error {
+	*m = IDMessage{}
 	return each(b, func(f protowire.Number, v uint64) {
 		if f == 1 {
 			m.ID = v
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -38,10 +38,10 @@
 
 // Reader takes what has come, beginning with what it left of it before, and gives back what it can't use yet. An error
 // closes the link with it as the reason.
-type Reader func(l *Link, data []byte) (rest []byte, err error)
+type DataHandler func(l *Link, data []byte) (rest []byte, err error)
 
 // frames reads frames.
-func frames(most int, handle Handler) Reader {
+func frames(most int, handle Handler) DataHandler {
 	return func(l *Link, data []byte) ([]byte, error) {
 		for {
 			kind, body, rest, ok, err := split(data, most)
@@ -61,7 +61,7 @@
 // at work then.
 type Link struct {
 	conn  netpoll.Connection
-	read  Reader
+	read  DataHandler
 	ended func(*Link, error)
 	carry []byte // what has not come whole
 	most  int
@@ -76,7 +76,7 @@
 	dead     bool
 	then     []func() // to be called once all is written
 	put      int64    // bytes so far
-	held     int64    // bytes that the owner holds for the other side and has not put yet
+	buffered int64    // bytes that the owner holds for the other side and has not put yet
 	counted  int64    // bytes that the budget was told of
 	full     bool     // so much waits that nothing more is to be read
 	taken    int64    // of these, up to where the system is being given them
@@ -96,27 +96,27 @@
 	missing   func(part []byte) int
 	stopped   bool // reading does not begin again; the poller's
 	server    bool // of a server: reading stops while too much waits
-	budget    *Budget
+	budget    *BufferBudget
 	slowAfter time.Duration
 	onClosed  func() // called once the socket is closed, nil if nobody asks
 }
 
 // Bounds of a link, in bytes.
-type Bounds struct {
-	Frame int // greatest message of a frame
+type Limits struct {
+	MaxFrameBytes int // greatest message of a frame
 	// What may wait to be written. A dialled link takes no more than that; a server's link takes all that is owed to its client,
 	// and reads nothing while more waits.
-	Pending int
-	Budget  *Budget // of a server's links together, nil if there is none
+	MaxPendingBytes int
+	Budget          *BufferBudget // of a server's links together, nil if there is none
 	// How long the other side may take nothing while something waits for it; slowReaderAfter if 0.
-	SlowReaderAfter time.Duration
+	SlowReaderTimeout time.Duration
 }
 
 // DefaultBounds suit every role.
-var DefaultBounds = Bounds{Frame: MostFrame, Pending: 8 << 20}
+var DefaultLimits = Limits{MaxFrameBytes: MaxFrameBytes, MaxPendingBytes: 8 << 20}
 
-func newLink(conn netpoll.Connection, b Bounds, read Reader, ended func(*Link, error)) *Link {
-	l := &Link{conn: conn, read: read, ended: ended, most: b.Pending, slowAfter: cmp.Or(b.SlowReaderAfter, slowReaderAfter), budget: b.Budget, peer: conn.RemoteAddr()}
+func newLink(conn netpoll.Connection, b Limits, read DataHandler, ended func(*Link, error)) *Link {
+	l := &Link{conn: conn, read: read, ended: ended, most: b.MaxPendingBytes, slowAfter: cmp.Or(b.SlowReaderTimeout, slowReaderAfter), budget: b.Budget, peer: conn.RemoteAddr()}
 	l.flushFn = l.flush
 	l.fd = -1
 	if conn, ok := conn.(netpoll.Conn); ok {
@@ -127,12 +127,12 @@
 }
 
 // Dial opens a link of frames. It blocks for at most the limit.
-func Dial(address string, limit time.Duration, b Bounds, handle Handler, ended func(*Link, error)) (*Link, error) {
-	return DialRaw(address, limit, b, frames(b.Frame, handle), ended)
+func Dial(address string, limit time.Duration, b Limits, handle Handler, ended func(*Link, error)) (*Link, error) {
+	return DialRaw(address, limit, b, frames(b.MaxFrameBytes, handle), ended)
 }
 
 // DialRaw opens a link whose reader takes the bytes as they come.
-func DialRaw(address string, limit time.Duration, b Bounds, read Reader, ended func(*Link, error)) (*Link, error) {
+func DialRaw(address string, limit time.Duration, b Limits, read DataHandler, ended func(*Link, error)) (*Link, error) {
 	conn, err := dial(address, limit)
 	if err != nil {
 		return nil, err
@@ -214,7 +214,7 @@
 }
 
 // PutOwed is Put for an answer: it is refused only where the link has ended.
-func (l *Link) PutOwed(kind Kind, m Message) bool {
+func (l *Link) PutUnbounded(kind Kind, m Message) bool {
 	return l.frame(true, kind, func(to []byte) ([]byte, error) { return m.appendTo(to), nil })
 }
 
@@ -224,7 +224,7 @@
 }
 
 // PutFrame is Put for a message that is encoded already.
-func (l *Link) PutFrame(kind Kind, body []byte) bool {
+func (l *Link) PutEncoded(kind Kind, body []byte) bool {
 	return l.frame(false, kind, func(to []byte) ([]byte, error) { return append(to, body...), nil })
 }
 
@@ -234,12 +234,12 @@
 }
 
 // PutRawOwed is PutRaw for an answer: it is refused only where the link has ended.
-func (l *Link) PutRawOwed(b []byte) bool {
+func (l *Link) PutRawUnbounded(b []byte) bool {
 	return l.add(true, func(to []byte) ([]byte, error) { return append(to, b...), nil })
 }
 
 // Mark is how many bytes were put so far, for MayHave.
-func (l *Link) Mark() int64 {
+func (l *Link) PutOffset() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.put
@@ -247,7 +247,7 @@
 
 // MayHave says whether the other side may have all that was put up to a mark. It has not, as is proven, while the system was
 // not given the last byte, or once it has refused it.
-func (l *Link) MayHave(mark int64) bool {
+func (l *Link) MayHaveSent(mark int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return mark <= l.written || mark <= l.taken && !l.failed
@@ -261,7 +261,7 @@
 }
 
 // Waiting says whether something waits to be written.
-func (l *Link) Waiting() bool {
+func (l *Link) HasPendingWrites() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.dead && (l.flushing || len(l.pending) > 0)
@@ -327,8 +327,8 @@
 // CloseUnread ends the link at once, on the poller, and says whether it did: not if something stands unread, has come in part
 // (unless parts are given up), waits to be written or has not arrived: what comes after a close resets the connection, and what
 // is on its way to the other side is gone with it. What comes from then on is never read, and its sender sees that.
-func (l *Link) CloseUnread(reason error, parts bool) bool {
-	if l.isDetached() || !parts && len(l.carry) > 0 || l.Waiting() || l.unacknowledged() > 0 || !l.Quiet() {
+func (l *Link) CloseIfIdle(reason error, parts bool) bool {
+	if l.isDetached() || !parts && len(l.carry) > 0 || l.HasPendingWrites() || l.unacknowledged() > 0 || !l.IsReadIdle() {
 		return false
 	}
 	l.over(reason)
@@ -376,7 +376,7 @@
 }
 
 // InPart says that a message has come in part, on the poller.
-func (l *Link) InPart() bool { return len(l.carry) > 0 }
+func (l *Link) HasPartialMessage() bool { return len(l.carry) > 0 }
 
 // Dead says whether the link has ended.
 func (l *Link) Dead() bool {
@@ -386,7 +386,7 @@
 }
 
 // Quiet says that nothing stands in the socket unread and the other side has not ended it, as far as has come here.
-func (l *Link) Quiet() bool {
+func (l *Link) IsReadIdle() bool {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
 	if l.gone {
--- a/internal/wire/listen_test.go
+++ b/internal/wire/listen_test.go
@@ -39,7 +39,7 @@
 		})
 	}
 	for range 300 {
-		server, err := ServeRaw("127.0.0.1:0", DefaultBounds, func(*Link) (Reader, func(*Link, error)) {
+		server, err := ServeRaw("127.0.0.1:0", DefaultLimits, func(*Link) (DataHandler, func(*Link, error)) {
 			return func(*Link, []byte) ([]byte, error) { return nil, nil }, nil
 		})
 		if err != nil {
--- a/internal/wire/poller.go
+++ b/internal/wire/poller.go
@@ -36,7 +36,7 @@
 
 // OnPoller calls f on the poller, soon. What any connection has brought until then has gone through its reader, or has not
 // been read at all: only there can it be told which. f must wait for nothing.
-func OnPoller(f func()) {
+func RunOnPoller(f func()) {
 	q := poller()
 	if q == nil { // no descriptor is left
 		go f()
--- a/internal/wire/reset_test.go
+++ b/internal/wire/reset_test.go
@@ -10,7 +10,7 @@
 // Connections that are reset while they are written to end; nothing is written to what netpoll has given back.
 func TestResetWhileWriting(t *testing.T) {
 	var writers sync.WaitGroup
-	server, err := ServeRaw("127.0.0.1:0", DefaultBounds, func(l *Link) (Reader, func(*Link, error)) {
+	server, err := ServeRaw("127.0.0.1:0", DefaultLimits, func(l *Link) (DataHandler, func(*Link, error)) {
 		return func(l *Link, _ []byte) ([]byte, error) {
 			writers.Add(1)
 			go func() {
@@ -43,7 +43,7 @@
 // broke off before its last byte; what was written whole, or may just be.
 func TestMayHave(t *testing.T) {
 	links := make(chan *Link, 1)
-	server, err := ServeRaw("127.0.0.1:0", Bounds{Pending: 64 << 20}, func(l *Link) (Reader, func(*Link, error)) {
+	server, err := ServeRaw("127.0.0.1:0", Limits{MaxPendingBytes: 64 << 20}, func(l *Link) (DataHandler, func(*Link, error)) {
 		return func(l *Link, _ []byte) ([]byte, error) { links <- l; return nil, nil }, nil
 	})
 	if err != nil {
@@ -56,11 +56,11 @@
 	}
 	c.Write([]byte("x"))
 	l := <-links
-	put := func(n int) int64 { l.PutRaw(make([]byte, n)); return l.Mark() }
+	put := func(n int) int64 { l.PutRaw(make([]byte, n)); return l.PutOffset() }
 	holds := func(when string, marks []int64, want ...bool) {
 		t.Helper()
 		for i, m := range marks {
-			if l.MayHave(m) != want[i] {
+			if l.MayHaveSent(m) != want[i] {
 				t.Errorf("%s: mark %d may be there: %v", when, i, !want[i])
 			}
 		}
@@ -73,14 +73,14 @@
 	}
 	marks = append(marks, put(32<<20)) // more than the sockets take
 	l.Flush()
-	for !l.MayHave(marks[1]) {
+	for !l.MayHaveSent(marks[1]) {
 		time.Sleep(time.Millisecond)
 	}
 	marks = append(marks, put(100))
 	holds("while it is written", marks, true, true, false)
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
-	for l.MayHave(marks[1]) {
+	for l.MayHaveSent(marks[1]) {
 		time.Sleep(time.Millisecond)
 	}
 	holds("broken off", marks, true, false, false)
@@ -89,7 +89,7 @@
 // A listener closes only after a turn in which it has taken up no connection; from then on new ones are refused, and links
 // that are open stay so.
 func TestCloseListener(t *testing.T) {
-	server, err := ServeRaw("127.0.0.1:0", DefaultBounds, func(l *Link) (Reader, func(*Link, error)) {
+	server, err := ServeRaw("127.0.0.1:0", DefaultLimits, func(l *Link) (DataHandler, func(*Link, error)) {
 		return func(l *Link, data []byte) ([]byte, error) {
 			l.PutRaw(data)
 			l.Flush()
@@ -101,7 +101,7 @@
 	}
 	defer server.Close()
 	held, gate := make(chan struct{}), make(chan struct{})
-	OnPoller(func() { close(held); <-gate })
+	RunOnPoller(func() { close(held); <-gate })
 	<-held
 	c, err := net.Dial("tcp", server.Address) // the system accepts it
 	if err != nil {
@@ -109,12 +109,12 @@
 	}
 	defer c.Close()
 	closed := make(chan bool, 1)
-	server.CloseListener(func(ok bool) { closed <- ok })
+	server.CloseListenerIfIdle(func(ok bool) { closed <- ok })
 	close(gate)
 	if <-closed {
 		t.Error("the listener closed over a connection that the system had accepted")
 	}
-	for server.CloseListener(func(ok bool) { closed <- ok }); !<-closed; server.CloseListener(func(ok bool) { closed <- ok }) {
+	for server.CloseListenerIfIdle(func(ok bool) { closed <- ok }); !<-closed; server.CloseListenerIfIdle(func(ok bool) { closed <- ok }) {
 	}
 	if c, err := net.DialTimeout("tcp", server.Address, time.Second); err == nil {
 		c.Close()
--- a/internal/wire/send.go
+++ b/internal/wire/send.go
@@ -36,7 +36,7 @@
 // sendAll writes what a link has put, however the system takes it, and ends with an error once the connection has.
 func (l *Link) sendAll(out []byte) error {
 	wait, interrupts := firstSendWait, 0
-	var progress Progress
+	var progress ReadProgress
 	for len(out) > 0 {
 		n, err := l.sendSome(out)
 		if n > 0 {
@@ -57,7 +57,7 @@
 			return err
 		case l.Dead():
 			return net.ErrClosed
-		case l.Stalled(&progress, time.Now()):
+		case l.PeerStalled(&progress, time.Now()):
 			return ErrSlowReader
 		}
 		time.Sleep(wait)
--- a/internal/wire/send_test.go
+++ b/internal/wire/send_test.go
@@ -27,7 +27,7 @@
 
 // echo serves a link that sends back what comes.
 func echo(t *testing.T) (address string, stop func()) {
-	server, err := ServeRaw("127.0.0.1:0", DefaultBounds, func(*Link) (Reader, func(*Link, error)) {
+	server, err := ServeRaw("127.0.0.1:0", DefaultLimits, func(*Link) (DataHandler, func(*Link, error)) {
 		return func(l *Link, data []byte) ([]byte, error) {
 			l.PutRaw(data)
 			l.Flush()
@@ -100,7 +100,7 @@
 func TestSendEndsWithTheLink(t *testing.T) {
 	for _, lasting := range []error{syscall.EINTR, syscall.ENOBUFS, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
 		links, ended := make(chan *Link, 1), make(chan struct{}, 1)
-		server, err := ServeRaw("127.0.0.1:0", DefaultBounds, func(*Link) (Reader, func(*Link, error)) {
+		server, err := ServeRaw("127.0.0.1:0", DefaultLimits, func(*Link) (DataHandler, func(*Link, error)) {
 			return func(l *Link, _ []byte) ([]byte, error) { links <- l; return nil, nil },
 				func(*Link, error) { ended <- struct{}{} }
 		})
@@ -117,14 +117,14 @@
 			c.Write([]byte("x"))
 			l := <-links
 			l.PutRaw([]byte("answer"))
-			mark := l.Mark()
+			mark := l.PutOffset()
 			l.Flush()
 			for passes(lasting) && calls.Load() < mostInterrupts+3 {
 				time.Sleep(time.Millisecond)
 			}
 			c.Close()
 			<-ended
-			for l.MayHave(mark) {
+			for l.MayHaveSent(mark) {
 				time.Sleep(time.Millisecond)
 			}
 		})
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -26,15 +26,15 @@
 }
 
 // Serve listens and makes a link of each connection. The handler that accept returns takes its frames.
-func Serve(address string, b Bounds, accept func(*Link) (Handler, func(*Link, error))) (*Server, error) {
-	return ServeRaw(address, b, func(l *Link) (Reader, func(*Link, error)) {
+func Serve(address string, b Limits, accept func(*Link) (Handler, func(*Link, error))) (*Server, error) {
+	return ServeRaw(address, b, func(l *Link) (DataHandler, func(*Link, error)) {
 		handle, ended := accept(l)
-		return frames(b.Frame, handle), ended
+		return frames(b.MaxFrameBytes, handle), ended
 	})
 }
 
 // ServeRaw is Serve for readers of bytes.
-func ServeRaw(address string, b Bounds, accept func(*Link) (Reader, func(*Link, error))) (*Server, error) {
+func ServeRaw(address string, b Limits, accept func(*Link) (DataHandler, func(*Link, error))) (*Server, error) {
 	listener, err := newListener(address)
 	if err != nil {
 		return nil, err
@@ -85,15 +85,15 @@
 
 // CloseListenerNow refuses new connections, and closes those that the system had accepted with nothing of them read.
 func (s *Server) CloseListenerNow() {
-	OnPoller(func() {
-		s.StopListening()
+	RunOnPoller(func() {
+		s.RejectConnections()
 		s.listener.shutdown()
 	})
 }
 
 // StopListening closes each new connection at once and keeps those that are open. (Netpoll's own shutdown would
 // close every connection on which nothing is being read, whatever is owed on it.)
-func (s *Server) StopListening() {
+func (s *Server) RejectConnections() {
 	s.mu.Lock()
 	s.refusing = true
 	s.mu.Unlock()
@@ -101,15 +101,15 @@
 
 // CloseListener refuses new connections from now on, and calls closed on the poller then; or it calls it with false, since a
 // connection that the system had accepted was taken up meanwhile: it may have brought something.
-func (s *Server) CloseListener(closed func(bool)) {
+func (s *Server) CloseListenerIfIdle(closed func(bool)) {
 	began := s.accepted.Load()
-	OnPoller(func() { // whatever the system had accepted by now is taken up before the next turn
-		OnPoller(func() {
+	RunOnPoller(func() { // whatever the system had accepted by now is taken up before the next turn
+		RunOnPoller(func() {
 			if s.accepted.Load() != began {
 				closed(false)
 				return
 			}
-			s.StopListening()
+			s.RejectConnections()
 			s.listener.shutdown()
 			closed(true)
 		})
@@ -117,11 +117,11 @@
 }
 
 // Waiting counts the links on which something waits to be written.
-func (s *Server) Waiting() (n int) {
+func (s *Server) LinksWithPendingWrites() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for l := range s.links {
-		if l.Waiting() {
+		if l.HasPendingWrites() {
 			n++
 		}
 	}
@@ -141,10 +141,10 @@
 // StopReading has nothing more read on any link. What was read has gone through the readers when it returns.
 func (s *Server) StopReading() {
 	stopped := make(chan struct{})
-	OnPoller(func() {
+	RunOnPoller(func() {
 		defer close(stopped)
 		for _, l := range s.all() {
-			l.stopReadingNow()
+			l.stopAllReading()
 		}
 	})
 	select {
@@ -154,9 +154,9 @@
 }
 
 // Finish ends all links as Link.Finish does, and waits for them.
-func (s *Server) Finish(linger, most time.Duration) {
+func (s *Server) FlushAndClose(linger, most time.Duration) {
 	for _, l := range s.all() {
-		l.Finish(ErrClosed, linger, most)
+		l.FlushAndClose(ErrClosed, linger, most)
 	}
 	s.waitClosed()
 }
@@ -175,7 +175,7 @@
 
 // Close ends the server with all its links.
 func (s *Server) Close() {
-	s.StopListening()
+	s.RejectConnections()
 	for _, l := range s.all() {
 		l.Close(ErrClosed)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -31,17 +31,17 @@
 			}
 			readBack(t, ask.Attributes, carried)
 		}
-		same(t, &ask, &pb.Ask{Attributes: carried, Id: ask.ID, Profile: ask.Profile, Account: ask.Account, Key: ask.Key, Left: ask.Left,
-			Hint: ask.Hint, Again: ask.Again, Mark: ask.Mark, Payload: ask.Payload}, &Ask{}, (*Ask).Read)
+		same(t, &ask, &pb.Ask{Attributes: carried, Id: ask.ID, Profile: ask.Profile, Account: ask.Account, Key: ask.Key, Left: ask.Timeout,
+			Hint: ask.ExpectedWork, Again: ask.Retry, Mark: ask.DeduplicationToken, Payload: ask.Payload}, &Ask{}, (*Ask).Read)
 		answer := Answer{n64.Draw(t, "id"), uint32(rapid.IntRange(0, 4).Draw(t, "o")), n64.Draw(t, "c"), data.Draw(t, "p"), data.Draw(t, "w"), n32.Draw(t, "profile")}
-		same(t, &answer, &pb.Answer{Id: answer.ID, Outcome: pb.Outcome(answer.Outcome), ComeBack: answer.ComeBack,
+		same(t, &answer, &pb.Answer{Id: answer.ID, Outcome: pb.Outcome(answer.Outcome), ComeBack: answer.RetryAfter,
 			Payload: answer.Payload, Worker: answer.Worker, Profile: answer.Profile}, &Answer{}, (*Answer).Read)
 		work := Work{n64.Draw(t, "id"), n32.Draw(t, "p"), data.Draw(t, "k"), n64.Draw(t, "l"), data.Draw(t, "m"), data.Draw(t, "pl"),
 			data.Draw(t, "t"), n32.Draw(t, "n"), n64.Draw(t, "h")}
-		same(t, &work, &pb.Work{Id: work.ID, Profile: work.Profile, Key: work.Key, Left: work.Left, Mark: work.Mark,
-			Payload: work.Payload, Transaction: work.Transaction, Number: work.Number, Hint: work.Hint}, &Work{}, (*Work).Read)
+		same(t, &work, &pb.Work{Id: work.ID, Profile: work.Profile, Key: work.Key, Left: work.Timeout, Mark: work.DeduplicationToken,
+			Payload: work.Payload, Transaction: work.Transaction, Number: work.HandOffNumber, Hint: work.ExpectedWork}, &Work{}, (*Work).Read)
 		done := Done{n64.Draw(t, "id"), uint32(rapid.IntRange(0, 2).Draw(t, "e")), n32.Draw(t, "h"), data.Draw(t, "p"), n32.Draw(t, "b"), n32.Draw(t, "s")}
-		same(t, &done, &pb.Done{Id: done.ID, Ended: pb.Ended(done.Ended), Held: done.Held, Payload: done.Payload, Busy: done.Busy, Served: done.Served}, &Done{}, (*Done).Read)
+		same(t, &done, &pb.Done{Id: done.ID, Ended: pb.Ended(done.Ending), Held: done.InFlight, Payload: done.Payload, Busy: done.CPUUse, Served: done.ServedRate}, &Done{}, (*Done).Read)
 	})
 }
 
@@ -209,7 +209,7 @@
 			defer c.Close()
 		}
 	}()
-	link, err := Dial(l.Addr().String(), time.Second, Bounds{Frame: 1 << 20, Pending: 1 << 20}, nil, nil)
+	link, err := Dial(l.Addr().String(), time.Second, Limits{MaxFrameBytes: 1 << 20, MaxPendingBytes: 1 << 20}, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -234,13 +234,13 @@
 		reason error
 	}
 	got, ended := make(chan uint64, 1000), make(chan end, 4)
-	server, err := Serve("127.0.0.1:0", DefaultBounds, func(*Link) (Handler, func(*Link, error)) {
+	server, err := Serve("127.0.0.1:0", DefaultLimits, func(*Link) (Handler, func(*Link, error)) {
 		return func(l *Link, kind Kind, body []byte) error {
-			var p Plain
+			var p IDMessage
 			if err := p.Read(body); err != nil {
 				return err
 			}
-			l.Put(KindCancel, &Plain{ID: p.ID * 2})
+			l.Put(KindCancel, &IDMessage{ID: p.ID * 2})
 			l.Flush()
 			return nil
 		}, func(l *Link, reason error) { ended <- end{l, reason} }
@@ -250,8 +250,8 @@
 	}
 	defer server.Close()
 	dial := func() *Link {
-		l, err := Dial(server.Address, time.Second, DefaultBounds, func(_ *Link, _ Kind, body []byte) error {
-			var p Plain
+		l, err := Dial(server.Address, time.Second, DefaultLimits, func(_ *Link, _ Kind, body []byte) error {
+			var p IDMessage
 			err := p.Read(body)
 			got <- p.ID
 			return err
@@ -263,7 +263,7 @@
 	}
 	l := dial()
 	for i := range 500 {
-		l.Put(KindCancel, &Plain{ID: uint64(i + 1)})
+		l.Put(KindCancel, &IDMessage{ID: uint64(i + 1)})
 		if i%7 == 0 {
 			l.Flush()
 		}
@@ -290,7 +290,7 @@
 		l.PutRaw(c.raw)
 		l.Flush()
 		e := <-ended
-		var fault *FrameFault
+		var fault *FrameError
 		if !errors.As(e.reason, &fault) || e.reason.Error() != c.want {
 			t.Errorf("%x: %v, expected %s", c.raw, e.reason, c.want)
 		}
--- a/standin/client.go
+++ b/standin/client.go
@@ -15,63 +15,63 @@
 )
 
 // Load is what clients do.
-type Load struct {
-	PerSecond float64
-	Profiles  []Mix // by profile
-	Keys      int
-	Zipf      float64 // popularity of the n-th key falls with this power of n
-	Retries   int
-	Backoff   time.Duration
-	TryShare  float64 // of the outer limit, after which a try is given up
-	Leaves    float64 // share of tries that are given up early, at a random time
-	Accounts  []float64
+type Workload struct {
+	PerSecond       float64
+	Profiles        []ProfileLoad // by profile
+	KeyCount        int
+	ZipfExponent    float64 // popularity of the n-th key falls with this power of n
+	MaxRetries      int
+	Backoff         time.Duration
+	TryTimeoutShare float64 // of the outer limit, after which a try is given up
+	AbandonShare    float64 // share of tries that are given up early, at a random time
+	AccountShares   []float64
 
-	Attributes   bool // transactions carry attributes only, and routes must make of them what the client means
-	ProfileNames []string
-	AccountNames []string
+	UseAttributes bool // transactions carry attributes only, and routes must make of them what the client means
+	ProfileNames  []string
+	AccountNames  []string
 }
 
 // Mix is one profile's part of the load.
-type Mix struct {
-	Share float64
-	Work  logic.Micros // mean, on a core of speed one
+type ProfileLoad struct {
+	Share    float64
+	MeanWork logic.Micros // mean, on a core of speed one
 }
 
 // Callers are the clients of a zone's sentries: transactions come whether or not earlier ones are answered.
-type Callers struct {
+type ClientPool struct {
 	// Troubles.
-	Burst   float64 // times the load, 1 if none
-	HotKey  float64 // share of transactions that carry one key
-	HotCall float64 // share of transactions that are of the first account
+	LoadFactor      float64 // times the load, 1 if none
+	HotKeyShare     float64 // share of transactions that carry one key
+	HotAccountShare float64 // share of transactions that are of the first account
 
-	stage   *Stage
-	load    Load
-	part    float64 // of the whole load that these make
-	reach   map[logic.SentryID]string
-	order   []logic.SentryID
-	mu      sync.Mutex
-	chance  *rand.Rand
-	zipf    []float64 // cumulative
-	lines   []*callLine
-	dialing map[logic.SentryID]bool
-	name    string
-	seq     int
-	firsts  []*First
-	done    chan struct{}
-	ended   sync.WaitGroup
+	env          *Environment
+	load         Workload
+	loadShare    float64 // of the whole load that these make
+	reach        map[logic.SentryID]string
+	order        []logic.SentryID
+	mu           sync.Mutex
+	chance       *rand.Rand
+	zipf         []float64 // cumulative
+	lines        []*callLine
+	dialing      map[logic.SentryID]bool
+	name         string
+	seq          int
+	transactions []*Transaction
+	done         chan struct{}
+	ended        sync.WaitGroup
 }
 
 // First is a transaction as the user sees it, with all its tries.
-type First struct {
-	Profile  logic.ProfileID
-	At       logic.Micros
-	Took     logic.Micros // to satisfaction, 0 if none came
-	Outcomes [4]int       // tries that ended satisfied, deferred, written off, otherwise
-	Tries    int
-	key      logic.Key
-	mark     string
-	account  int
-	work     float64
+type Transaction struct {
+	Profile        logic.ProfileID
+	StartedAt      logic.Micros
+	SatisfiedAfter logic.Micros // to satisfaction, 0 if none came
+	Outcomes       [4]int       // tries that ended satisfied, deferred, written off, otherwise
+	Tries          int
+	key            logic.Key
+	mark           string
+	account        int
+	work           float64
 }
 
 // callLine is a connection to a sentry.
@@ -85,7 +85,7 @@
 
 type callTry struct {
 	name  string
-	first *First
+	first *Transaction
 	line  *callLine
 	id    uint64
 	over  bool
@@ -93,37 +93,37 @@
 }
 
 // NewCallers makes clients that reach the given sentries.
-func NewCallers(s *Stage, name string, load Load, part float64, reach map[logic.SentryID]string, order []logic.SentryID,
-	seed int64) *Callers {
-	c := &Callers{Burst: 1, stage: s, load: load, part: part, reach: reach, order: order, name: name,
+func NewClientPool(s *Environment, name string, load Workload, part float64, reach map[logic.SentryID]string, order []logic.SentryID,
+	seed int64) *ClientPool {
+	c := &ClientPool{LoadFactor: 1, env: s, load: load, loadShare: part, reach: reach, order: order, name: name,
 		chance: rand.New(rand.NewSource(seed)), done: make(chan struct{}), dialing: map[logic.SentryID]bool{}}
 	sum := 0.0
-	for n := 1; n <= max(1, load.Keys); n++ {
-		sum += math.Pow(float64(n), -load.Zipf)
+	for n := 1; n <= max(1, load.KeyCount); n++ {
+		sum += math.Pow(float64(n), -load.ZipfExponent)
 		c.zipf = append(c.zipf, sum)
 	}
 	return c
 }
 
 // Set changes their troubles.
-func (c *Callers) Set(f func(*Callers)) {
+func (c *ClientPool) Set(f func(*ClientPool)) {
 	c.mu.Lock()
 	f(c)
 	c.mu.Unlock()
 }
 
 // SetPart changes their part of the whole load.
-func (c *Callers) SetPart(part float64) { c.Set(func(c *Callers) { c.part = part }) }
+func (c *ClientPool) SetLoadShare(part float64) { c.Set(func(c *ClientPool) { c.loadShare = part }) }
 
 // Part is their part of the whole load.
-func (c *Callers) Part() float64 {
+func (c *ClientPool) LoadShare() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.part
+	return c.loadShare
 }
 
 // Start has them begin.
-func (c *Callers) Start() {
+func (c *ClientPool) Start() {
 	for _, to := range c.order {
 		c.dial(to)
 	}
@@ -133,7 +133,7 @@
 		at := time.Now()
 		for {
 			c.mu.Lock()
-			rate := c.load.PerSecond * c.part * c.Burst
+			rate := c.load.PerSecond * c.loadShare * c.LoadFactor
 			gap := time.Hour
 			if rate > 0 {
 				gap = time.Duration(c.chance.ExpFloat64() / rate * float64(time.Second))
@@ -161,13 +161,13 @@
 }
 
 // Stop ends the arrivals; Firsts then tells what became of them.
-func (c *Callers) Stop() {
+func (c *ClientPool) Stop() {
 	close(c.done)
 	c.ended.Wait()
 }
 
 // Close ends the connections.
-func (c *Callers) Close() {
+func (c *ClientPool) Close() {
 	c.mu.Lock()
 	lines := c.lines
 	c.lines = nil
@@ -178,14 +178,14 @@
 }
 
 // Firsts are all transactions that were asked for.
-func (c *Callers) Firsts() []*First {
+func (c *ClientPool) Transactions() []*Transaction {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.firsts
+	return c.transactions
 }
 
 // Open counts the tries that await an answer.
-func (c *Callers) Open() (n int) {
+func (c *ClientPool) OpenTries() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, l := range c.lines {
@@ -194,10 +194,10 @@
 	return n
 }
 
-func (c *Callers) begin() {
+func (c *ClientPool) begin() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := &First{At: c.stage.Now()}
+	f := &Transaction{StartedAt: c.env.Now()}
 	x := c.chance.Float64()
 	for i, m := range c.load.Profiles {
 		if x -= m.Share; x < 0 || i == len(c.load.Profiles)-1 {
@@ -205,7 +205,7 @@
 			break
 		}
 	}
-	f.work = max(200, float64(c.load.Profiles[f.Profile].Work)*min(4, c.chance.ExpFloat64()*0.5+0.5))
+	f.work = max(200, float64(c.load.Profiles[f.Profile].MeanWork)*min(4, c.chance.ExpFloat64()*0.5+0.5))
 	k := c.chance.Float64() * c.zipf[len(c.zipf)-1]
 	n := 0
 	for lo, hi := 0, len(c.zipf)-1; lo <= hi; {
@@ -216,15 +216,15 @@
 			hi = mid - 1
 		}
 	}
-	if c.chance.Float64() < c.HotKey {
+	if c.chance.Float64() < c.HotKeyShare {
 		n = 0
 	}
 	f.key = logic.Key(fmt.Sprintf("%016x", uint64(n+1)*0x9e3779b97f4a7c15))
 	x = c.chance.Float64()
-	if c.chance.Float64() < c.HotCall {
+	if c.chance.Float64() < c.HotAccountShare {
 		x = 0
 	}
-	for i, share := range c.load.Accounts {
+	for i, share := range c.load.AccountShares {
 		if x -= share; x < 0 {
 			f.account = i + 1
 			break
@@ -232,13 +232,13 @@
 	}
 	c.seq++
 	f.mark = fmt.Sprintf("%s%d", c.name, c.seq)
-	c.firsts = append(c.firsts, f)
+	c.transactions = append(c.transactions, f)
 	c.try(f)
 }
 
 // line is an open connection to one of the sentries, or nil. One that is missing is opened behind its back: a dial under
 // the lock would wait for the poller, and answers that come there wait for the lock.
-func (c *Callers) line() (found *callLine) {
+func (c *ClientPool) line() (found *callLine) {
 	for _, at := range c.chance.Perm(len(c.order)) {
 		to, has := c.order[at], false
 		for _, l := range c.lines {
@@ -257,9 +257,9 @@
 	return found
 }
 
-func (c *Callers) dial(to logic.SentryID) {
+func (c *ClientPool) dial(to logic.SentryID) {
 	l := &callLine{to: to, open: map[uint64]*callTry{}, all: map[uint64]string{}}
-	link, err := wire.Dial(c.reach[to], 100*time.Millisecond, wire.DefaultBounds,
+	link, err := wire.Dial(c.reach[to], 100*time.Millisecond, wire.DefaultLimits,
 		func(_ *wire.Link, kind wire.Kind, body []byte) error { return c.answered(l, kind, body) },
 		func(*wire.Link, error) { go c.lost(l) })
 	c.mu.Lock()
@@ -269,13 +269,13 @@
 		return
 	}
 	l.link = link
-	link.PutProto(wire.KindHello, &pb.Hello{Version: wire.Version, Role: pb.Hello_CLIENT})
+	link.PutProto(wire.KindHello, &pb.Hello{Version: wire.ProtocolVersion, Role: pb.Hello_CLIENT})
 	c.lines = append(c.lines, l)
 }
 
 // try asks a sentry, with the lock held.
-func (c *Callers) try(f *First) {
-	p := &c.stage.Orders.Profiles[f.Profile]
+func (c *ClientPool) try(f *Transaction) {
+	p := &c.env.Config.Profiles[f.Profile]
 	f.Tries++
 	l := c.line()
 	if l == nil {
@@ -283,36 +283,36 @@
 		c.again(f, true)
 		return
 	}
-	now := c.stage.Now()
-	left := min(logic.Micros(float64(p.OuterLimit)*c.load.TryShare), f.At+p.OuterLimit-now)
+	now := c.env.Now()
+	left := min(logic.Micros(float64(p.OuterLimit)*c.load.TryTimeoutShare), f.StartedAt+p.OuterLimit-now)
 	if left <= 0 {
 		return
 	}
 	l.seq++
 	t := &callTry{name: fmt.Sprintf("%s.%d", f.mark, f.Tries), first: f, line: l, id: l.seq}
 	l.open[t.id], l.all[t.id] = t, t.name
-	c.stage.See(audit.Event{Kind: audit.Asked, Sentry: l.to, Try: t.name, Profile: f.Profile, Key: f.key, Span: left})
-	m := &wire.Ask{ID: t.id, Left: uint64(left), Hint: uint64(f.work), Again: f.Tries > 1,
+	c.env.Record(audit.Event{Kind: audit.Asked, Sentry: l.to, Try: t.name, Profile: f.Profile, Key: f.key, Span: left})
+	m := &wire.Ask{ID: t.id, Timeout: uint64(left), ExpectedWork: uint64(f.work), Retry: f.Tries > 1,
 		Payload: []byte(fmt.Sprintf("%s %d", t.name, int(f.work)))}
-	if c.load.Attributes {
+	if c.load.UseAttributes {
 		m.Attributes = c.attributes(f)
 	} else {
 		m.Profile, m.Account, m.Key = uint32(f.Profile), uint32(f.account), []byte(f.key)
 	}
 	if p.Repeat == logic.Labelled {
-		m.Mark = []byte(f.mark)
+		m.DeduplicationToken = []byte(f.mark)
 	}
 	l.link.Put(wire.KindAsk, m)
 	l.link.Flush()
-	wait := span(left + p.OuterLimit/2 + c.stage.Orders.AnswerGrace) // an answer that comes late is still seen
-	if c.chance.Float64() < c.load.Leaves {
+	wait := span(left + p.OuterLimit/2 + c.env.Config.AnswerGrace) // an answer that comes late is still seen
+	if c.chance.Float64() < c.load.AbandonShare {
 		wait = time.Duration(c.chance.Float64() * float64(span(left)))
 	}
 	t.timer = time.AfterFunc(wait, func() { c.leave(t) })
 }
 
 // attributes are eight that say what a transaction is without naming it, with the lock held.
-func (c *Callers) attributes(f *First) (b []byte) {
+func (c *ClientPool) attributes(f *Transaction) (b []byte) {
 	add := func(name string, v match.Carried) { b = wire.AppendAttribute(b, name, &v) }
 	add("kind", match.Carried{Text: c.load.ProfileNames[f.Profile]})
 	add("truck", match.Carried{Text: string(f.key)})
@@ -322,32 +322,32 @@
 	add("temp", match.Carried{Kind: match.Measure, Fig: float64(c.chance.Intn(30)), Unit: "celsius"})
 	add("urgent", match.Carried{Kind: match.Flag, Num: int64(c.chance.Intn(2))})
 	add("size", match.Carried{Kind: match.Whole, Num: int64(f.work)})
-	add("age", match.Carried{Kind: match.Span, Num: int64(c.stage.Now() - f.At)})
+	add("age", match.Carried{Kind: match.Span, Num: int64(c.env.Now() - f.StartedAt)})
 	add("legs", match.Carried{Kind: match.List, Items: []match.Carried{{Kind: match.Whole, Num: 4}, {Kind: match.Whole, Num: 9}}})
 	return b
 }
 
-func (c *Callers) leave(t *callTry) {
+func (c *ClientPool) leave(t *callTry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t.over {
 		return
 	}
 	c.close(t)
-	c.stage.See(audit.Event{Kind: audit.Left, Sentry: t.line.to, Try: t.name})
-	t.line.link.Put(wire.KindLeave, &wire.Plain{ID: t.id})
+	c.env.Record(audit.Event{Kind: audit.Left, Sentry: t.line.to, Try: t.name})
+	t.line.link.Put(wire.KindLeave, &wire.IDMessage{ID: t.id})
 	t.line.link.Flush()
 	t.first.Outcomes[3]++
 }
 
-func (c *Callers) close(t *callTry) {
+func (c *ClientPool) close(t *callTry) {
 	t.over = true
 	t.timer.Stop()
 	delete(t.line.open, t.id)
 }
 
 // lost ends what was open on a connection.
-func (c *Callers) lost(l *callLine) {
+func (c *ClientPool) lost(l *callLine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, x := range c.lines {
@@ -358,13 +358,13 @@
 	}
 	for _, t := range l.open {
 		c.close(t)
-		c.stage.See(audit.Event{Kind: audit.Left, Sentry: l.to, Try: t.name})
+		c.env.Record(audit.Event{Kind: audit.Left, Sentry: l.to, Try: t.name})
 		t.first.Outcomes[3]++
 		c.again(t.first, false)
 	}
 }
 
-func (c *Callers) answered(l *callLine, kind wire.Kind, body []byte) error {
+func (c *ClientPool) answered(l *callLine, kind wire.Kind, body []byte) error {
 	if kind != wire.KindAnswer {
 		return fmt.Errorf("client: frame of kind %d", kind)
 	}
@@ -377,26 +377,26 @@
 	t := l.open[m.ID]
 	if t == nil {
 		// The record shows it: the second answer of a try, or one to a try that was left.
-		c.stage.See(audit.Event{Kind: audit.Answered, Sentry: l.to, Try: l.all[m.ID], Outcome: audit.Outcome(m.Outcome % 3)})
+		c.env.Record(audit.Event{Kind: audit.Answered, Sentry: l.to, Try: l.all[m.ID], Outcome: audit.Outcome(m.Outcome % 3)})
 		return nil
 	}
 	c.close(t)
 	f := t.first
 	if m.Outcome == uint32(pb.Outcome_NOT_TAKEN) || m.Outcome == uint32(pb.Outcome_NO_ROUTE) {
-		c.stage.See(audit.Event{Kind: audit.NotTaken, Sentry: l.to, Try: t.name})
+		c.env.Record(audit.Event{Kind: audit.NotTaken, Sentry: l.to, Try: t.name})
 		f.Outcomes[3]++
 		c.again(f, true)
 		return nil
 	}
-	c.stage.See(audit.Event{Kind: audit.Answered, Sentry: l.to, Try: t.name, Outcome: audit.Outcome(m.Outcome % 3)})
+	c.env.Record(audit.Event{Kind: audit.Answered, Sentry: l.to, Try: t.name, Outcome: audit.Outcome(m.Outcome % 3)})
 	f.Outcomes[m.Outcome%3]++
 	if m.Outcome == uint32(pb.Outcome_SATISFIED) {
-		if f.Took == 0 {
-			f.Took = max(1, c.stage.Now()-f.At)
+		if f.SatisfiedAfter == 0 {
+			f.SatisfiedAfter = max(1, c.env.Now()-f.StartedAt)
 		}
 		return nil
 	}
-	wait := span(logic.Micros(m.ComeBack))
+	wait := span(logic.Micros(m.RetryAfter))
 	deferred := m.Outcome == uint32(pb.Outcome_DEFERRED)
 	time.AfterFunc(wait, func() {
 		c.mu.Lock()
@@ -408,22 +408,22 @@
 
 // again tries once more where a client may, with the lock held. Harmless says that nothing has run, by the word of
 // the sentry or since it was not reached.
-func (c *Callers) again(f *First, harmless bool) {
-	p := &c.stage.Orders.Profiles[f.Profile]
-	labelled := p.Repeat == logic.Labelled && p.Scope == logic.ScopeAll && c.stage.Now()-f.At < p.Window/2
+func (c *ClientPool) again(f *Transaction, harmless bool) {
+	p := &c.env.Config.Profiles[f.Profile]
+	labelled := p.Repeat == logic.Labelled && p.Scope == logic.ScopeAll && c.env.Now()-f.StartedAt < p.Window/2
 	may := p.Repeat == logic.Redoable || p.Repeat == logic.Irreversible && harmless || labelled
 	select {
 	case <-c.done:
 		return
 	default:
 	}
-	if !may || f.Took > 0 || f.Tries > c.load.Retries || c.stage.Now()+logic.Micros(c.load.Backoff/time.Microsecond) >= f.At+p.OuterLimit {
+	if !may || f.SatisfiedAfter > 0 || f.Tries > c.load.MaxRetries || c.env.Now()+logic.Micros(c.load.Backoff/time.Microsecond) >= f.StartedAt+p.OuterLimit {
 		return
 	}
 	time.AfterFunc(c.load.Backoff, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if f.Took == 0 && c.stage.Now() < f.At+p.OuterLimit {
+		if f.SatisfiedAfter == 0 && c.env.Now() < f.StartedAt+p.OuterLimit {
 			c.try(f)
 		}
 	})
--- a/standin/desk.go
+++ b/standin/desk.go
@@ -15,20 +15,20 @@
 // Fleet is what the desk moves.
 type Fleet interface {
 	// Reach has a share of the places run the build, and says whether they do.
-	Reach(b logic.BuildID, share float64) bool
+	RollOut(b logic.BuildID, share float64) bool
 	// Release drains what runs an earlier build; Recall drains the build itself.
-	Release(b logic.BuildID)
-	Recall(b logic.BuildID)
+	DrainEarlierBuilds(b logic.BuildID)
+	DrainBuild(b logic.BuildID)
 }
 
 // Desk is a stand-in for the release desk: stages, caps, votes, and late news.
-type Desk struct {
-	Late  time.Duration // of news
-	Every time.Duration
-	Quiet bool // votes get no answer, though they count
-	Deny  bool // votes are refused and do not count
+type ControlPlane struct {
+	Delay          time.Duration // of news
+	StatusInterval time.Duration
+	Silent         bool // votes get no answer, though they count
+	Deny           bool // votes are refused and do not count
 
-	stage   *Stage
+	env     *Environment
 	fleet   Fleet
 	mu      sync.Mutex
 	server  *wire.Server
@@ -41,13 +41,13 @@
 	budget  float64
 	filled  logic.Micros
 	done    chan struct{}
-	History []Turn
+	History []StatusChange
 }
 
 // Turn is one change of the newest build's state.
-type Turn struct {
-	At   logic.Micros
-	News logic.News
+type StatusChange struct {
+	At     logic.Micros
+	Status logic.News
 }
 
 type standing struct {
@@ -56,16 +56,16 @@
 }
 
 // NewDesk makes a desk with a released build.
-func NewDesk(s *Stage, fleet Fleet, first logic.BuildID) *Desk {
-	stages := len(s.Orders.StageCaps)
-	return &Desk{stage: s, fleet: fleet, links: map[*wire.Link]logic.SentryID{}, votes: map[logic.SentryID]standing{},
-		Every: time.Second, done: make(chan struct{}),
+func NewControlPlane(s *Environment, fleet Fleet, first logic.BuildID) *ControlPlane {
+	stages := len(s.Config.StageCaps)
+	return &ControlPlane{env: s, fleet: fleet, links: map[*wire.Link]logic.SentryID{}, votes: map[logic.SentryID]standing{},
+		StatusInterval: time.Second, done: make(chan struct{}),
 		now: logic.News{Valid: true, Build: first, Stage: stages - 1, Phase: logic.Released, Cap: 1}}
 }
 
 // Start has it listen and move.
-func (d *Desk) Start() error {
-	server, err := wire.Serve("127.0.0.1:0", wire.DefaultBounds, d.accept)
+func (d *ControlPlane) Start() error {
+	server, err := wire.Serve("127.0.0.1:0", wire.DefaultLimits, d.accept)
 	if err != nil {
 		return err
 	}
@@ -73,8 +73,8 @@
 	go func() {
 		tick := time.NewTicker(50 * time.Millisecond)
 		defer tick.Stop()
-		next := d.stage.Now()
-		period := next + d.stage.Orders.CountsEvery
+		next := d.env.Now()
+		period := next + d.env.Config.CountsEvery
 		for {
 			select {
 			case <-d.done:
@@ -83,11 +83,11 @@
 			}
 			d.mu.Lock()
 			d.advance()
-			if now := d.stage.Now(); now >= next {
-				next = now + logic.Micros(d.Every/time.Microsecond)
+			if now := d.env.Now(); now >= next {
+				next = now + logic.Micros(d.StatusInterval/time.Microsecond)
 				d.tellAll()
 			}
-			if every := d.stage.Orders.CountsEvery; every > 0 && d.stage.Now() >= period {
+			if every := d.env.Config.CountsEvery; every > 0 && d.env.Now() >= period {
 				period += every
 				d.tellCounts()
 			}
@@ -98,53 +98,53 @@
 }
 
 // Stop ends it.
-func (d *Desk) Stop() {
+func (d *ControlPlane) Stop() {
 	close(d.done)
 	d.server.Close()
 }
 
 // Set changes its troubles.
-func (d *Desk) Set(f func(*Desk)) {
+func (d *ControlPlane) Set(f func(*ControlPlane)) {
 	d.mu.Lock()
 	f(d)
 	d.mu.Unlock()
 }
 
 // State is where the newest build stands.
-func (d *Desk) State() logic.News {
+func (d *ControlPlane) Status() logic.News {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.now
 }
 
 // Turns are the changes so far.
-func (d *Desk) Turns() []Turn {
+func (d *ControlPlane) StatusChanges() []StatusChange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.History)
 }
 
 // Offer puts a build on trial. One that is still on trial is withdrawn.
-func (d *Desk) Offer(b logic.BuildID) {
+func (d *ControlPlane) StartTrial(b logic.BuildID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.now.Phase == logic.OnTrial {
-		d.fleet.Recall(d.now.Build)
+		d.fleet.DrainBuild(d.now.Build)
 	}
-	d.enter(logic.News{Valid: true, Build: b, Phase: logic.OnTrial, Cap: d.stage.Orders.StageCaps[0]})
+	d.enter(logic.News{Valid: true, Build: b, Phase: logic.OnTrial, Cap: d.env.Config.StageCaps[0]})
 }
 
-func (d *Desk) enter(n logic.News) {
-	d.now, d.since, d.baking = n, d.stage.Now(), 0
-	d.History = append(d.History, Turn{d.since, n})
+func (d *ControlPlane) enter(n logic.News) {
+	d.now, d.since, d.baking = n, d.env.Now(), 0
+	d.History = append(d.History, StatusChange{d.since, n})
 	if n.Phase == logic.OnTrial && n.Stage == 0 {
 		clear(d.votes)
 	}
 	d.tellAll()
 }
 
-func (d *Desk) advance() {
-	o, now := d.stage.Orders, d.stage.Now()
+func (d *ControlPlane) advance() {
+	o, now := d.env.Config, d.env.Now()
 	on, back, hold := 0, 0, 0
 	for _, v := range d.votes {
 		if now >= v.until || v.vote.Build != d.now.Build {
@@ -161,7 +161,7 @@
 	}
 	switch d.now.Phase {
 	case logic.GoingBack:
-		d.fleet.Recall(d.now.Build)
+		d.fleet.DrainBuild(d.now.Build)
 		n := d.now
 		n.Phase = logic.Withdrawn
 		d.enter(n)
@@ -175,7 +175,7 @@
 		if d.now.Phase == logic.Released {
 			return
 		}
-		if d.fleet.Reach(d.now.Build, o.StageShares[d.now.Stage]) && d.baking == 0 {
+		if d.fleet.RollOut(d.now.Build, o.StageShares[d.now.Stage]) && d.baking == 0 {
 			d.baking = now
 		}
 		enough := on >= max(1, o.OnVotes) || o.Control == logic.ControlTimer && hold < max(1, o.HoldVotes)
@@ -185,7 +185,7 @@
 		n := d.now
 		if n.Stage++; n.Stage == len(o.StageCaps) {
 			n.Stage, n.Phase, n.Cap = len(o.StageCaps)-1, logic.Released, 1
-			d.fleet.Release(n.Build)
+			d.fleet.DrainEarlierBuilds(n.Build)
 		} else {
 			n.Cap = o.StageCaps[n.Stage]
 		}
@@ -194,9 +194,9 @@
 }
 
 // tellAll sends the present state to all, late.
-func (d *Desk) tellAll() {
+func (d *ControlPlane) tellAll() {
 	n, since := d.now, d.since
-	time.AfterFunc(d.Late, func() {
+	time.AfterFunc(d.Delay, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		links := make([]*wire.Link, 0, len(d.links))
@@ -211,9 +211,9 @@
 }
 
 // tellCounts sends all sentries what was counted in the period that has ended, late.
-func (d *Desk) tellCounts() {
-	m, ended := &pb.Counts{}, d.stage.Now()
-	for by, c := range d.stage.takeCounts() {
+func (d *ControlPlane) tellCounts() {
+	m, ended := &pb.Counts{}, d.env.Now()
+	for by, c := range d.env.takeCounts() {
 		row := &pb.Counts_Row{Build: uint32(by.build), Profile: uint32(by.profile), HandOffs: uint32(c.n), Failed: uint32(c.failed)}
 		if c.n > c.failed {
 			row.Mean = uint64(c.took) / uint64(c.n-c.failed)
@@ -223,25 +223,25 @@
 	slices.SortFunc(m.Rows, func(a, b *pb.Counts_Row) int {
 		return cmp.Or(cmp.Compare(a.Build, b.Build), cmp.Compare(a.Profile, b.Profile))
 	})
-	time.AfterFunc(d.Late, func() {
+	time.AfterFunc(d.Delay, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		m.Age = uint64(d.stage.Now() - ended)
+		m.Age = uint64(d.env.Now() - ended)
 		for l := range d.links {
 			l.Send(wire.KindCounts, m)
 		}
 	})
 }
 
-func (d *Desk) tell(l *wire.Link, n logic.News, since logic.Micros, vote uint64, fate pb.News_Fate) {
+func (d *ControlPlane) tell(l *wire.Link, n logic.News, since logic.Micros, vote uint64, fate pb.News_Fate) {
 	if n.Valid {
-		d.stage.See(audit.Event{Kind: audit.NewsTold, Sentry: d.links[l], News: n})
+		d.env.Record(audit.Event{Kind: audit.NewsTold, Sentry: d.links[l], News: n})
 	}
 	l.Send(wire.KindNews, &pb.News{Vote: vote, Valid: n.Valid, Build: uint32(n.Build), Stage: uint32(n.Stage),
-		Phase: uint32(n.Phase), Cap: n.Cap, Age: uint64(d.stage.Now() - since), Fate: fate})
+		Phase: uint32(n.Phase), Cap: n.Cap, Age: uint64(d.env.Now() - since), Fate: fate})
 }
 
-func (d *Desk) accept(l *wire.Link) (wire.Handler, func(*wire.Link, error)) {
+func (d *ControlPlane) accept(l *wire.Link) (wire.Handler, func(*wire.Link, error)) {
 	return func(l *wire.Link, kind wire.Kind, body []byte) error {
 			d.mu.Lock()
 			defer d.mu.Unlock()
@@ -268,8 +268,8 @@
 		}
 }
 
-func (d *Desk) vote(l *wire.Link, m *pb.Vote) {
-	o, now := d.stage.Orders, d.stage.Now()
+func (d *ControlPlane) vote(l *wire.Link, m *pb.Vote) {
+	o, now := d.env.Config, d.env.Now()
 	d.budget = min(2*o.VotesPerSecond, d.budget+o.VotesPerSecond*float64(now-d.filled)/1e6)
 	d.filled = now
 	v := logic.Vote{Build: logic.BuildID(m.Build), Stage: int(m.Stage), Verdict: logic.Verdict(m.Verdict)}
@@ -283,7 +283,7 @@
 		d.budget--
 		d.votes[d.links[l]] = standing{v, now + o.VoteLife}
 	}
-	if d.Quiet {
+	if d.Silent {
 		return
 	}
 	n := d.now
--- a/standin/list.go
+++ b/standin/list.go
@@ -15,12 +15,12 @@
 func unmarshal(body []byte, m proto.Message) error { return proto.Unmarshal(body, m) }
 
 // List is a stand-in for the list's service: it learns of changes late and tells those that follow it.
-type List struct {
-	Late   time.Duration
-	Refuse bool                                    // every call fails
-	Reach  func(address, zone, from string) string // how one zone reaches an address in another; takes no lock of a fleet
+type Discovery struct {
+	Delay          time.Duration
+	RefuseRequests bool                                    // every call fails
+	AddressFrom    func(address, zone, from string) string // how one zone reaches an address in another; takes no lock of a fleet
 
-	stage   *Stage
+	env     *Environment
 	mu      sync.Mutex
 	server  *wire.Server
 	Address string
@@ -43,13 +43,13 @@
 }
 
 // NewList makes a list that nobody can reach yet.
-func NewList(s *Stage) *List {
-	return &List{stage: s, follow: map[*wire.Link]*follower{}, version: 1,
-		Reach: func(address, _, _ string) string { return address }}
+func NewDiscovery(s *Environment) *Discovery {
+	return &Discovery{env: s, follow: map[*wire.Link]*follower{}, version: 1,
+		AddressFrom: func(address, _, _ string) string { return address }}
 }
 
 // Start has it listen.
-func (l *List) Start() error {
+func (l *Discovery) Start() error {
 	address := l.Address
 	if address == "" {
 		var err error
@@ -57,7 +57,7 @@
 			return err
 		}
 	}
-	server, err := wire.Serve(address, wire.DefaultBounds, l.accept)
+	server, err := wire.Serve(address, wire.DefaultLimits, l.accept)
 	if err != nil {
 		return err
 	}
@@ -66,32 +66,32 @@
 }
 
 // Stop ends it.
-func (l *List) Stop() { l.server.Close() }
+func (l *Discovery) Stop() { l.server.Close() }
 
 // Set changes its troubles.
-func (l *List) Set(f func(*List)) {
+func (l *Discovery) Set(f func(*Discovery)) {
 	l.mu.Lock()
 	f(l)
 	l.mu.Unlock()
 }
 
 // Tell lists a worker as it is now, after the delay.
-func (l *List) Tell(w *Worker, state logic.WorkerState) {
+func (l *Discovery) ReportWorker(w *Worker, state logic.WorkerState) {
 	l.mu.Lock()
-	late := l.Late
+	late := l.Delay
 	l.mu.Unlock()
-	up, started, life := w.Up()
+	up, started, life := w.RunState()
 	if state == logic.Ready && !up {
 		return
 	}
-	line := &pb.Line{Id: string(w.Line.ID), Address: w.Address, Build: uint32(w.Line.Build),
-		Zone: l.stage.Zones[w.Line.Zone], Cell: uint32(w.Line.Cell), Size: w.Line.Size, Life: life,
+	line := &pb.Line{Id: string(w.Entry.ID), Address: w.Address, Build: uint32(w.Entry.Build),
+		Zone: l.env.Zones[w.Entry.Zone], Cell: uint32(w.Entry.Cell), Size: w.Entry.Size, Life: life,
 		State: pb.Line_State(state)}
-	time.AfterFunc(late, func() { l.TellNow([]*pb.Line{line}, started) })
+	time.AfterFunc(late, func() { l.ReportLines([]*pb.Line{line}, started) })
 }
 
 // TellNow lists lines at once, in one report.
-func (l *List) TellNow(lines []*pb.Line, started logic.Micros) {
+func (l *Discovery) ReportLines(lines []*pb.Line, started logic.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version++
@@ -107,7 +107,7 @@
 			l.lines = append(l.lines, at)
 		}
 		at.line, at.started, at.version = line, started, l.version
-		l.stage.See(audit.Event{Kind: audit.Listed, Worker: logic.WorkerID(line.Id), Build: logic.BuildID(line.Build),
+		l.env.Record(audit.Event{Kind: audit.Listed, Worker: logic.WorkerID(line.Id), Build: logic.BuildID(line.Build),
 			State: logic.WorkerState(line.State)})
 	}
 	for link, f := range l.follow {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (l *List) accept(link *wire.Link) (wire.Handler, func(*wire.Link, error)) {
+func (l *Discovery) accept(link *wire.Link) (wire.Handler, func(*wire.Link, error)) {
 	f := &follower{}
 	return func(link *wire.Link, kind wire.Kind, body []byte) error {
 			l.mu.Lock()
@@ -135,8 +135,8 @@
 				if err := unmarshal(body, m); err != nil {
 					return err
 				}
-				if l.Refuse {
-					l.stage.See(audit.Event{Kind: audit.AskFailed, Sentry: f.sentry})
+				if l.RefuseRequests {
+					l.env.Record(audit.Event{Kind: audit.AskFailed, Sentry: f.sentry})
 					link.Send(wire.KindReport, &pb.Report{Refused: true})
 					return nil
 				}
@@ -144,7 +144,7 @@
 				if m.Follow {
 					asked.Kind = audit.Followed
 				}
-				l.stage.See(asked)
+				l.env.Record(asked)
 				f.on, f.has = f.on || m.Follow, m.Version
 				l.send(link, f, !m.Follow || m.Version == 0)
 			}
@@ -152,7 +152,7 @@
 		}, func(link *wire.Link, _ error) {
 			l.mu.Lock()
 			if f.on {
-				l.stage.See(audit.Event{Kind: audit.AskFailed, Sentry: f.sentry})
+				l.env.Record(audit.Event{Kind: audit.AskFailed, Sentry: f.sentry})
 			}
 			delete(l.follow, link)
 			l.mu.Unlock()
@@ -160,20 +160,20 @@
 }
 
 // send tells what has changed since a follower's version, or everything.
-func (l *List) send(link *wire.Link, f *follower, whole bool) {
+func (l *Discovery) send(link *wire.Link, f *follower, whole bool) {
 	r := &pb.Report{Whole: whole, Version: l.version}
-	now := l.stage.Now()
+	now := l.env.Now()
 	for _, x := range l.lines {
 		if whole && x.line.State == pb.Line_GONE || !whole && x.version <= f.has {
 			continue
 		}
 		line := proto.Clone(x.line).(*pb.Line)
-		line.Address = l.Reach(line.Address, line.Zone, f.zone)
+		line.Address = l.AddressFrom(line.Address, line.Zone, f.zone)
 		if x.started > 0 {
 			line.Young, line.Age = true, uint64(now-x.started)
 		}
 		r.Lines = append(r.Lines, line)
-		l.stage.See(audit.Event{Kind: audit.ListTold, Sentry: f.sentry, Worker: logic.WorkerID(line.Id),
+		l.env.Record(audit.Event{Kind: audit.ListTold, Sentry: f.sentry, Worker: logic.WorkerID(line.Id),
 			Build: logic.BuildID(line.Build), State: logic.WorkerState(line.State)})
 	}
 	f.has = l.version
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -8,14 +8,14 @@
 )
 
 // Weather is what happens on the links between two places, one way.
-type Weather struct {
+type Impairment struct {
 	mu    sync.Mutex
 	delay time.Duration
 	cut   chan struct{} // closed when the cut is over, nil if there is none
 }
 
 // Set changes it.
-func (w *Weather) Set(delay time.Duration, cut bool) {
+func (w *Impairment) Set(delay time.Duration, cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.delay = delay
@@ -29,12 +29,12 @@
 }
 
 // Now tells it: the delay, and whether nothing passes.
-func (w *Weather) Now() (time.Duration, bool) {
-	delay, cut := w.now()
+func (w *Impairment) Current() (time.Duration, bool) {
+	delay, cut := w.current()
 	return delay, cut != nil
 }
 
-func (w *Weather) now() (time.Duration, chan struct{}) {
+func (w *Impairment) current() (time.Duration, chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.delay, w.cut
@@ -46,7 +46,7 @@
 type Relay struct {
 	Address     string
 	to          string
-	there, back *Weather
+	there, back *Impairment
 	listener    net.Listener
 	mu          sync.Mutex
 	open        map[net.Conn]struct{}
@@ -54,7 +54,7 @@
 }
 
 // NewRelay listens for an address.
-func NewRelay(to string, there, back *Weather) (*Relay, error) {
+func NewRelay(to string, there, back *Impairment) (*Relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -99,7 +99,7 @@
 }
 
 // pass copies one way. Each piece waits out its delay; the cut holds everything up.
-func (r *Relay) pass(from io.Reader, to io.Writer, w *Weather, ended chan<- struct{}) {
+func (r *Relay) pass(from io.Reader, to io.Writer, w *Impairment, ended chan<- struct{}) {
 	defer func() { ended <- struct{}{} }()
 	line := make(chan parcel, 256)
 	go func() {
@@ -108,7 +108,7 @@
 			buffer := make([]byte, 16<<10)
 			n, err := from.Read(buffer)
 			if n > 0 {
-				delay, _ := w.now()
+				delay, _ := w.current()
 				select {
 				case line <- parcel{time.Now().Add(delay), buffer[:n]}:
 				case <-r.closed:
@@ -124,7 +124,7 @@
 		if wait := time.Until(p.due); wait > 0 {
 			time.Sleep(wait)
 		}
-		if _, cut := w.now(); cut != nil {
+		if _, cut := w.current(); cut != nil {
 			select {
 			case <-cut:
 			case <-r.closed:
--- a/standin/stage.go
+++ b/standin/stage.go
@@ -13,14 +13,14 @@
 )
 
 // Stage is what the stand-ins of one drill share.
-type Stage struct {
-	Orders *logic.StandingOrders
+type Environment struct {
+	Config *logic.StandingOrders
 	Zones  []string
 	base   time.Time
 	mu     sync.Mutex
 	events []audit.Event
 	chance *rand.Rand
-	builds map[logic.BuildID]Make
+	builds map[logic.BuildID]BuildBehavior
 	marks  map[string]logic.Micros // labelled transactions that have run, by group and mark
 	recent []logic.BuildID         // of the last hand-offs of all workers, for builds that slow all
 	at     int
@@ -41,29 +41,29 @@
 )
 
 // Make is how a build behaves.
-type Make struct {
-	Speed     float64         // to that of the first build
-	Errors    float64         // share of hand-offs that it fails
-	Profile   logic.ProfileID // that it fails; -1 for all
-	SlowAfter logic.Micros    // a worker of this age turns slow, 0 if never
-	SlowBy    float64
-	SlowsAll  float64 // how much slower all workers get by its part of the traffic
+type BuildBehavior struct {
+	RelativeSpeed  float64         // to that of the first build
+	ErrorShare     float64         // share of hand-offs that it fails
+	FailingProfile logic.ProfileID // that it fails; -1 for all
+	SlowAfterAge   logic.Micros    // a worker of this age turns slow, 0 if never
+	SlowFactor     float64
+	FleetSlowdown  float64 // how much slower all workers get by its part of the traffic
 }
 
 // NewStage begins a drill's clock.
-func NewStage(o *logic.StandingOrders, zones []string, seed int64) *Stage {
-	return &Stage{Orders: o, Zones: zones, base: time.Now(), chance: rand.New(rand.NewSource(seed)),
-		builds: map[logic.BuildID]Make{}, marks: map[string]logic.Micros{}, recent: make([]logic.BuildID, 100),
+func NewEnvironment(o *logic.StandingOrders, zones []string, seed int64) *Environment {
+	return &Environment{Config: o, Zones: zones, base: time.Now(), chance: rand.New(rand.NewSource(seed)),
+		builds: map[logic.BuildID]BuildBehavior{}, marks: map[string]logic.Micros{}, recent: make([]logic.BuildID, 100),
 		counts: map[countedBy]counted{}}
 }
 
 // Now is the drill's clock.
-func (s *Stage) Now() logic.Micros { return logic.Micros(time.Since(s.base) / time.Microsecond) }
+func (s *Environment) Now() logic.Micros { return logic.Micros(time.Since(s.base) / time.Microsecond) }
 
 func span(m logic.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
 // See records an event at the present time.
-func (s *Stage) See(e audit.Event) {
+func (s *Environment) Record(e audit.Event) {
 	s.mu.Lock()
 	e.At = s.Now()
 	if !s.closed {
@@ -73,7 +73,7 @@
 }
 
 // SeeAt records an event that carries its time.
-func (s *Stage) SeeAt(e audit.Event) {
+func (s *Environment) RecordAt(e audit.Event) {
 	s.mu.Lock()
 	if !s.closed {
 		s.events = append(s.events, e)
@@ -82,7 +82,7 @@
 }
 
 // Events ends the record and gives it.
-func (s *Stage) Events() []audit.Event {
+func (s *Environment) StopRecording() []audit.Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -90,17 +90,17 @@
 }
 
 // SetBuild says how a build behaves.
-func (s *Stage) SetBuild(b logic.BuildID, m Make) {
+func (s *Environment) SetBuildBehavior(b logic.BuildID, m BuildBehavior) {
 	s.mu.Lock()
 	s.builds[b] = m
 	s.mu.Unlock()
 }
 
 // count books the end of a hand-off for the desk's counts, in the sample that the orders name.
-func (s *Stage) count(b logic.BuildID, p logic.ProfileID, failed bool, took logic.Micros) {
+func (s *Environment) count(b logic.BuildID, p logic.ProfileID, failed bool, took logic.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.Orders.CountsEvery == 0 || s.chance.Float64() >= s.Orders.CountsShare {
+	if s.Config.CountsEvery == 0 || s.chance.Float64() >= s.Config.CountsShare {
 		return
 	}
 	c := s.counts[countedBy{b, p}]
@@ -114,7 +114,7 @@
 }
 
 // takeCounts ends a period.
-func (s *Stage) takeCounts() map[countedBy]counted {
+func (s *Environment) takeCounts() map[countedBy]counted {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	was := s.counts
@@ -122,14 +122,14 @@
 	return was
 }
 
-func (s *Stage) draw() float64 {
+func (s *Environment) draw() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.chance.Float64()
 }
 
 // makeOf is how a build behaves now, slowed by what another one does to all.
-func (s *Stage) makeOf(b logic.BuildID) (m Make, slowed float64) {
+func (s *Environment) makeOf(b logic.BuildID) (m BuildBehavior, slowed float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slowed = 1
@@ -138,16 +138,16 @@
 		n[x]++
 	}
 	for x, m := range s.builds {
-		slowed += m.SlowsAll * n[x] / float64(len(s.recent))
+		slowed += m.FleetSlowdown * n[x] / float64(len(s.recent))
 	}
 	m, known := s.builds[b]
 	if !known {
-		m.Speed = 1
+		m.RelativeSpeed = 1
 	}
 	return m, slowed
 }
 
-func (s *Stage) handed(b logic.BuildID) {
+func (s *Environment) handed(b logic.BuildID) {
 	s.mu.Lock()
 	s.recent[s.at%len(s.recent)] = b
 	s.at++
@@ -155,7 +155,7 @@
 }
 
 // firstRun says whether a labelled transaction has not run in its group within the window, and books that it has.
-func (s *Stage) firstRun(group, mark string, window logic.Micros) bool {
+func (s *Environment) firstRun(group, mark string, window logic.Micros) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -14,36 +14,36 @@
 
 // Worker is a stand-in for one worker. Its address stays over a restart.
 type Worker struct {
-	Line  logic.Worker
-	Cores int
-	Speed float64
-	Cold  logic.Micros // until warm after a start
-	From  float64      // of its speed, at a start
-	Queue int
+	Entry          logic.Worker
+	Cores          int
+	Speed          float64
+	WarmUp         logic.Micros // until warm after a start
+	ColdSpeedShare float64      // of its speed, at a start
+	MaxQueue       int
 
 	// Troubles.
-	SlowBy    float64 // 1 if none
-	FailQuick float64 // share that fails at once
-	Welcome   time.Duration
-	Deaf      bool // takes connections and reads nothing of them
-	NoProbes  bool
+	SlowFactor     float64 // 1 if none
+	FastErrorShare float64 // share that fails at once
+	HandshakeDelay time.Duration
+	IgnoresFrames  bool // takes connections and reads nothing of them
+	IgnoresProbes  bool
 
-	stage   *Stage
-	Address string
-	mu      sync.Mutex
-	server  *wire.Server
-	life    uint64
-	up      bool
-	drain   bool
-	fell    bool
-	started logic.Micros
-	busy    int
-	queue   []*job
-	running map[*job]struct{}
-	got     uint64
-	recent  []arrival
-	ended   []logic.Micros // answers of the last second
-	NoHeld  bool           // tells what it serves and how busy it is, not how many it has
+	env           *Environment
+	Address       string
+	mu            sync.Mutex
+	server        *wire.Server
+	life          uint64
+	up            bool
+	drain         bool
+	fell          bool
+	started       logic.Micros
+	busy          int
+	queue         []*job
+	running       map[*job]struct{}
+	got           uint64
+	recent        []arrival
+	ended         []logic.Micros // answers of the last second
+	OmitsInFlight bool           // tells what it serves and how busy it is, not how many it has
 }
 
 type arrival struct {
@@ -68,8 +68,8 @@
 }
 
 // NewWorker makes a worker that is down.
-func NewWorker(s *Stage, line logic.Worker, cores int, speed float64) *Worker {
-	return &Worker{Line: line, Cores: cores, Speed: speed, From: 1, Queue: 16 * cores, SlowBy: 1, stage: s}
+func NewWorker(s *Environment, line logic.Worker, cores int, speed float64) *Worker {
+	return &Worker{Entry: line, Cores: cores, Speed: speed, ColdSpeedShare: 1, MaxQueue: 16 * cores, SlowFactor: 1, env: s}
 }
 
 // Start has it listen. A worker that has run before comes back cold, one whose start is given as old is warm.
@@ -88,10 +88,10 @@
 			return err
 		}
 	}
-	server, err := wire.Serve(address, wire.DefaultBounds, w.accept)
+	server, err := wire.Serve(address, wire.DefaultLimits, w.accept)
 	for try := 0; err != nil && try < 50; try++ { // the old socket may not be closed yet
 		time.Sleep(10 * time.Millisecond)
-		server, err = wire.Serve(address, wire.DefaultBounds, w.accept)
+		server, err = wire.Serve(address, wire.DefaultLimits, w.accept)
 	}
 	if err != nil {
 		return err
@@ -100,14 +100,14 @@
 	defer w.mu.Unlock()
 	w.server, w.Address, w.up, w.drain, w.fell = server, server.Address, true, false, false
 	w.busy, w.queue, w.recent, w.running = 0, nil, nil, map[*job]struct{}{}
-	w.started = w.stage.Now()
-	e := audit.Event{Kind: audit.WorkerUp, Worker: w.Line.ID, Build: w.Line.Build, Speed: w.Speed * float64(w.Cores),
-		From: w.From, Warm: w.Cold}
+	w.started = w.env.Now()
+	e := audit.Event{Kind: audit.WorkerUp, Worker: w.Entry.ID, Build: w.Entry.Build, Speed: w.Speed * float64(w.Cores),
+		From: w.ColdSpeedShare, Warm: w.WarmUp}
 	if warm {
-		w.started -= w.Cold
+		w.started -= w.WarmUp
 		e.Warm = 0
 	}
-	w.stage.See(e)
+	w.env.Record(e)
 	return nil
 }
 
@@ -122,7 +122,7 @@
 	w.up, w.server = false, nil
 	w.life++
 	w.mu.Unlock()
-	w.stage.See(audit.Event{Kind: audit.WorkerDown, Worker: w.Line.ID})
+	w.env.Record(audit.Event{Kind: audit.WorkerDown, Worker: w.Entry.ID})
 	server.Close()
 }
 
@@ -134,7 +134,7 @@
 }
 
 // Up says whether it runs, since when, and which run that is.
-func (w *Worker) Up() (up bool, started logic.Micros, life uint64) {
+func (w *Worker) RunState() (up bool, started logic.Micros, life uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.up, w.started, w.life
@@ -148,10 +148,10 @@
 }
 
 func (w *Worker) warmth(now logic.Micros) float64 {
-	if w.Cold <= 0 {
+	if w.WarmUp <= 0 {
 		return 1
 	}
-	return w.From + (1-w.From)*min(1, float64(now-w.started)/float64(w.Cold))
+	return w.ColdSpeedShare + (1-w.ColdSpeedShare)*min(1, float64(now-w.started)/float64(w.WarmUp))
 }
 
 var errDeaf = errors.New("reads nothing")
@@ -162,7 +162,7 @@
 	w.mu.Unlock()
 	return func(l *wire.Link, kind wire.Kind, body []byte) error {
 			w.mu.Lock()
-			deaf, welcome, noProbes := w.Deaf, w.Welcome, w.NoProbes
+			deaf, welcome, noProbes := w.IgnoresFrames, w.HandshakeDelay, w.IgnoresProbes
 			w.mu.Unlock()
 			if deaf {
 				return nil
@@ -174,7 +174,7 @@
 					return err
 				}
 				from = logic.SentryID(m.Position)
-				time.AfterFunc(welcome, func() { l.Send(wire.KindWelcome, &pb.Welcome{Version: wire.Version}) })
+				time.AfterFunc(welcome, func() { l.Send(wire.KindWelcome, &pb.Welcome{Version: wire.ProtocolVersion}) })
 			case wire.KindWork:
 				var m wire.Work
 				if err := m.Read(body); err != nil {
@@ -182,13 +182,13 @@
 				}
 				return w.work(l, life, from, &m)
 			case wire.KindCancel:
-				var m wire.Plain
+				var m wire.IDMessage
 				if err := m.Read(body); err != nil {
 					return err
 				}
 				w.cancel(l, m.ID)
 			case wire.KindProbe:
-				var m wire.Plain
+				var m wire.IDMessage
 				if err := m.Read(body); err != nil {
 					return err
 				}
@@ -205,12 +205,12 @@
 			for _, j := range w.queue {
 				if j.link == l && !j.over {
 					j.over = true
-					w.stage.See(j.event(audit.Dropped))
+					w.env.Record(j.event(audit.Dropped))
 				}
 			}
 			for j := range w.running { // it runs on, but the sentry awaits it no longer
 				if j.link == l {
-					w.stage.See(j.event(audit.Dropped))
+					w.env.Record(j.event(audit.Dropped))
 				}
 			}
 		}
@@ -223,18 +223,18 @@
 }
 
 func (j *job) event(k audit.Kind) audit.Event {
-	return audit.Event{Kind: k, Try: j.try, Worker: j.w.Line.ID, HandOff: j.number, Sentry: j.from, Profile: j.p}
+	return audit.Event{Kind: k, Try: j.try, Worker: j.w.Entry.ID, HandOff: j.number, Sentry: j.from, Profile: j.p}
 }
 
 // work takes a hand-off. The payload names the client's try, the work, and how long it takes on a core of speed one.
 func (w *Worker) work(l *wire.Link, life uint64, from logic.SentryID, m *wire.Work) error {
-	j := &job{w: w, life: life, link: l, from: from, id: m.ID, p: logic.ProfileID(m.Profile), mark: string(m.Mark),
-		came: w.stage.Now()}
-	j.until = j.came + logic.Micros(m.Left)
-	if _, err := fmt.Sscan(string(m.Payload), &j.try, &j.work); err != nil || int(m.Profile) >= len(w.stage.Orders.Profiles) {
+	j := &job{w: w, life: life, link: l, from: from, id: m.ID, p: logic.ProfileID(m.Profile), mark: string(m.DeduplicationToken),
+		came: w.env.Now()}
+	j.until = j.came + logic.Micros(m.Timeout)
+	if _, err := fmt.Sscan(string(m.Payload), &j.try, &j.work); err != nil || int(m.Profile) >= len(w.env.Config.Profiles) {
 		return fmt.Errorf("worker: payload %q: expected a try and its work", m.Payload)
 	}
-	w.stage.handed(w.Line.Build)
+	w.env.handed(w.Entry.Build)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.up || w.life != life || w.fell {
@@ -243,20 +243,20 @@
 	w.got++
 	j.number = w.got
 	e := j.event(audit.Got)
-	e.Key, e.Span, e.Work, e.Build = logic.Key(m.Key), logic.Micros(m.Left), logic.Micros(j.work), w.Line.Build
-	e.Zone, e.Cell = w.Line.Zone, w.Line.Cell
-	w.stage.See(e)
-	now := w.stage.Now()
+	e.Key, e.Span, e.Work, e.Build = logic.Key(m.Key), logic.Micros(m.Timeout), logic.Micros(j.work), w.Entry.Build
+	e.Zone, e.Cell = w.Entry.Zone, w.Entry.Cell
+	w.env.Record(e)
+	now := w.env.Now()
 	if w.falls(now, j.work) {
 		w.fell = true
-		w.stage.See(audit.Event{Kind: audit.Fell, Worker: w.Line.ID})
+		w.env.Record(audit.Event{Kind: audit.Fell, Worker: w.Entry.ID})
 		go w.Stop()
 		return nil
 	}
 	switch {
-	case w.drain || len(w.queue) >= w.Queue:
+	case w.drain || len(w.queue) >= w.MaxQueue:
 		w.end(j, pb.Ended_TURNED_AWAY)
-	case w.stage.draw() < w.FailQuick:
+	case w.env.draw() < w.FastErrorShare:
 		w.end(j, pb.Ended_ERRORED)
 	case w.busy < w.Cores:
 		w.run(j)
@@ -268,11 +268,11 @@
 
 // falls books what has come and says whether it pushes a cold worker over.
 func (w *Worker) falls(now logic.Micros, work float64) bool {
-	if now-w.started >= w.Cold {
+	if now-w.started >= w.WarmUp {
 		w.recent = nil
 		return false
 	}
-	o := w.stage.Orders
+	o := w.env.Config
 	w.recent = append(w.recent, arrival{now, work})
 	sum := 0.0
 	for len(w.recent) > 0 && w.recent[0].at <= now-o.FallSpan {
@@ -285,19 +285,19 @@
 }
 
 func (w *Worker) run(j *job) {
-	now := w.stage.Now()
-	m, slowed := w.stage.makeOf(w.Line.Build)
-	if m.SlowAfter > 0 && now-w.started > m.SlowAfter {
-		slowed *= m.SlowBy
+	now := w.env.Now()
+	m, slowed := w.env.makeOf(w.Entry.Build)
+	if m.SlowAfterAge > 0 && now-w.started > m.SlowAfterAge {
+		slowed *= m.SlowFactor
 	}
 	w.busy++
 	w.running[j] = struct{}{}
-	took := j.work * w.SlowBy * slowed / (w.Speed * m.Speed * w.warmth(now))
+	took := j.work * w.SlowFactor * slowed / (w.Speed * m.RelativeSpeed * w.warmth(now))
 	time.AfterFunc(span(logic.Micros(took)), func() { w.finish(j, m) })
 }
 
-func (w *Worker) finish(j *job, m Make) {
-	fails := (m.Profile < 0 || m.Profile == j.p) && w.stage.draw() < m.Errors
+func (w *Worker) finish(j *job, m BuildBehavior) {
+	fails := (m.FailingProfile < 0 || m.FailingProfile == j.p) && w.env.draw() < m.ErrorShare
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.up || w.life != j.life {
@@ -305,9 +305,9 @@
 	}
 	w.busy--
 	delete(w.running, j)
-	p := &w.stage.Orders.Profiles[j.p]
-	if p.Repeat != logic.Labelled || w.stage.firstRun(w.group(p), j.mark, p.Window) {
-		w.stage.See(j.event(audit.Ran))
+	p := &w.env.Config.Profiles[j.p]
+	if p.Repeat != logic.Labelled || w.env.firstRun(w.group(p), j.mark, p.Window) {
+		w.env.Record(j.event(audit.Ran))
 	}
 	if fails {
 		w.end(j, pb.Ended_ERRORED)
@@ -319,9 +319,9 @@
 		w.queue = w.queue[1:]
 		switch {
 		case next.over:
-		case w.stage.Now() >= next.until: // nobody waits for it any more
+		case w.env.Now() >= next.until: // nobody waits for it any more
 			next.over = true
-			w.stage.See(next.event(audit.Dropped))
+			w.env.Record(next.event(audit.Dropped))
 		default:
 			w.run(next)
 		}
@@ -331,9 +331,9 @@
 func (w *Worker) group(p *logic.Profile) string {
 	switch p.Scope {
 	case logic.ScopeZone:
-		return fmt.Sprintf("zone %d ", w.Line.Zone)
+		return fmt.Sprintf("zone %d ", w.Entry.Zone)
 	case logic.ScopeCell:
-		return fmt.Sprintf("cell %d ", w.Line.Cell)
+		return fmt.Sprintf("cell %d ", w.Entry.Cell)
 	}
 	return ""
 }
@@ -344,18 +344,18 @@
 	if how == pb.Ended_TURNED_AWAY {
 		e.Kind = audit.Turned
 	}
-	e.Good, e.Build = how == pb.Ended_ANSWERED, w.Line.Build
-	w.stage.See(e)
-	now := w.stage.Now()
-	w.stage.count(w.Line.Build, j.p, how != pb.Ended_ANSWERED, now-j.came)
+	e.Good, e.Build = how == pb.Ended_ANSWERED, w.Entry.Build
+	w.env.Record(e)
+	now := w.env.Now()
+	w.env.count(w.Entry.Build, j.p, how != pb.Ended_ANSWERED, now-j.came)
 	w.ended = append(w.ended, now)
 	for w.ended[0] <= now-1_000_000 {
 		w.ended = w.ended[1:]
 	}
-	done := &wire.Done{ID: j.id, Ended: uint32(how), Held: uint32(w.busy+len(w.queue)) + 1,
-		Busy: uint32(1000*w.busy/w.Cores) + 1, Served: uint32(1000*len(w.ended)) + 1}
-	if w.NoHeld {
-		done.Held = 0
+	done := &wire.Done{ID: j.id, Ending: uint32(how), InFlight: uint32(w.busy+len(w.queue)) + 1,
+		CPUUse: uint32(1000*w.busy/w.Cores) + 1, ServedRate: uint32(1000*len(w.ended)) + 1}
+	if w.OmitsInFlight {
+		done.InFlight = 0
 	}
 	j.link.Put(wire.KindDone, done)
 	j.link.Flush()
@@ -368,7 +368,7 @@
 	for _, j := range w.queue {
 		if j.link == l && j.id == id && !j.over {
 			j.over = true
-			w.stage.See(j.event(audit.Dropped))
+			w.env.Record(j.event(audit.Dropped))
 		}
 	}
 }
--- a/standin/worker_test.go
+++ b/standin/worker_test.go
@@ -11,8 +11,8 @@
 	"scalechute/logic"
 )
 
-func testStage() *Stage {
-	return NewStage(&logic.StandingOrders{FallMultiple: 2, FallSpan: 1_000_000, Profiles: []logic.Profile{
+func testStage() *Environment {
+	return NewEnvironment(&logic.StandingOrders{FallMultiple: 2, FallSpan: 1_000_000, Profiles: []logic.Profile{
 		{Repeat: logic.Redoable}, {Repeat: logic.Labelled, Window: 150_000}}}, []string{"z"}, 1)
 }
 
@@ -20,22 +20,22 @@
 func hand(t *testing.T, w *Worker, works ...wire.Work) (ended map[pb.Ended]int) {
 	t.Helper()
 	done := make(chan pb.Ended, len(works))
-	l, err := wire.Dial(w.Address, time.Second, wire.DefaultBounds, func(_ *wire.Link, kind wire.Kind, body []byte) error {
+	l, err := wire.Dial(w.Address, time.Second, wire.DefaultLimits, func(_ *wire.Link, kind wire.Kind, body []byte) error {
 		var m wire.Done
 		if kind != wire.KindDone {
 			return nil
 		}
 		err := m.Read(body)
-		done <- pb.Ended(m.Ended)
+		done <- pb.Ended(m.Ending)
 		return err
 	}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close(wire.ErrClosed)
-	l.Send(wire.KindHello, &pb.Hello{Version: wire.Version, Role: pb.Hello_SENTRY})
+	l.Send(wire.KindHello, &pb.Hello{Version: wire.ProtocolVersion, Role: pb.Hello_SENTRY})
 	for i := range works {
-		works[i].ID, works[i].Left = uint64(i+1), 1_000_000
+		works[i].ID, works[i].Timeout = uint64(i+1), 1_000_000
 		l.Put(wire.KindWork, &works[i])
 	}
 	l.Flush()
@@ -51,7 +51,7 @@
 	return ended
 }
 
-func count(s *Stage, k audit.Kind) (n int) {
+func count(s *Environment, k audit.Kind) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.events {
@@ -63,7 +63,7 @@
 }
 
 func work(mark string, profile uint32, us int) wire.Work {
-	return wire.Work{Profile: profile, Mark: []byte(mark), Payload: []byte(fmt.Sprintf("try %d", us))}
+	return wire.Work{Profile: profile, DeduplicationToken: []byte(mark), Payload: []byte(fmt.Sprintf("try %d", us))}
 }
 
 // Repeats of a labelled transaction run once within its window, on any worker of the group, and again after it.
@@ -106,7 +106,7 @@
 	}{{false, 60_000, 1}, {false, 40_000, 0}, {true, 60_000, 0}} {
 		s := testStage()
 		w := NewWorker(s, logic.Worker{ID: "w", Build: 10}, 1, 1)
-		w.Cold, w.From, w.Queue = 60_000_000, 0.5, 3
+		w.WarmUp, w.ColdSpeedShare, w.MaxQueue = 60_000_000, 0.5, 3
 		if err := w.Start(c.warm); err != nil {
 			t.Fatal(err)
 		}
@@ -119,7 +119,7 @@
 		if n := count(s, audit.Fell); n != c.fell {
 			t.Errorf("warm %v, %d us each: fell %d times", c.warm, c.us, n)
 		}
-		if up, _, _ := w.Up(); up != (c.fell == 0) {
+		if up, _, _ := w.RunState(); up != (c.fell == 0) {
 			t.Errorf("warm %v, %d us each: up %v", c.warm, c.us, up)
 		}
 		if c.fell == 0 && ended[pb.Ended_TURNED_AWAY] != 16 {
