--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -60,28 +60,28 @@
 
 // Event is one thing seen. Of the fields after Kind those count that belong to it.
 type Event struct {
-	At      logic.Micros      `json:"at"`
-	Kind    Kind              `json:"kind"`
-	Sentry  logic.SentryID    `json:"sentry"`
-	Try     string            `json:"try,omitempty"` // the client's name for this try, the same at both ends
-	Profile logic.ProfileID   `json:"profile,omitempty"`
-	Key     logic.Key         `json:"key,omitempty"`
-	Span    logic.Micros      `json:"span,omitempty"` // Asked, Got: until given up
-	Outcome Outcome           `json:"outcome,omitempty"`
-	Worker  logic.WorkerID    `json:"worker,omitempty"`
-	HandOff uint64            `json:"hand_off,omitempty"` // which at this worker: the same from Got to its end
-	Good    bool              `json:"good,omitempty"`     // Ended: satisfied
-	Work    logic.Micros      `json:"work,omitempty"`     // Got: on a core of speed one
-	Build   logic.BuildID     `json:"build,omitempty"`
-	Zone    logic.ZoneID      `json:"zone,omitempty"`
-	Cell    int               `json:"cell,omitempty"`
-	Speed   float64           `json:"speed,omitempty"` // WorkerUp: work done in a unit of time, when warm
-	From    float64           `json:"from,omitempty"`  // WorkerUp: the part of it at its start
-	Warm    logic.Micros      `json:"warm,omitempty"`  // WorkerUp: until warm, 0 if it starts so
-	State   logic.WorkerState `json:"state,omitempty"`
-	News    logic.News        `json:"news"`
-
-	Orders *logic.StandingOrders `json:"orders,omitempty"` // Ordered
+	At      logic.Micros        `json:"at"`
+	Kind    Kind                `json:"kind"`
+	Sentry  logic.SentryID      `json:"sentry"`
+	Try     string              `json:"try,omitempty"` // the client's name for this try, the same at both ends
+	Profile logic.ProfileID     `json:"profile,omitempty"`
+	Key     logic.Key           `json:"key,omitempty"`
+	Span    logic.Micros        `json:"span,omitempty"` // Asked, Got: until given up
+	Outcome Outcome             `json:"outcome,omitempty"`
+	Worker  logic.WorkerID      `json:"worker,omitempty"`
+	HandOff uint64              `json:"hand_off,omitempty"` // which at this worker: the same from Got to its end
+	Good    bool                `json:"good,omitempty"`     // Ended: satisfied
+	Work    logic.Micros        `json:"work,omitempty"`     // Got: on a core of speed one
+	Build   logic.BuildID       `json:"build,omitempty"`
+	Zone    logic.ZoneID        `json:"zone,omitempty"`
+	Cell    int                 `json:"cell,omitempty"`
+	Speed   float64             `json:"speed,omitempty"` // WorkerUp: work done in a unit of time, when warm
+	From    float64             `json:"from,omitempty"`  // WorkerUp: the part of it at its start
+	Warm    logic.Micros        `json:"warm,omitempty"`  // WorkerUp: until warm, 0 if it starts so
+	State   logic.WorkerState   `json:"state,omitempty"`
+	News    logic.ReleaseStatus `json:"news"`
+
+	Orders *logic.Config `json:"orders,omitempty"` // Ordered
 }
 
 // Breach is a rule that was broken.
@@ -152,7 +152,7 @@
 }
 
 type auditor struct {
-	o       *logic.StandingOrders
+	o       *logic.Config
 	slack   logic.Micros
 	events  []Event
 	tries   map[string]*try
@@ -170,7 +170,7 @@
 }
 
 // Check holds events against the rules of the orders. Events may come in any order.
-func Check(o *logic.StandingOrders, slack logic.Micros, events []Event) Finding {
+func Check(o *logic.Config, slack logic.Micros, events []Event) Finding {
 	a := &auditor{o: o, slack: slack, events: slices.Clone(events), tries: map[string]*try{},
 		byWork: map[logic.WorkerID][]*handOff{}, lives: map[logic.SentryID][]life{},
 		stalls: map[logic.SentryID][]life{}, news: map[logic.SentryID][]Event{},
@@ -212,7 +212,7 @@
 // either holds a check against all orders that a sentry may have had within a time. Only what is a breach by each of
 // them is one.
 func (a *auditor) either(s logic.SentryID, from, to logic.Micros, check func()) {
-	all := []*logic.StandingOrders{a.o}
+	all := []*logic.Config{a.o}
 	for i := range a.orders[s] {
 		e := &a.orders[s][i]
 		if to < e.At-a.slack {
@@ -297,14 +297,14 @@
 		case Listed:
 			a.listed = append(a.listed, *e)
 		case Followed, Fetched:
-			a.asks[e.Sentry] = append(a.asks[e.Sentry], asking{e.At, e.Kind == Followed || a.follows(e.Sentry), a.o.AskWithin})
+			a.asks[e.Sentry] = append(a.asks[e.Sentry], asking{e.At, e.Kind == Followed || a.follows(e.Sentry), a.o.MaxListAge})
 		case AskFailed:
-			a.asks[e.Sentry] = append(a.asks[e.Sentry], asking{e.At, false, 4 * a.o.AskWithin})
+			a.asks[e.Sentry] = append(a.asks[e.Sentry], asking{e.At, false, 4 * a.o.MaxListAge})
 		case NewsTold:
 			a.news[e.Sentry] = append(a.news[e.Sentry], *e)
 		case SentryUp:
 			a.lives[e.Sentry] = append(a.lives[e.Sentry], life{e.At, never})
-			a.asks[e.Sentry] = append(a.asks[e.Sentry], asking{e.At, false, a.o.AskWithin})
+			a.asks[e.Sentry] = append(a.asks[e.Sentry], asking{e.At, false, a.o.MaxListAge})
 		case SentryDown:
 			if l := a.lives[e.Sentry]; len(l) > 0 {
 				l[len(l)-1].to = e.At
@@ -329,7 +329,7 @@
 // deem adds what sentries are held to know of the list without having been told: one that follows nothing, and has not
 // asked for so long, knows what was listed that long ago.
 func (a *auditor) deem() {
-	if !a.o.AskForList {
+	if !a.o.ListOnRequest {
 		return
 	}
 	for s := range logic.SentryID(a.o.Sentries) {
@@ -482,29 +482,29 @@
 				continue
 			}
 			pending := first.end == 0 || first.end > h.At
-			if pending && !a.o.MayCopy && h.At+a.slack < first.At+first.Span {
+			if pending && !a.o.MayHedge && h.At+a.slack < first.At+first.Span {
 				a.breach(2, h.At, t, "%s: two hand-offs out at once, where copies are not allowed", t.asked.Try)
 				return
 			}
-			switch p.Repeat {
-			case logic.Irreversible:
+			switch p.Repeatability {
+			case logic.NonIdempotent:
 				a.breach(2, h.At, t, "%s: irreversible, handed off again after one that may have run", t.asked.Try)
 				return
-			case logic.Labelled:
-				if p.Scope == logic.ScopeZone && first.Zone != h.Zone || p.Scope == logic.ScopeCell && first.Cell != h.Cell {
+			case logic.Deduplicated:
+				if p.DedupScope == logic.ScopeZone && first.Zone != h.Zone || p.DedupScope == logic.ScopeCell && first.Cell != h.Cell {
 					a.breach(2, h.At, t, "%s: labelled, handed off again outside its group", t.asked.Try)
 					return
 				}
-				if h.At-first.At > p.Window+a.slack {
+				if h.At-first.At > p.DedupWindow+a.slack {
 					a.breach(2, h.At, t, "%s: labelled, handed off again %d us after one that may have run, window %d us",
-						t.asked.Try, h.At-first.At, p.Window)
+						t.asked.Try, h.At-first.At, p.DedupWindow)
 					return
 				}
 			}
 		}
 	}
-	if len(t.answers) == 0 || t.answers[0].Outcome != Deferred || p.Repeat == logic.Redoable ||
-		p.Repeat == logic.Labelled && p.Scope == logic.ScopeAll {
+	if len(t.answers) == 0 || t.answers[0].Outcome != Deferred || p.Repeatability == logic.Idempotent ||
+		p.Repeatability == logic.Deduplicated && p.DedupScope == logic.ScopeAll {
 		return
 	}
 	for _, h := range t.handOffs {
@@ -540,7 +540,7 @@
 		return
 	}
 	// What was ruled in time may wait for its connection.
-	if last := a.informed(h.Sentry, since) + a.o.DrainGrace + a.o.ConnectLimit; h.At > last {
+	if last := a.informed(h.Sentry, since) + a.o.DrainGrace + a.o.ConnectTimeout; h.At > last {
 		a.breach(3, h.At, a.tries[h.Try], "%s: handed off to %s %d us after sentry %d was told that it drains or is gone",
 			h.Try, h.Worker, h.At-since, h.Sentry)
 	}
@@ -577,11 +577,11 @@
 				continue
 			}
 			work += float64(h.Work)
-			for hs[from].At <= h.At-a.o.FallSpan {
+			for hs[from].At <= h.At-a.o.ColdLoadWindow {
 				work -= float64(hs[from].Work)
 				from++
 			}
-			if work <= a.o.FallMultiple*can(h.At)*float64(a.o.FallSpan) {
+			if work <= a.o.ColdLoadMultiple*can(h.At)*float64(a.o.ColdLoadWindow) {
 				continue
 			}
 			known := 0.0
@@ -592,7 +592,7 @@
 			}
 			if known >= work*2/3 {
 				a.breach(4, h.At, a.tries[h.Try], "%s, started %d us before, was sent %.0f us of work within %d us, "+
-					"can do %.0f us", up.Worker, h.At-up.At, work, a.o.FallSpan, can(h.At)*float64(a.o.FallSpan))
+					"can do %.0f us", up.Worker, h.At-up.At, work, a.o.ColdLoadWindow, can(h.At)*float64(a.o.ColdLoadWindow))
 				break
 			}
 		}
@@ -743,7 +743,7 @@
 		return later && a.o.GuardedStages > 0 ||
 			e != nil && e.News.Build == h.Build && e.News.Phase == logic.OnTrial && e.News.Stage < a.o.GuardedStages
 	}
-	if int(h.Profile) < len(a.o.Profiles) && a.o.Profiles[h.Profile].Repeat != logic.Redoable && guarded(latest) && guarded(before) {
+	if int(h.Profile) < len(a.o.Profiles) && a.o.Profiles[h.Profile].Repeatability != logic.Idempotent && guarded(latest) && guarded(before) {
 		a.breach(5, h.At, a.tries[h.Try], "sentry %d handed off what is not redoable to build %d at a guarded stage", s, h.Build)
 	}
 }
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -9,12 +9,12 @@
 
 const ms = logic.Micros(1000)
 
-func rules() *logic.StandingOrders {
-	return &logic.StandingOrders{
-		Sentries: 2, AskForList: true, AskWithin: 1000 * ms, AnswerGrace: 20 * ms, DrainGrace: 500 * ms, ConnectLimit: 50 * ms, FallMultiple: 4, FallSpan: 1000 * ms,
+func rules() *logic.Config {
+	return &logic.Config{
+		Sentries: 2, ListOnRequest: true, MaxListAge: 1000 * ms, AnswerGrace: 20 * ms, DrainGrace: 500 * ms, ConnectTimeout: 50 * ms, ColdLoadMultiple: 4, ColdLoadWindow: 1000 * ms,
 		StageCaps: []float64{0.5, 1}, FreeExposure: 1, ExposureWindow: 1000 * ms, ForwardOnly: true, GuardedStages: 0,
-		Profiles: []logic.Profile{{Repeat: logic.Redoable}, {Repeat: logic.Labelled, Window: 300 * ms},
-			{Repeat: logic.Irreversible}, {Repeat: logic.Labelled, Scope: logic.ScopeZone, Window: 300 * ms}},
+		Profiles: []logic.Profile{{Repeatability: logic.Idempotent}, {Repeatability: logic.Deduplicated, DedupWindow: 300 * ms},
+			{Repeatability: logic.NonIdempotent}, {Repeatability: logic.Deduplicated, DedupScope: logic.ScopeZone, DedupWindow: 300 * ms}},
 	}
 }
 
@@ -31,7 +31,7 @@
 	d := &day{}
 	d.add(0, Event{Kind: SentryUp}).add(0, Event{Kind: SentryUp, Sentry: 1})
 	for s := range logic.SentryID(2) {
-		d.add(1, Event{Kind: NewsTold, Sentry: s, News: logic.News{Valid: true, Build: 10, Phase: logic.Released, Cap: 1}})
+		d.add(1, Event{Kind: NewsTold, Sentry: s, News: logic.ReleaseStatus{Valid: true, Build: 10, Phase: logic.Released, Cap: 1}})
 	}
 	return d
 }
@@ -65,14 +65,14 @@
 	return d.ask(at, try, p).got(at+1, try, p, "w").ends(at+10, Ended).answer(at+11, try, Satisfied)
 }
 
-func (d *day) news(at logic.Micros, n logic.News) *day {
+func (d *day) news(at logic.Micros, n logic.ReleaseStatus) *day {
 	n.Valid = true
 	return d.add(at, Event{Kind: NewsTold, News: n})
 }
 
 // Each case breaks the one rule named, or none; what lies just within a rule's figures is no breach.
 func TestRules(t *testing.T) {
-	trial := logic.News{Build: 11, Phase: logic.OnTrial, Cap: 0.5}
+	trial := logic.ReleaseStatus{Build: 11, Phase: logic.OnTrial, Cap: 0.5}
 	onTrial := func(at logic.Micros, d *day, try string, key logic.Key) *day {
 		d.ask(at, try, 0).got(at+1, try, 0, "t")
 		d.events[len(d.events)-1].Build, d.events[len(d.events)-1].Key = 11, key
@@ -156,15 +156,15 @@
 		{"exposure over free and cap", 5, onTrial(360, onTrial(340, onTrial(320, newDay().news(200, trial), "a", ""), "b", ""), "c", "")},
 		{"exposure over two windows", 0, onTrial(2300, onTrial(1200, onTrial(300, newDay().news(200, trial), "a", ""), "b", ""), "c", "")},
 		{"exposure at a cap that fell, within the grace", 0, onTrial(700, newDay().news(200, trial).
-			news(300, logic.News{Build: 11, Phase: logic.GoingBack}), "a", "")},
-		{"exposure at cap 0", 5, onTrial(900, newDay().news(200, trial).news(300, logic.News{Build: 11, Phase: logic.GoingBack}), "a", "")},
+			news(300, logic.ReleaseStatus{Build: 11, Phase: logic.RollingBack}), "a", "")},
+		{"exposure at cap 0", 5, onTrial(900, newDay().news(200, trial).news(300, logic.ReleaseStatus{Build: 11, Phase: logic.RollingBack}), "a", "")},
 		{"a build of which nothing was told", 5, onTrial(340, onTrial(320, onTrial(300, newDay(), "a", ""), "b", ""), "c", "")},
 		{"released", 0, onTrial(1440, onTrial(1420, onTrial(1400, newDay().news(200, trial).
-			news(300, logic.News{Build: 11, Phase: logic.Released, Cap: 1}), "a", ""), "b", ""), "c", "")},
+			news(300, logic.ReleaseStatus{Build: 11, Phase: logic.Released, Cap: 1}), "a", ""), "b", ""), "c", "")},
 		{"a key that goes back", 5, keyed(onTrial(1000, newDay().news(200, trial), "a", "k"), 1100, "k")},
 		{"another key", 0, keyed(onTrial(1000, newDay().news(200, trial), "a", "k"), 1100, "k2")},
 		{"a key that goes back with its build", 0, keyed(onTrial(1000, newDay().news(200, trial), "a", "k").
-			news(1010, logic.News{Build: 11, Phase: logic.GoingBack}), 1100, "k")},
+			news(1010, logic.ReleaseStatus{Build: 11, Phase: logic.RollingBack}), 1100, "k")},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -11,7 +11,7 @@
 // Random hands each transaction to a random ready worker, whatever its build, and what may run again to another one
 // after a failure. It keeps the rule on effects and answers in time; it knows nothing of caps, warmth or load.
 type Random struct {
-	orders logic.StandingOrders
+	orders logic.Config
 	chance *rand.Rand
 	ready  []logic.WorkerID
 	known  map[logic.WorkerID]bool
@@ -27,7 +27,7 @@
 }
 
 // NewRandom makes one.
-func NewRandom(o logic.StandingOrders, seed int64) *Random {
+func NewRandom(o logic.Config, seed int64) *Random {
 	return &Random{orders: o, chance: rand.New(rand.NewSource(seed)), known: map[logic.WorkerID]bool{},
 		open: map[logic.TransactionID]*held{}}
 }
@@ -40,9 +40,9 @@
 	case input.ListRequestFailed:
 		out.WakeAt = in.At + 500_000
 	case input.TimerFired:
-		out.Follow = r.orders.AskForList && len(r.ready) == 0
+		out.WatchList = r.orders.ListOnRequest && len(r.ready) == 0
 	case input.TransactionArrived:
-		h := &held{profile: in.Transaction.Profile, limit: in.Transaction.Limit}
+		h := &held{profile: in.Transaction.Profile, limit: in.Transaction.Deadline}
 		r.open[in.Transaction.ID] = h
 		r.send(in.Transaction.ID, h, &out)
 	case input.ClientLeft:
@@ -55,10 +55,10 @@
 		h.out--
 		e := in.End.Ending
 		h.mayRun = h.mayRun || e != logic.TurnedAway && e != logic.Unconnected && e != logic.Unsent
-		again := h.sends < r.orders.MostHandOffs && in.At < h.limit-r.orders.Tick &&
-			(!h.mayRun || r.orders.Profiles[h.profile].Repeat == logic.Redoable)
+		again := h.sends < r.orders.MaxHandOffs && in.At < h.limit-r.orders.TimerGranularity &&
+			(!h.mayRun || r.orders.Profiles[h.profile].Repeatability == logic.Idempotent)
 		switch {
-		case in.End.Closed:
+		case in.End.TransactionClosed:
 			delete(r.open, in.End.Transaction)
 		case again:
 			r.send(in.End.Transaction, h, &out)
@@ -66,14 +66,14 @@
 			r.giveUp(in.End.Transaction, h, &out)
 		}
 	}
-	if in.Kind == input.ListReceived && in.ListKind == logic.ListRemembered && r.orders.AskForList {
-		out.Follow = true
+	if in.Kind == input.ListReceived && in.ListKind == logic.CachedList && r.orders.ListOnRequest {
+		out.WatchList = true
 	}
 	return out
 }
 
 func (r *Random) listed(in *input.Input) {
-	if in.ListKind != logic.ListChanges {
+	if in.ListKind != logic.ListDelta {
 		r.ready, r.known = nil, map[logic.WorkerID]bool{}
 	}
 	for _, w := range in.List {
@@ -100,15 +100,15 @@
 	}
 	h.sends++
 	h.out++
-	out.Rulings = append(out.Rulings, logic.Ruling{Kind: logic.HandOff, Transaction: id, Until: h.limit,
+	out.Actions = append(out.Actions, logic.Action{Kind: logic.HandOff, Transaction: id, Deadline: h.limit,
 		Worker: r.ready[r.chance.Intn(len(r.ready))]})
 }
 
 func (r *Random) giveUp(id logic.TransactionID, h *held, out *logic.Result) {
 	kind := logic.WriteOff
-	if !h.mayRun || r.orders.Profiles[h.profile].Repeat == logic.Redoable {
+	if !h.mayRun || r.orders.Profiles[h.profile].Repeatability == logic.Idempotent {
 		kind = logic.Defer
 	}
-	out.Rulings = append(out.Rulings, logic.Ruling{Kind: kind, Transaction: id})
+	out.Actions = append(out.Actions, logic.Action{Kind: kind, Transaction: id})
 	delete(r.open, id)
 }
--- a/internal/benchwire/wire.go
+++ b/internal/benchwire/wire.go
@@ -189,7 +189,7 @@
 	var row []*float64
 	f.read(i, &row, false)
 	figures := [facts.LoadFieldCount]*float64{
-		facts.LoadFieldHeld: &load.Held, facts.LoadFieldBusy: &load.Busy, facts.LoadFieldServed: &load.Served}
+		facts.LoadFieldHeld: &load.InFlight, facts.LoadFieldBusy: &load.BusyShare, facts.LoadFieldServed: &load.ServedPerSecond}
 	for n, at := range in.names.LoadFieldIndex {
 		*figures[n] = -1
 		if at >= 0 && at < len(row) && row[at] != nil {
@@ -216,7 +216,7 @@
 	case "query":
 		t := logic.Transaction{
 			ID: logic.TransactionID(f.must(1)), Profile: in.profile(f, 2), Account: logic.NoAccount,
-			Key: logic.Key(f.text(4)), Limit: f.time(5),
+			Key: logic.Key(f.text(4)), Deadline: f.time(5),
 		}
 		var account any
 		f.read(3, &account, false)
@@ -227,14 +227,14 @@
 		}
 		bits := f.integer(7)
 		if bits&1 != 0 {
-			t.Hint = f.time(6)
+			t.ExpectedWork = f.time(6)
 		}
-		t.Again = bits&2 != 0
-		do = func() logic.Result { return s.Arrive(now, t) }
+		t.IsRetry = bits&2 != 0
+		do = func() logic.Result { return s.TransactionArrived(now, t) }
 	case "ended":
 		e := logic.HandOffEnd{
-			Transaction: logic.TransactionID(f.must(1)), HandOff: int(f.integer(2)),
-			Worker: logic.WorkerID(f.must(3)), Ending: f.ending(4), Took: f.time(5), Closed: f.truth(6),
+			Transaction: logic.TransactionID(f.must(1)), HandOffNumber: int(f.integer(2)),
+			Worker: logic.WorkerID(f.must(3)), Ending: f.ending(4), Duration: f.time(5), TransactionClosed: f.truth(6),
 			Load: in.load(f, 7),
 		}
 		do = func() logic.Result { return s.HandOffEnded(now, e) }
@@ -252,37 +252,37 @@
 	case "endpoints":
 		do = l.listCall(in, f)
 	case "promotion":
-		fate, ok := map[string]logic.VoteFate{
-			"GOOD": logic.VoteStands, "NOP": logic.VoteMoot, "FULL": logic.VoteRefused, "BAD": logic.VoteRefused,
-			"LATE": logic.VoteUnanswered,
+		fate, ok := map[string]logic.VoteResult{
+			"GOOD": logic.VoteAccepted, "NOP": logic.VoteObsolete, "FULL": logic.VoteRefused, "BAD": logic.VoteRefused,
+			"LATE": logic.VoteTimedOut,
 		}[f.must(5)]
 		if !ok && f.err == nil {
 			f.err = fmt.Errorf("%s: unknown result", f.kind)
 		}
-		n := logic.News{
-			Valid: fate == logic.VoteStands, Cap: f.real(1), Age: f.time(2), Build: logic.BuildID(f.integer(3)),
-			Stage: int(f.integer(4)), Phase: logic.Phase(f.integer(7)), Fate: fate,
+		n := logic.ReleaseStatus{
+			Valid: fate == logic.VoteAccepted, Cap: f.real(1), Age: f.time(2), Build: logic.BuildID(f.integer(3)),
+			Stage: int(f.integer(4)), Phase: logic.Phase(f.integer(7)), VoteResult: fate,
 		}
 		if f.integer(6) == 0 {
-			n.Fate = logic.NoVoteAsked
+			n.VoteResult = logic.NoVote
 		}
-		do = func() logic.Result { return s.Told(now, n) }
+		do = func() logic.Result { return s.ReleaseUpdated(now, n) }
 	case "reported_wrong":
 		c := logic.Complaint{Age: f.time(1), Profile: in.profile(f, 2), Worker: logic.WorkerID(f.must(3))}
-		do = func() logic.Result { return s.Complained(now, c) }
+		do = func() logic.Result { return s.ComplaintReceived(now, c) }
 	case "counts_by_build":
-		c := logic.Counts{
+		c := logic.BuildCounts{
 			HandOffs: int(f.integer(1)), Profile: in.profile(f, 2), Failed: int(f.integer(3)),
-			Build: logic.BuildID(f.integer(4)), Age: f.time(5), Mean: f.time(6),
+			Build: logic.BuildID(f.integer(4)), Age: f.time(5), MeanDuration: f.time(6),
 		}
-		do = func() logic.Result { return s.Counted(now, c) }
+		do = func() logic.Result { return s.CountsReceived(now, c) }
 	case "mail":
 		from := logic.SentryID(f.integer(1))
 		body, err := base64.StdEncoding.DecodeString(f.text(2))
 		if err != nil && f.err == nil {
 			f.err = fmt.Errorf("%s: %w", f.kind, err)
 		}
-		do = func() logic.Result { return s.PeerSaid(now, from, body) }
+		do = func() logic.Result { return s.PeerMessageReceived(now, from, body) }
 	default:
 		return res, false
 	}
@@ -295,7 +295,7 @@
 func (l *link) listCall(in *instance, f *fields) func() logic.Result {
 	s, now := in.sentry, l.clock
 	kinds := map[string]logic.ListKind{
-		"changes": logic.ListChanges, "all": logic.ListWhole, "remembered": logic.ListRemembered,
+		"changes": logic.ListDelta, "all": logic.FullList, "remembered": logic.CachedList,
 	}
 	word := f.must(1)
 	kind, ok := kinds[word]
@@ -303,13 +303,13 @@
 		if word != "refused" && f.err == nil {
 			f.err = fmt.Errorf("%s: unknown mode %q", f.kind, word)
 		}
-		return func() logic.Result { return s.AskFailed(now, true) }
+		return func() logic.Result { return s.ListRequestFailed(now, true) }
 	}
 	list, ok := l.lists[f.integer(3)]
 	if !ok && f.err == nil {
 		f.err = fmt.Errorf("%s: no census %d", f.kind, f.integer(3))
 	}
-	return func() logic.Result { return s.Listed(now, kind, list) }
+	return func() logic.Result { return s.ListReceived(now, kind, list) }
 }
 
 var states = map[string]logic.WorkerState{"live": logic.Ready, "quiescing": logic.Draining, "dead": logic.Gone}
@@ -354,26 +354,26 @@
 // carryOut writes a result. A wake-up is asked for only if none that stands comes as early.
 func (l *link) carryOut(in *instance, res logic.Result) {
 	who := in.number
-	for _, r := range res.Rulings {
+	for _, r := range res.Actions {
 		switch r.Kind {
 		case logic.HandOff:
-			l.write("route", who, r.Transaction, r.Worker, l.ns(r.Until))
+			l.write("route", who, r.Transaction, r.Worker, l.ns(r.Deadline))
 		case logic.CancelHandOff:
-			l.write("revoke", who, r.Transaction, r.Number)
+			l.write("revoke", who, r.Transaction, r.HandOffNumber)
 		case logic.Defer:
-			l.write("bounce", who, r.Transaction, int64(r.ComeBack)*1000)
+			l.write("bounce", who, r.Transaction, int64(r.RetryAfter)*1000)
 		case logic.WriteOff:
 			l.write("fail", who, r.Transaction)
 		}
 	}
 	for _, v := range res.Votes {
 		l.write("say_so", who, v.Build, v.Stage, map[logic.Verdict]int{
-			logic.NoVerdict: 0, logic.GoOn: 1, logic.Hold: 2, logic.GoBack: 3}[v.Verdict])
+			logic.NoVerdict: 0, logic.Advance: 1, logic.Hold: 2, logic.RollBack: 3}[v.Verdict])
 	}
-	if res.Follow {
+	if res.WatchList {
 		l.write("watch", who, true)
 	}
-	if res.ReadList {
+	if res.FetchList {
 		l.write("read_list", who)
 	}
 	for _, id := range res.Probes {
@@ -386,7 +386,7 @@
 		}
 		l.write("publish", who, to, base64.StdEncoding.EncodeToString(m.Body))
 	}
-	for _, n := range res.Notes {
+	for _, n := range res.LogLines {
 		l.write("say_log", who, n)
 	}
 	if at := res.WakeAt; at > 0 && (len(in.wakes) == 0 || at < in.wakes[len(in.wakes)-1]) {
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -61,14 +61,14 @@
 		report, row string
 		want        logic.Load
 	}{
-		{`{"how":"inline","fields":["busy_reqs"]}`, `[7]`, logic.Load{Held: 7, Busy: -1, Served: -1}},
-		{`{"how":"inline","fields":["served_ps","svc_ms","cpu_share"]}`, `[12.5,3,0.4]`, logic.Load{Held: -1, Busy: 0.4, Served: 12.5}},
+		{`{"how":"inline","fields":["busy_reqs"]}`, `[7]`, logic.Load{InFlight: 7, BusyShare: -1, ServedPerSecond: -1}},
+		{`{"how":"inline","fields":["served_ps","svc_ms","cpu_share"]}`, `[12.5,3,0.4]`, logic.Load{InFlight: -1, BusyShare: 0.4, ServedPerSecond: 12.5}},
 		{`{"how":"inline","fields":["served_ps","cpu_share"]}`, `[null]`, logic.NoLoad}, {`{"how":"off","fields":["busy_reqs"]}`, `[7]`, logic.NoLoad},
 	} {
 		o, n, err := facts.DecodeConfig([]byte(`{"report":`+c.report+`,"family_info":{"metrics_period_ns":2000000000,"sampled_share":0.2}}`), map[string]logic.ZoneID{})
 		f := &fields{values: []json.RawMessage{json.RawMessage(c.row)}}
-		if got := (&instance{names: n}).load(f, 0); err != nil || got != c.want || f.err != nil || o.CountsEvery != 2_000_000 || o.CountsShare != 0.2 {
-			t.Errorf("%s %s: %+v, expected %+v (%v, %v); counts every %d", c.report, c.row, got, c.want, err, f.err, o.CountsEvery)
+		if got := (&instance{names: n}).load(f, 0); err != nil || got != c.want || f.err != nil || o.CountsPeriod != 2_000_000 || o.CountsSampleShare != 0.2 {
+			t.Errorf("%s %s: %+v, expected %+v (%v, %v); counts every %d", c.report, c.row, got, c.want, err, f.err, o.CountsPeriod)
 		}
 	}
 }
--- a/internal/drill/file.go
+++ b/internal/drill/file.go
@@ -112,9 +112,9 @@
 		NewsLate: b.Span("news_late", false, 200*ms, 0, time.Minute), Link: b.Span("link", false, ms, 0, time.Second),
 	}
 	b.Done()
-	if o := &d.Sheet.Policy; d.Fleet.Cold > o.WarmUp || d.Fleet.ColdFrom < o.ColdFrom {
+	if o := &d.Sheet.Policy; d.Fleet.Cold > o.WarmUp || d.Fleet.ColdFrom < o.ColdCapacity {
 		b.Fault("workers are colder than the rules state: warm_up at most %d us and cold_from at least %g expected",
-			o.WarmUp, o.ColdFrom)
+			o.WarmUp, o.ColdCapacity)
 	}
 	d.load(root.Block("load", true))
 	for _, b := range root.Blocks("release", 1) {
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -92,7 +92,7 @@
 			reached = false
 		case mine.starting:
 			reached = false
-		case !f.d.Sheet.Policy.BesideEarlier:
+		case !f.d.Sheet.Policy.EarlierWorkersStay:
 			f.drainAt(at, func(x logic.BuildID) bool { return x < b })
 		}
 	}
--- a/internal/drill/result.go
+++ b/internal/drill/result.go
@@ -101,9 +101,9 @@
 				case t.SatisfiedAfter <= p.DueTime:
 					due++
 					value += p.Value
-				case t.SatisfiedAfter <= p.OuterLimit:
+				case t.SatisfiedAfter <= p.MaxDeadline:
 					late++
-					value += p.Value * p.LateShare
+					value += p.Value * p.LateValueShare
 				}
 			}
 		}
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -45,8 +45,8 @@
 // What the settings' words stand for.
 var (
 	controls = map[string]logic.Control{"share": logic.ControlShare, "timer": logic.ControlTimer}
-	repeats  = map[string]logic.Repeat{"retryable": logic.Redoable, "dedup": logic.Labelled}
-	scopes   = map[string]logic.Scope{"zone": logic.ScopeZone, "cell": logic.ScopeCell}
+	repeats  = map[string]logic.Repeatability{"retryable": logic.Idempotent, "dedup": logic.Deduplicated}
+	scopes   = map[string]logic.DedupScope{"zone": logic.ScopeZone, "cell": logic.ScopeCell}
 )
 
 // word is what a word stands for, another thing if it is none of these.
@@ -58,7 +58,7 @@
 }
 
 // Orders decodes the settings. Unknown keys are ignored, absent ones are zero.
-func DecodeConfig(raw json.RawMessage, zones map[string]logic.ZoneID) (logic.StandingOrders, *Names, error) {
+func DecodeConfig(raw json.RawMessage, zones map[string]logic.ZoneID) (logic.Config, *Names, error) {
 	var f struct {
 		Azs        []string
 		Categories []struct {
@@ -137,7 +137,7 @@
 		Zone string
 	}
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return logic.StandingOrders{}, nil, fmt.Errorf("facts: %w", err)
+		return logic.Config{}, nil, fmt.Errorf("facts: %w", err)
 	}
 	n := &Names{
 		Profiles:             map[string]logic.ProfileID{},
@@ -148,36 +148,36 @@
 	for _, z := range f.Azs {
 		AssignZone(zones, z)
 	}
-	o := logic.StandingOrders{
+	o := logic.Config{
 		Control:  word(f.FamilyInfo.Control, logic.ControlAny, controls),
 		Sentries: f.ReplicasOfMe, Position: logic.SentryID(f.Position), Zone: AssignZone(zones, f.Zone),
-		AskForList: f.RegistryMode == "on_request", AskWithin: ToMicros(f.Rules.AskWithinNs),
-		MayProbe: f.Limits.MayProbe, MayCancel: f.Limits.Cancel, MayCopy: f.Limits.ParallelTries,
-		MayMessage: f.Limits.Peers, MayNameReturn: f.Limits.RetryAfter,
-		MostHandOffs: f.Limits.MaxAttempts, MostReturn: ToMicros(f.Limits.MaxRetryAfterNs),
-		ConnectLimit: ToMicros(f.Limits.ConnectTimeout), IdleClose: ToMicros(f.Limits.IdleCloseNs), Tick: ToMicros(f.GranularityNs),
+		ListOnRequest: f.RegistryMode == "on_request", MaxListAge: ToMicros(f.Rules.AskWithinNs),
+		MayProbe: f.Limits.MayProbe, MayCancel: f.Limits.Cancel, MayHedge: f.Limits.ParallelTries,
+		MayMessage: f.Limits.Peers, MayNameRetryAfter: f.Limits.RetryAfter,
+		MaxHandOffs: f.Limits.MaxAttempts, MaxRetryAfter: ToMicros(f.Limits.MaxRetryAfterNs),
+		ConnectTimeout: ToMicros(f.Limits.ConnectTimeout), IdleTimeout: ToMicros(f.Limits.IdleCloseNs), TimerGranularity: ToMicros(f.GranularityNs),
 		AnswerGrace: ToMicros(f.Rules.GraceToAnswerNs), DrainGrace: ToMicros(f.Rules.DrainGraceNs),
-		ColdFrom: f.Rules.ColdFrom, WarmUp: ToMicros(f.Rules.WarmUpNs),
-		FallMultiple: f.Rules.FallMultiple, FallSpan: ToMicros(f.Rules.FallNs),
-		BesideEarlier: f.FamilyInfo.Layout == "beside",
-		StageShares:   f.FamilyInfo.Shares, StageCaps: f.FamilyInfo.Caps,
+		ColdCapacity: f.Rules.ColdFrom, WarmUp: ToMicros(f.Rules.WarmUpNs),
+		ColdLoadMultiple: f.Rules.FallMultiple, ColdLoadWindow: ToMicros(f.Rules.FallNs),
+		EarlierWorkersStay: f.FamilyInfo.Layout == "beside",
+		StageShares:        f.FamilyInfo.Shares, StageCaps: f.FamilyInfo.Caps,
 		FreeExposure: f.FamilyInfo.Free, ExposureWindow: ToMicros(f.FamilyInfo.ExposureWindowNs),
 		ExposureByProfile: f.FamilyInfo.CapScope == "class",
 		GuardedStages:     f.FamilyInfo.Shielded, ForwardOnly: f.FamilyInfo.NoReturn,
-		OnVotes: f.FamilyInfo.OnVotes, HoldVotes: f.FamilyInfo.VotesToHold, BackVotes: f.FamilyInfo.VotesToRevert,
-		VoteLife: ToMicros(f.FamilyInfo.VoteTTLNs), VoteWait: ToMicros(f.FamilyInfo.AnswerWaitNs),
-		VotesPerSecond: f.FamilyInfo.VotesPerS, Bake: ToMicros(f.FamilyInfo.BakeNs),
+		AdvanceVotes: f.FamilyInfo.OnVotes, HoldVotes: f.FamilyInfo.VotesToHold, RollBackVotes: f.FamilyInfo.VotesToRevert,
+		VoteTTL: ToMicros(f.FamilyInfo.VoteTTLNs), VoteTimeout: ToMicros(f.FamilyInfo.AnswerWaitNs),
+		VotesPerSecond: f.FamilyInfo.VotesPerS, BakeTime: ToMicros(f.FamilyInfo.BakeNs),
 		ComplaintShare: f.FamilyInfo.ComplaintShare,
-		CountsEvery:    ToMicros(f.FamilyInfo.MetricsPeriodNs), CountsShare: f.FamilyInfo.SampledShare,
-		BehindPrice: f.FamilyInfo.StaleBuildPrice, HarmPrice: f.FamilyInfo.HarmFee,
-		CrossPrice: f.Prices.CrossZone, WastePrice: f.Prices.Waste, OverShareValue: f.OverShareWorth,
+		CountsPeriod:   ToMicros(f.FamilyInfo.MetricsPeriodNs), CountsSampleShare: f.FamilyInfo.SampledShare,
+		StaleBuildPrice: f.FamilyInfo.StaleBuildPrice, HarmPrice: f.FamilyInfo.HarmFee,
+		CrossZonePrice: f.Prices.CrossZone, WastePrice: f.Prices.Waste, OverShareValue: f.OverShareWorth,
 	}
 	for i, c := range f.Categories {
 		n.Profiles[c.Name] = logic.ProfileID(i)
 		p := logic.Profile{
-			DueTime: ToMicros(c.AimNs), OuterLimit: ToMicros(c.DeadlineNs), Value: c.Value, LateShare: c.LateWorth,
-			Window: ToMicros(c.WindowNs), Streamed: c.Stream,
-			Repeat: word(c.Effect, logic.Irreversible, repeats), Scope: word(c.Group, logic.ScopeAll, scopes),
+			DueTime: ToMicros(c.AimNs), MaxDeadline: ToMicros(c.DeadlineNs), Value: c.Value, LateValueShare: c.LateWorth,
+			DedupWindow: ToMicros(c.WindowNs), Streamed: c.Stream,
+			Repeatability: word(c.Effect, logic.NonIdempotent, repeats), DedupScope: word(c.Group, logic.ScopeAll, scopes),
 		}
 		o.Profiles = append(o.Profiles, p)
 	}
--- a/internal/input/input.go
+++ b/internal/input/input.go
@@ -35,11 +35,11 @@
 	List          []logic.Worker
 	Busy          bool         // ListRefused: discovery turned the call away
 	StaleSince    logic.Micros // ListUnsure
-	ReleaseStatus logic.News
+	ReleaseStatus logic.ReleaseStatus
 	Complaint     logic.Complaint
-	Counts        logic.Counts          // Counted
-	Config        *logic.StandingOrders // Ordered
-	From          logic.SentryID        // PeerSaid
+	Counts        logic.BuildCounts // Counted
+	Config        *logic.Config     // Ordered
+	From          logic.SentryID    // PeerSaid
 	Body          []byte
 	Worker        logic.WorkerID // Probed
 	Held          float64
@@ -49,7 +49,7 @@
 func Apply(s *logic.Sentry, in *Input) logic.Result {
 	switch in.Kind {
 	case TransactionArrived:
-		return s.Arrive(in.At, in.Transaction)
+		return s.TransactionArrived(in.At, in.Transaction)
 	case HandOffEnded:
 		return s.HandOffEnded(in.At, in.End)
 	case ClientLeft:
@@ -57,21 +57,21 @@
 	case TimerFired:
 		return s.Wake(in.At)
 	case ListReceived:
-		return s.Listed(in.At, in.ListKind, in.List)
+		return s.ListReceived(in.At, in.ListKind, in.List)
 	case ListRequestFailed:
-		return s.AskFailed(in.At, in.Busy)
+		return s.ListRequestFailed(in.At, in.Busy)
 	case ListMayBeStale:
-		return s.ListUnsure(in.At, in.StaleSince)
+		return s.ListMayBeStale(in.At, in.StaleSince)
 	case ReleaseUpdated:
-		return s.Told(in.At, in.ReleaseStatus)
+		return s.ReleaseUpdated(in.At, in.ReleaseStatus)
 	case ComplaintReceived:
-		return s.Complained(in.At, in.Complaint)
+		return s.ComplaintReceived(in.At, in.Complaint)
 	case PeerMessageReceived:
-		return s.PeerSaid(in.At, in.From, in.Body)
+		return s.PeerMessageReceived(in.At, in.From, in.Body)
 	case CountsReceived:
-		return s.Counted(in.At, in.Counts)
+		return s.CountsReceived(in.At, in.Counts)
 	case Reconfigured:
-		return s.Ordered(in.At, *in.Config)
+		return s.Reconfigure(in.At, *in.Config)
 	default:
 		return logic.Result{}
 	}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -154,8 +154,8 @@
 		return nil, err
 	}
 	defer closeAll(servers)
-	stage := standin.NewEnvironment(&logic.StandingOrders{StageCaps: []float64{1}, StageShares: []float64{1}, VotesPerSecond: 10,
-		BackVotes: 1}, []string{"z"}, 1)
+	stage := standin.NewEnvironment(&logic.Config{StageCaps: []float64{1}, StageShares: []float64{1}, VotesPerSecond: 10,
+		RollBackVotes: 1}, []string{"z"}, 1)
 	list, desk := standin.NewDiscovery(stage), standin.NewControlPlane(stage, still{}, 10)
 	if err := list.Start(); err != nil {
 		return nil, err
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -18,7 +18,7 @@
 
 // Sheet is what an operator's file says.
 type Settings struct {
-	Policy          logic.StandingOrders
+	Policy          logic.Config
 	ProfileNames    []string
 	AccountNames    []string
 	RemovedProfiles []bool // places whose profile is no longer taken, by a sentry that runs on
@@ -92,7 +92,7 @@
 func (s *Settings) fill(place int) {
 	for len(s.ProfileNames) <= place {
 		s.ProfileNames = append(s.ProfileNames, "")
-		s.Policy.Profiles = append(s.Policy.Profiles, logic.Profile{DueTime: 1_000_000, OuterLimit: 1_000_000})
+		s.Policy.Profiles = append(s.Policy.Profiles, logic.Profile{DueTime: 1_000_000, MaxDeadline: 1_000_000})
 	}
 }
 
@@ -104,7 +104,7 @@
 // OuterLimit is that of the profile with the longest: nothing is open any longer.
 func (s *Settings) MaxDeadline() (longest logic.Micros) {
 	for _, p := range s.Policy.Profiles {
-		longest = max(longest, p.OuterLimit)
+		longest = max(longest, p.MaxDeadline)
 	}
 	return longest
 }
@@ -222,9 +222,9 @@
 	s.rules(root.Block("rules", true))
 	s.trial(root.Block("trial", true))
 	p := root.Block("prices", false)
-	o.BehindPrice = p.Figure("behind", false, 0, 0, 10)
+	o.StaleBuildPrice = p.Figure("behind", false, 0, 0, 10)
 	o.HarmPrice = p.Figure("harm", false, 0, 0, 100)
-	o.CrossPrice = p.Figure("cross", false, 0, 0, 1)
+	o.CrossZonePrice = p.Figure("cross", false, 0, 0, 1)
 	o.WastePrice = p.Figure("waste", false, 0, 0, 1)
 	o.OverShareValue = p.Figure("over_share_value", false, 1, 0, 1)
 	p.Done()
@@ -244,19 +244,19 @@
 func (s *Settings) profiles(root *hclread.Body) {
 	for i, b := range root.Blocks("profile", 1) {
 		p := logic.Profile{
-			DueTime:    b.Span("due_time", true, ms, ms, hour),
-			OuterLimit: b.Span("outer_limit", true, hour, ms, 24*hour),
-			Value:      b.Figure("value", false, 1, 0, 1e9),
-			LateShare:  b.Figure("late_share", false, 0, 0, 1),
-			Repeat:     logic.Repeat(b.Word("repeat", true, int(logic.Irreversible), "redoable", "labelled", "irreversible")),
+			DueTime:        b.Span("due_time", true, ms, ms, hour),
+			MaxDeadline:    b.Span("outer_limit", true, hour, ms, 24*hour),
+			Value:          b.Figure("value", false, 1, 0, 1e9),
+			LateValueShare: b.Figure("late_share", false, 0, 0, 1),
+			Repeatability:  logic.Repeatability(b.Word("repeat", true, int(logic.NonIdempotent), "redoable", "labelled", "irreversible")),
 		}
-		labelled := p.Repeat == logic.Labelled
-		p.Scope = logic.Scope(b.Word("scope", labelled, 0, "all", "zone", "cell"))
-		p.Window = b.Span("window", labelled, 0, ms, hour)
+		labelled := p.Repeatability == logic.Deduplicated
+		p.DedupScope = logic.DedupScope(b.Word("scope", labelled, 0, "all", "zone", "cell"))
+		p.DedupWindow = b.Span("window", labelled, 0, ms, hour)
 		if !labelled && (b.Has("scope") || b.Has("window")) {
 			b.Fault("profile %s has a scope or window, expected them with repeat = \"labelled\" only", b.Labels[0])
 		}
-		if p.OuterLimit < p.DueTime {
+		if p.MaxDeadline < p.DueTime {
 			b.FaultAt("outer_limit", "found less than due_time, expected at least as much")
 		}
 		for _, other := range s.ProfileNames {
@@ -297,38 +297,38 @@
 func (s *Settings) allowed(b *hclread.Body) {
 	o := &s.Policy
 	o.MayProbe, o.MayCancel = b.Flag("probes", false), b.Flag("cancel", true)
-	o.MayCopy, o.MayMessage = b.Flag("copies", false), b.Flag("messages", false)
-	o.MayNameReturn = b.Flag("name_return", true)
-	o.MostHandOffs = b.Whole("hand_offs", false, 3, 1, 100)
-	o.MostReturn = b.Span("most_return", false, time.Second, 0, hour)
-	o.ConnectLimit = b.Span("connect_limit", false, 250*ms, ms, time.Minute)
-	o.IdleClose = b.Span("idle_close", false, 30*time.Second, 0, 24*hour)
+	o.MayHedge, o.MayMessage = b.Flag("copies", false), b.Flag("messages", false)
+	o.MayNameRetryAfter = b.Flag("name_return", true)
+	o.MaxHandOffs = b.Whole("hand_offs", false, 3, 1, 100)
+	o.MaxRetryAfter = b.Span("most_return", false, time.Second, 0, hour)
+	o.ConnectTimeout = b.Span("connect_limit", false, 250*ms, ms, time.Minute)
+	o.IdleTimeout = b.Span("idle_close", false, 30*time.Second, 0, 24*hour)
 	b.Done()
 }
 
 func (s *Settings) list(b *hclread.Body) {
 	o := &s.Policy
-	o.AskForList = b.Flag("ask", false)
-	o.AskWithin = b.Span("ask_within", o.AskForList, 10*time.Second, 100*ms, hour)
+	o.ListOnRequest = b.Flag("ask", false)
+	o.MaxListAge = b.Span("ask_within", o.ListOnRequest, 10*time.Second, 100*ms, hour)
 	b.Done()
 }
 
 func (s *Settings) rules(b *hclread.Body) {
 	o := &s.Policy
-	o.Tick = b.Span("tick", false, 5*ms, time.Microsecond, time.Second)
+	o.TimerGranularity = b.Span("tick", false, 5*ms, time.Microsecond, time.Second)
 	o.AnswerGrace = b.Span("answer_grace", true, 20*ms, 0, time.Minute)
 	o.DrainGrace = b.Span("drain_grace", true, 2*time.Second, 0, time.Minute)
-	o.ColdFrom = b.Figure("cold_from", true, 1, 0.01, 1)
+	o.ColdCapacity = b.Figure("cold_from", true, 1, 0.01, 1)
 	o.WarmUp = b.Span("warm_up", true, 0, 0, hour)
-	o.FallMultiple = b.Figure("fall_multiple", true, 4, 1, 1000)
-	o.FallSpan = b.Span("fall_span", true, time.Second, 10*ms, time.Minute)
+	o.ColdLoadMultiple = b.Figure("fall_multiple", true, 4, 1, 1000)
+	o.ColdLoadWindow = b.Span("fall_span", true, time.Second, 10*ms, time.Minute)
 	b.Done()
 }
 
 func (s *Settings) trial(b *hclread.Body) {
 	o := &s.Policy
 	o.Control = logic.Control(b.Word("control", true, 0, "any", "share", "timer"))
-	o.BesideEarlier = b.Word("layout", false, 0, "beside", "in_place") == 0
+	o.EarlierWorkersStay = b.Word("layout", false, 0, "beside", "in_place") == 0
 	o.StageShares = b.Figures("stage_shares", true, 0, 1)
 	o.StageCaps = b.Figures("stage_caps", true, 0, 1)
 	o.FreeExposure = b.Figure("free", true, 0, 0, 1e6)
@@ -337,18 +337,18 @@
 	o.GuardedStages = b.Whole("guarded_stages", false, 0, 0, 100)
 	o.ForwardOnly = b.Flag("forward_only", false)
 	timer := o.Control == logic.ControlTimer
-	o.OnVotes = b.Whole("on_votes", !timer, 0, 0, 10_000)
+	o.AdvanceVotes = b.Whole("on_votes", !timer, 0, 0, 10_000)
 	o.HoldVotes = b.Whole("hold_votes", timer, 0, 0, 10_000)
-	o.BackVotes = b.Whole("back_votes", true, 1, 1, 10_000)
-	o.VoteLife = b.Span("vote_life", true, 6*time.Second, 10*ms, hour)
-	o.VoteWait = b.Span("vote_wait", true, time.Second, 10*ms, time.Minute)
+	o.RollBackVotes = b.Whole("back_votes", true, 1, 1, 10_000)
+	o.VoteTTL = b.Span("vote_life", true, 6*time.Second, 10*ms, hour)
+	o.VoteTimeout = b.Span("vote_wait", true, time.Second, 10*ms, time.Minute)
 	o.VotesPerSecond = b.Figure("votes_per_second", false, 100, 0.01, 1e6)
-	o.Bake = b.Span("bake", true, time.Second, 0, 24*hour)
+	o.BakeTime = b.Span("bake", true, time.Second, 0, 24*hour)
 	o.ComplaintShare = b.Figure("complaint_share", false, 0, 0, 1)
-	o.CountsEvery = b.Span("counts_every", false, 0, 0, hour)
-	o.CountsShare = b.Figure("counts_share", o.CountsEvery > 0, 0, 0, 1)
-	if o.CountsShare > 0 && o.CountsEvery == 0 {
-		b.FaultAt("counts_share", "found %g without counts_every, expected both or none", o.CountsShare)
+	o.CountsPeriod = b.Span("counts_every", false, 0, 0, hour)
+	o.CountsSampleShare = b.Figure("counts_share", o.CountsPeriod > 0, 0, 0, 1)
+	if o.CountsSampleShare > 0 && o.CountsPeriod == 0 {
+		b.FaultAt("counts_share", "found %g without counts_every, expected both or none", o.CountsSampleShare)
 	}
 	b.Done()
 	if len(o.StageCaps) != len(o.StageShares) || len(o.StageCaps) == 0 {
@@ -362,7 +362,7 @@
 			}
 		}
 	}
-	if o.OnVotes > o.Sentries || o.BackVotes > o.Sentries {
+	if o.AdvanceVotes > o.Sentries || o.RollBackVotes > o.Sentries {
 		b.Fault("more votes wanted than there are sentries (%d)", o.Sentries)
 	}
 }
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -23,9 +23,9 @@
 		t.Fatal(err)
 	}
 	o := s.Policy
-	if o.Sentries != 2 || o.DrainGrace != 2_000_000 || o.FallMultiple != 4 || !o.ForwardOnly || len(o.StageCaps) != 3 ||
-		o.Profiles[1].Repeat != logic.Labelled || o.Profiles[1].Window != 1_500_000 || o.Profiles[2].Repeat != logic.Irreversible ||
-		s.Endpoints.Peers[1] != "127.0.0.1:7401" || o.ConnectLimit != 250_000 || o.AskWithin != 10_000_000 || !o.MayMessage || o.MayCopy {
+	if o.Sentries != 2 || o.DrainGrace != 2_000_000 || o.ColdLoadMultiple != 4 || !o.ForwardOnly || len(o.StageCaps) != 3 ||
+		o.Profiles[1].Repeatability != logic.Deduplicated || o.Profiles[1].DedupWindow != 1_500_000 || o.Profiles[2].Repeatability != logic.NonIdempotent ||
+		s.Endpoints.Peers[1] != "127.0.0.1:7401" || o.ConnectTimeout != 250_000 || o.MaxListAge != 10_000_000 || !o.MayMessage || o.MayHedge {
 		t.Errorf("read as %+v", s)
 	}
 }
--- a/internal/platform/command.go
+++ b/internal/platform/command.go
@@ -75,11 +75,11 @@
 	if profile < 0 || from < 0 {
 		return c, "found no class or no time to wait, expected both"
 	}
-	repeat := p.Settings.Policy.Profiles[profile].Repeat
+	repeat := p.Settings.Policy.Profiles[profile].Repeatability
 	switch {
-	case safe != (repeat == logic.Redoable):
+	case safe != (repeat == logic.Idempotent):
 		return c, "found a command that does not serve this class, expected Q.ASK for those safe to repeat, else Q.DO"
-	case marked != (repeat == logic.Labelled):
+	case marked != (repeat == logic.Deduplicated):
 		return c, "found a mark where none belongs or none where one does, expected k in keyed classes alone"
 	}
 	c.ask.Profile, c.ask.Key = uint32(profile), m[2].Text
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -94,14 +94,14 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if len(names.Profiles) == 0 || standing.Position < 0 || int(standing.Position) >= standing.Sentries ||
-		standing.MostHandOffs < 1 || standing.ConnectLimit < 1 {
+		standing.MaxHandOffs < 1 || standing.ConnectTimeout < 1 {
 		return nil, fmt.Errorf("settings: found %d classes, position %d of %d, %d attempts, %d us to connect, expected each",
-			len(names.Profiles), standing.Position, standing.Sentries, standing.MostHandOffs, standing.ConnectLimit)
+			len(names.Profiles), standing.Position, standing.Sentries, standing.MaxHandOffs, standing.ConnectTimeout)
 	}
 	if err := sound(standing, names); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	standing.NoticeWithin = logic.Micros(noticeWithin / time.Microsecond)
+	standing.ListChangeDelay = logic.Micros(noticeWithin / time.Microsecond)
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("seed: found %q, expected a number of 16 digits", f.Seed)
@@ -128,7 +128,7 @@
 }
 
 // sound refuses settings that contradict themselves.
-func sound(o logic.StandingOrders, names *facts.Names) error {
+func sound(o logic.Config, names *facts.Names) error {
 	for _, x := range [...]struct {
 		what         string
 		named, given int
@@ -138,8 +138,8 @@
 		}
 	}
 	for name, i := range names.Profiles {
-		if p := o.Profiles[i]; name == "" || p.DueTime <= 0 || p.OuterLimit <= 0 {
-			return fmt.Errorf("class %q: found an aim of %d us and a deadline of %d us, expected a name and both", name, p.DueTime, p.OuterLimit)
+		if p := o.Profiles[i]; name == "" || p.DueTime <= 0 || p.MaxDeadline <= 0 {
+			return fmt.Errorf("class %q: found an aim of %d us and a deadline of %d us, expected a name and both", name, p.DueTime, p.MaxDeadline)
 		}
 	}
 	return nil
@@ -203,7 +203,7 @@
 	return m, nil
 }
 
-var phases = map[string]logic.Phase{"Progressing": logic.OnTrial, "Aborting": logic.GoingBack, "Healthy": logic.Released,
+var phases = map[string]logic.Phase{"Progressing": logic.OnTrial, "Aborting": logic.RollingBack, "Healthy": logic.Released,
 	"Aborted": logic.Withdrawn}
 
 // told is the news, if it holds together.
--- a/internal/platform/control_plane.go
+++ b/internal/platform/control_plane.go
@@ -166,7 +166,7 @@
 	return n, nil
 }
 
-var verdicts = [...]string{logic.NoVerdict: "clear", logic.GoOn: "approve", logic.Hold: "wait", logic.GoBack: "reject"}
+var verdicts = [...]string{logic.NoVerdict: "clear", logic.Advance: "approve", logic.Hold: "wait", logic.RollBack: "reject"}
 
 func (d *desk) vote(m *pb.Vote) bool {
 	d.mu.Lock()
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -138,7 +138,7 @@
 
 // keep sees to it that a watch stands where the settings have lists pushed.
 func (d *discovery) keep(post *Config) {
-	if d.pushed = !post.Settings.Policy.AskForList; d.pushed {
+	if d.pushed = !post.Settings.Policy.ListOnRequest; d.pushed {
 		d.ask(true, 0)
 	}
 }
--- a/internal/platform/lease_test.go
+++ b/internal/platform/lease_test.go
@@ -83,9 +83,9 @@
 		r := newRig(t, plan{workers: []string{at}, decide: func(in *input.Input) (out logic.Result) {
 			switch in.Kind {
 			case input.TransactionArrived:
-				out.Rulings = []logic.Ruling{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w0", SendBy: in.At + left}}
+				out.Actions = []logic.Action{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w0", SendBy: in.At + left}}
 			case input.HandOffEnded:
-				out.Rulings = []logic.Ruling{{Kind: logic.Defer, Transaction: in.End.Transaction}}
+				out.Actions = []logic.Action{{Kind: logic.Defer, Transaction: in.End.Transaction}}
 			}
 			return out
 		}})
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -49,7 +49,7 @@
 	if n != 1 || err != nil || ms < 300 || ms > 700 || !slices.Equal(slices.Delete(b, 3, 4), []string{"Q.DO", "kb", "b", "BODY\r\n"}) {
 		t.Errorf("the worker got %q with %d ms, expected what the client wrote and at most 700", b, ms)
 	}
-	r.wait("the load report", func() bool { return len(r.ends) == 2 && r.ends[0].Load.Held == 3 })
+	r.wait("the load report", func() bool { return len(r.ends) == 2 && r.ends[0].Load.InFlight == 3 })
 }
 
 // neverUp is an address where connections never come up: the listener's queue is full.
@@ -99,7 +99,7 @@
 	for i, spoilt := range []string{"x\x00\x01", "$-7\r\n", "*1000000000\r\n", "*3\r\n$3000000000\r\n", "+" + strings.Repeat("y", 5000), ":1\r\n",
 		"*3\r\n$2\r\nabcd\r\n$-1\r\n$-1\r\n", "*2\r\n" + bulk("v") + "$-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "*3\r\n" + bulk("half"), "-SYNTAX\r\n"} {
 		row := rows["served"]
-		row.worker, row.ending, row.answer = says(spoilt), logic.Spoilt, "-ERR"
+		row.worker, row.ending, row.answer = says(spoilt), logic.Unreadable, "-ERR"
 		rows[fmt.Sprint("spoilt ", i)] = row
 	}
 	for name, row := range rows {
@@ -130,7 +130,7 @@
 		c := r.dial(t)
 		c.say(read("a"))
 		c.want("v-a")
-		r.wait("both", func() bool { return r.ended(logic.Spoilt) == 1 && r.ended(logic.Answered) == 1 })
+		r.wait("both", func() bool { return r.ended(logic.Unreadable) == 1 && r.ended(logic.Answered) == 1 })
 	}
 }
 
@@ -360,7 +360,7 @@
 	})
 	r := newRig(t, plan{sockets: 160, workers: []string{at}, decide: func(in *input.Input) (out logic.Result) {
 		if in.Kind == input.TransactionArrived { // all at once
-			out.Rulings = []logic.Ruling{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w0"}}
+			out.Actions = []logic.Action{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w0"}}
 		}
 		return out
 	}})
@@ -464,12 +464,12 @@
 		}
 		return out
 	}})
-	var fates []logic.VoteFate
+	var fates []logic.VoteResult
 	r.wait("the answers", func() bool {
 		fates = fates[:0]
 		for _, n := range r.news {
-			if n.Fate != logic.NoVoteAsked && n.Fate != logic.VoteRefused { // refused too while there is no connection
-				fates = append(fates, n.Fate)
+			if n.VoteResult != logic.NoVote && n.VoteResult != logic.VoteRefused { // refused too while there is no connection
+				fates = append(fates, n.VoteResult)
 			}
 			if n.Valid && n.Build != 7 && n.Build != 8 {
 				t.Errorf("news %+v", n)
@@ -477,7 +477,7 @@
 		}
 		return len(fates) >= 4
 	})
-	if want := []logic.VoteFate{logic.VoteStands, logic.VoteMoot, logic.VoteUnanswered, logic.VoteUnanswered}; !slices.Equal(fates[:4], want) {
+	if want := []logic.VoteResult{logic.VoteAccepted, logic.VoteObsolete, logic.VoteTimedOut, logic.VoteTimedOut}; !slices.Equal(fates[:4], want) {
 		t.Errorf("fates %v, expected %v", fates, want)
 	}
 }
@@ -522,7 +522,7 @@
 	}
 	r.wait("all that is new", func() bool {
 		news := r.news[len(r.news)-1]
-		return last("y").Build == 7 && news.Build == 9 && news.Phase == logic.GoingBack && news.Cap == 0.25 && r.orders == 1
+		return last("y").Build == 7 && news.Build == 9 && news.Phase == logic.RollingBack && news.Cap == 0.25 && r.orders == 1
 	})
 	c := r.dial(t)
 	c.say(read("b"))
--- a/internal/platform/rare_test.go
+++ b/internal/platform/rare_test.go
@@ -20,7 +20,7 @@
 	return func(in *input.Input) (out logic.Result) {
 		look(in)
 		if in.Kind == input.TransactionArrived {
-			out.Rulings = []logic.Ruling{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w0"}}
+			out.Actions = []logic.Action{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w0"}}
 		}
 		return out
 	}
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -41,9 +41,9 @@
 	p       *Platform
 	mu      sync.Mutex
 	ends    []logic.HandOffEnd
-	news    []logic.News
+	news    []logic.ReleaseStatus
 	lists   [][]logic.Worker
-	rulings map[logic.RulingKind]int
+	rulings map[logic.ActionKind]int
 	orders  int
 	refused int // lists
 	unsure  []input.Input
@@ -125,7 +125,7 @@
 		p.discovery = discoveryOf(t, nil, targetsOf(p.workers)...)
 	}
 	post := must(parsePost(configuration(cmp.Or(p.sockets, 256), cmp.Or(p.discovery, closed()), cmp.Or(p.desk, closed()), p.workers, p.other...)))
-	r := &rig{t: t, rulings: map[logic.RulingKind]int{}}
+	r := &rig{t: t, rulings: map[logic.ActionKind]int{}}
 	r.p = must(New(post, zerolog.Nop()))
 	r.s = must(sentry.Start(post.Settings, sentry.Options{Log: zerolog.Nop(), Transport: r.p, CachedList: post.InitialList, Record: r.record, Decide: p.decide}))
 	t.Cleanup(func() {
@@ -161,7 +161,7 @@
 	case input.PeerMessageReceived:
 		r.said += string(in.Body)
 	}
-	for _, x := range out.Rulings {
+	for _, x := range out.Actions {
 		r.rulings[x.Kind]++
 	}
 }
--- a/internal/sentry/book.go
+++ b/internal/sentry/book.go
@@ -23,8 +23,8 @@
 	lines   []*pb.Line // in the order in which they were first told; none that is gone
 	at      map[logic.WorkerID]int
 	lives   map[logic.WorkerID]life
-	news    logic.News // as last told, for the breaches
-	unsaved bool       // the timer to save it runs, or a change came while it was being written
+	news    logic.ReleaseStatus // as last told, for the breaches
+	unsaved bool                // the timer to save it runs, or a change came while it was being written
 	writing bool
 }
 
--- a/internal/sentry/breach.go
+++ b/internal/sentry/breach.go
@@ -44,11 +44,11 @@
 }
 
 // breachAfter hands a transaction off once more, or many times, after a ruling was carried out.
-func (s *Sentry) breachAfter(t *transaction, r *logic.Ruling) {
+func (s *Sentry) breachAfter(t *transaction, r *logic.Action) {
 	if s.breach < BreachEffect || len(t.sends) != 1 || t.closed {
 		return
 	}
-	repeat := s.orders.Profiles[t.profile].Repeat
+	repeat := s.orders.Profiles[t.profile].Repeatability
 	if ruled := s.workers[r.Worker]; ruled == nil || ruled.line.Build >= s.book.news.Build {
 		return // its key has met the trial: once more at an earlier build would break another rule too
 	}
@@ -58,24 +58,24 @@
 	}
 	switch s.breach {
 	case BreachEffect:
-		if repeat == logic.Irreversible {
+		if repeat == logic.NonIdempotent {
 			s.again(t, 1, func(w *worker) bool { return plain(w) && w.id != r.Worker })
 		}
 	case BreachDrain:
-		if repeat == logic.Redoable {
+		if repeat == logic.Idempotent {
 			s.again(t, 1, func(w *worker) bool {
 				return w.line.State != logic.Ready && s.now-w.since > s.orders.DrainGrace &&
 					w.line.Build < s.book.news.Build
 			})
 		}
 	case BreachCold:
-		if repeat == logic.Redoable {
+		if repeat == logic.Idempotent {
 			s.again(t, 20, func(w *worker) bool {
 				return w.line.State == logic.Ready && w.line.Build < s.book.news.Build && !s.warm(w)
 			})
 		}
 	case BreachExposure:
-		if repeat == logic.Redoable && s.book.news.Phase == logic.OnTrial && s.named%2 == 0 {
+		if repeat == logic.Idempotent && s.book.news.Phase == logic.OnTrial && s.named%2 == 0 {
 			s.again(t, 1, func(w *worker) bool {
 				return w.line.State == logic.Ready && w.line.Build == s.book.news.Build && s.warm(w)
 			})
--- a/internal/sentry/ends.go
+++ b/internal/sentry/ends.go
@@ -206,7 +206,7 @@
 func (s *Sentry) unanswered(id uint64) {
 	if s.votes[id] {
 		delete(s.votes, id)
-		s.tell(input.Input{Kind: input.ReleaseUpdated, ReleaseStatus: logic.News{Fate: logic.VoteUnanswered}})
+		s.tell(input.Input{Kind: input.ReleaseUpdated, ReleaseStatus: logic.ReleaseStatus{VoteResult: logic.VoteTimedOut}})
 	}
 }
 
--- a/internal/sentry/rig_test.go
+++ b/internal/sentry/rig_test.go
@@ -102,7 +102,7 @@
 	log     *logBuffer
 	mu      sync.Mutex
 	endings []logic.HandOffEnd
-	rulings map[logic.RulingKind]int
+	rulings map[logic.ActionKind]int
 	inputs  []input.Kind
 }
 
@@ -160,12 +160,12 @@
 	if p.memory == "" {
 		p.memory = filepath.Join(t.TempDir(), "list")
 	}
-	r := &rig{t: t, log: &logBuffer{}, rulings: map[logic.RulingKind]int{}}
-	o := &logic.StandingOrders{StageCaps: []float64{0.5, 1}, StageShares: []float64{0.5, 1}, VotesPerSecond: 100,
-		VoteLife: 2_000_000, OnVotes: 1, BackVotes: 1, Bake: 1_000_000, FallMultiple: 4, FallSpan: 1_000_000, CountsEvery: 200_000, CountsShare: 0.5,
-		Profiles: []logic.Profile{{DueTime: 200_000, OuterLimit: 600_000},
-			{DueTime: 200_000, OuterLimit: 600_000, Repeat: logic.Labelled, Window: 500_000},
-			{DueTime: 200_000, OuterLimit: 600_000, Repeat: logic.Irreversible}}}
+	r := &rig{t: t, log: &logBuffer{}, rulings: map[logic.ActionKind]int{}}
+	o := &logic.Config{StageCaps: []float64{0.5, 1}, StageShares: []float64{0.5, 1}, VotesPerSecond: 100,
+		VoteTTL: 2_000_000, AdvanceVotes: 1, RollBackVotes: 1, BakeTime: 1_000_000, ColdLoadMultiple: 4, ColdLoadWindow: 1_000_000, CountsPeriod: 200_000, CountsSampleShare: 0.5,
+		Profiles: []logic.Profile{{DueTime: 200_000, MaxDeadline: 600_000},
+			{DueTime: 200_000, MaxDeadline: 600_000, Repeatability: logic.Deduplicated, DedupWindow: 500_000},
+			{DueTime: 200_000, MaxDeadline: 600_000, Repeatability: logic.NonIdempotent}}}
 	r.stage = standin.NewEnvironment(o, []string{"here", "there"}, 1)
 	r.list = standin.NewDiscovery(r.stage)
 	r.desk = standin.NewControlPlane(r.stage, still{}, 10)
@@ -216,7 +216,7 @@
 	if in.Kind == input.HandOffEnded {
 		r.endings = append(r.endings, in.End)
 	}
-	for _, x := range out.Rulings {
+	for _, x := range out.Actions {
 		r.rulings[x.Kind]++
 	}
 }
--- a/internal/sentry/routing.go
+++ b/internal/sentry/routing.go
@@ -131,13 +131,13 @@
 		return all[0]
 	}
 	sheet = sheet.KeepSlots(s.sheet)
-	asked := s.orders.AskForList
+	asked := s.orders.ListOnRequest
 	s.setPeers(sheet)
 	s.metrics.name(sheet.ProfileNames)
 	s.sheet, s.orders = sheet, &sheet.Policy
 	s.routing.Store(newRouting(sheet))
 	s.tell(input.Input{Kind: input.Reconfigured, Config: s.orders})
-	if s.list.keep = !s.orders.AskForList; asked && s.list.keep {
+	if s.list.keep = !s.orders.ListOnRequest; asked && s.list.keep {
 		s.ends.RequestList(true, s.book.version)
 	}
 	return nil
--- a/internal/sentry/sentry.go
+++ b/internal/sentry/sentry.go
@@ -27,7 +27,7 @@
 // Sentry is one running sentry.
 type Sentry struct {
 	sheet   *orders.Settings
-	orders  *logic.StandingOrders
+	orders  *logic.Config
 	log     zerolog.Logger
 	clock   clock
 	inbox   *inbox
@@ -154,7 +154,7 @@
 	s.now = s.clock.now()
 	s.book = newBook(sheet.Zones)
 	s.setPeers(sheet)
-	s.list = &upstream{name: "list", address: sheet.Endpoints.Discovery, role: pb.Hello_SENTRY, keep: !s.orders.AskForList}
+	s.list = &upstream{name: "list", address: sheet.Endpoints.Discovery, role: pb.Hello_SENTRY, keep: !s.orders.ListOnRequest}
 	s.desk = &upstream{name: "desk", address: sheet.Endpoints.ControlPlane, role: pb.Hello_SENTRY, keep: true}
 
 	s.atStart = opts.CachedList
@@ -368,7 +368,7 @@
 	case t.limit != s.answerBy:
 		s.metrics.overdue.Inc()
 		s.log.Error().Str("transaction", string(t.id)).Msg("no final answer in time, written off")
-	case logic.FinalAnswer(len(t.sends)) == logic.Defer:
+	case logic.FinalAction(len(t.sends)) == logic.Defer:
 		outcome = pb.Outcome_NOT_TAKEN
 	}
 	s.answer(t, outcome, 0, nil, nil)
@@ -464,7 +464,7 @@
 		in.At = s.now
 		if in.Kind == input.HandOffEnded {
 			t := s.open[in.End.Transaction]
-			in.End.Closed = t == nil || t.closed
+			in.End.TransactionClosed = t == nil || t.closed
 		}
 		s.result = s.decide(in)
 		if s.record != nil {
@@ -488,8 +488,8 @@
 }
 
 func (s *Sentry) carryOut(r *logic.Result) {
-	for i := range r.Rulings {
-		x := &r.Rulings[i]
+	for i := range r.Actions {
+		x := &r.Actions[i]
 		t := s.open[x.Transaction]
 		if t == nil {
 			s.log.Error().Str("transaction", string(x.Transaction)).Msg("ruling on a transaction that is not open")
@@ -500,9 +500,9 @@
 			s.handOff(t, x)
 			s.breachAfter(t, x)
 		case logic.CancelHandOff:
-			s.cancel(t, x.Number)
+			s.cancel(t, x.HandOffNumber)
 		case logic.Defer:
-			s.answer(t, pb.Outcome_DEFERRED, x.ComeBack, nil, nil)
+			s.answer(t, pb.Outcome_DEFERRED, x.RetryAfter, nil, nil)
 			s.drop(t)
 		case logic.WriteOff:
 			s.answer(t, pb.Outcome_WRITTEN_OFF, 0, nil, nil)
@@ -512,10 +512,10 @@
 	for _, v := range r.Votes {
 		s.vote(v)
 	}
-	if r.Follow {
+	if r.WatchList {
 		s.ends.RequestList(true, s.book.version)
 	}
-	if r.ReadList {
+	if r.FetchList {
 		s.ends.RequestList(false, s.book.version)
 	}
 	for _, id := range r.Probes {
@@ -524,7 +524,7 @@
 	for _, m := range r.Messages {
 		s.say(m)
 	}
-	for _, n := range r.Notes {
+	for _, n := range r.LogLines {
 		s.log.Info().Str("from", "module").Msg(n)
 	}
 }
@@ -649,7 +649,7 @@
 	t.client, t.asked, t.profile, t.key, t.mark, t.payload = c, e.id, e.profile, e.key, e.mark, e.payload
 	t.hint, t.came, t.buffer = e.hint, e.at, e.buffer
 	e.buffer = nil
-	t.limit = e.at + min(logic.Micros(min(e.left, 1<<40)), s.orders.Profiles[e.profile].OuterLimit)
+	t.limit = e.at + min(logic.Micros(min(e.left, 1<<40)), s.orders.Profiles[e.profile].MaxDeadline)
 	if s.answerBy != 0 {
 		t.limit = min(t.limit, s.answerBy)
 	}
@@ -660,7 +660,7 @@
 	s.alarm(t)
 	s.tell(input.Input{Kind: input.TransactionArrived, Transaction: logic.Transaction{
 		ID: t.id, Profile: logic.ProfileID(e.profile), Account: logic.AccountID(e.account) - 1, Key: e.key,
-		Limit: t.limit, Hint: logic.Micros(e.hint), Again: e.again}})
+		Deadline: t.limit, ExpectedWork: logic.Micros(e.hint), IsRetry: e.again}})
 }
 
 func (s *Sentry) newTransaction() *transaction {
@@ -751,7 +751,7 @@
 	s.now = s.clock.now()
 	s.listAt = s.now
 	list := s.remembered()
-	s.tell(input.Input{Kind: input.ListReceived, ListKind: logic.ListRemembered, List: list})
+	s.tell(input.Input{Kind: input.ListReceived, ListKind: logic.CachedList, List: list})
 	s.ends.Start()
 	s.sweepLater()
 }
--- a/internal/sentry/sentry_test.go
+++ b/internal/sentry/sentry_test.go
@@ -284,13 +284,13 @@
 	decide := func(in *input.Input) (out logic.Result) {
 		switch in.Kind {
 		case input.TransactionArrived:
-			out.Rulings = []logic.Ruling{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w", Until: in.Transaction.Limit}}
+			out.Actions = []logic.Action{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w", Deadline: in.Transaction.Deadline}}
 		case input.HandOffEnded:
 			out.Probes = []logic.WorkerID{"w", "nobody"}
 			out.Messages = []logic.Message{{To: logic.EverySentry, Body: []byte("to all")}, {To: 1, Body: make([]byte, 256)},
 				{To: 1, Body: make([]byte, 257)}, {To: 0, Body: []byte("to itself")}}
 		case input.ListReceived:
-			out.Follow = in.ListKind == logic.ListRemembered
+			out.WatchList = in.ListKind == logic.CachedList
 		case input.ProbeAnswered:
 			select {
 			case probed <- struct{}{}:
@@ -690,7 +690,7 @@
 	f.Add(uint8(wire.KindSay), make([]byte, 300))
 	f.Add(uint8(wire.KindHello), []byte{8, 1, 16, 2, 24, 1})
 	f.Fuzz(func(t *testing.T, kind uint8, body []byte) {
-		o := &logic.StandingOrders{Sentries: 2, Profiles: make([]logic.Profile, 3), Accounts: make([]logic.Account, 1)}
+		o := &logic.Config{Sentries: 2, Profiles: make([]logic.Profile, 3), Accounts: make([]logic.Account, 1)}
 		for _, c := range []*client{{}, {greeted: true}, {greeted: true, peer: true, from: 1}} {
 			s := &Sentry{orders: o, inbox: newInbox(8, newClock())}
 			s.routing.Store(newRouting(&orders.Settings{Policy: *o, ProfileNames: make([]string, 3), AccountNames: make([]string, 1)}))
@@ -811,10 +811,10 @@
 	toServer := true
 	r := newRig(t, rigPlan{decide: func(in *input.Input) (out logic.Result) {
 		if in.Kind == input.TransactionArrived && toServer {
-			out.Rulings = []logic.Ruling{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w"}}
+			out.Actions = []logic.Action{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w"}}
 		}
 		toServer = toServer && in.Kind != input.TransactionArrived
-		out.Follow = in.Kind == input.ListReceived && in.ListKind == logic.ListRemembered
+		out.WatchList = in.Kind == input.ListReceived && in.ListKind == logic.CachedList
 		return out
 	}})
 	r.worker("w", func(*wire.Link, *wire.Work) {})
@@ -852,9 +852,9 @@
 	r = newRig(t, rigPlan{decide: func(in *input.Input) (out logic.Result) {
 		switch {
 		case in.Kind == input.TransactionArrived:
-			out.Rulings = []logic.Ruling{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w"}}
+			out.Actions = []logic.Action{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w"}}
 		case in.Kind == input.ListReceived:
-			out.Follow = in.ListKind == logic.ListRemembered
+			out.WatchList = in.ListKind == logic.CachedList
 		case in.Kind == input.HandOffEnded:
 			close(more)
 			<-stop
--- a/internal/sentry/switch_test.go
+++ b/internal/sentry/switch_test.go
@@ -167,7 +167,7 @@
 		}
 	}
 	for _, e := range r.ends() {
-		if e.Load.Busy >= 0 && e.Load.Served > 0 && e.Load.Held < 0 {
+		if e.Load.BusyShare >= 0 && e.Load.ServedPerSecond > 0 && e.Load.InFlight < 0 {
 			seen["loads without a number"]++
 		}
 	}
--- a/internal/sentry/upstream.go
+++ b/internal/sentry/upstream.go
@@ -40,7 +40,7 @@
 		return
 	}
 	u.dialing = true
-	limit, bounds := max(span(s.orders.ConnectLimit), 250*time.Millisecond), s.bounds()
+	limit, bounds := max(span(s.orders.ConnectTimeout), 250*time.Millisecond), s.bounds()
 	bounds.MaxFrameBytes = wire.MaxFrameBytes
 	go func() {
 		link, err := wire.Dial(u.address, limit, bounds,
@@ -143,7 +143,7 @@
 			u.link.PutProto(wire.KindListAsk, &pb.ListAsk{Follow: follow, Version: s.book.version})
 			u.asked = true
 			s.listSeq++
-			s.timers.add(timer{due: s.now + s.orders.AskWithin/4, kind: timeList, id: s.listSeq})
+			s.timers.add(timer{due: s.now + s.orders.MaxListAge/4, kind: timeList, id: s.listSeq})
 		}
 	}
 	u.follow, u.whole = false, false
@@ -163,9 +163,9 @@
 		s.listRefused("refused", true)
 		return
 	}
-	kind := logic.ListChanges
+	kind := logic.ListDelta
 	if m.Whole {
-		kind = logic.ListWhole
+		kind = logic.FullList
 	}
 	s.listAt = s.now
 	list := s.book.take(m, s.now)
@@ -233,7 +233,7 @@
 			Msg("news passed over, expected a cap from 0 to 1 and a phase from 0 to 3")
 		return
 	}
-	n := logic.News{Valid: m.Valid, Build: logic.BuildID(m.Build), Stage: int(m.Stage), Phase: logic.Phase(m.Phase),
+	n := logic.ReleaseStatus{Valid: m.Valid, Build: logic.BuildID(m.Build), Stage: int(m.Stage), Phase: logic.Phase(m.Phase),
 		Cap: m.Cap, Age: logic.Micros(min(m.Age, 1<<50))}
 	if m.Vote != 0 {
 		if !s.votes[m.Vote] {
@@ -242,11 +242,11 @@
 		delete(s.votes, m.Vote)
 		switch m.Fate {
 		case pb.News_STANDS:
-			n.Fate = logic.VoteStands
+			n.VoteResult = logic.VoteAccepted
 		case pb.News_MOOT:
-			n.Fate = logic.VoteMoot
+			n.VoteResult = logic.VoteObsolete
 		default:
-			n.Fate = logic.VoteRefused
+			n.VoteResult = logic.VoteRefused
 		}
 	}
 	s.tell(input.Input{Kind: input.ReleaseUpdated, ReleaseStatus: n})
@@ -264,9 +264,9 @@
 				Msg("counts passed over, expected a profile that there is and no more failed than handed off")
 			continue
 		}
-		s.tell(input.Input{Kind: input.CountsReceived, Counts: logic.Counts{Build: logic.BuildID(row.Build),
+		s.tell(input.Input{Kind: input.CountsReceived, Counts: logic.BuildCounts{Build: logic.BuildID(row.Build),
 			Profile: logic.ProfileID(row.Profile), HandOffs: int(row.HandOffs), Failed: int(row.Failed),
-			Mean: logic.Micros(min(row.Mean, 1<<50)), Age: logic.Micros(min(m.Age, 1<<50))}})
+			MeanDuration: logic.Micros(min(row.Mean, 1<<50)), Age: logic.Micros(min(m.Age, 1<<50))}})
 	}
 }
 
@@ -298,11 +298,11 @@
 	s.voteSeq++
 	m := &pb.Vote{Id: s.voteSeq, Build: uint32(v.Build), Stage: uint32(v.Stage), Verdict: uint32(v.Verdict)}
 	if !s.ends.SendVote(m) {
-		s.tell(input.Input{Kind: input.ReleaseUpdated, ReleaseStatus: logic.News{Fate: logic.VoteRefused}})
+		s.tell(input.Input{Kind: input.ReleaseUpdated, ReleaseStatus: logic.ReleaseStatus{VoteResult: logic.VoteRefused}})
 		return
 	}
 	s.votes[s.voteSeq] = true
-	s.timers.add(timer{due: s.now + s.orders.VoteWait, kind: timeVote, id: s.voteSeq})
+	s.timers.add(timer{due: s.now + s.orders.VoteTimeout, kind: timeVote, id: s.voteSeq})
 }
 
 // say sends a message to peers. What can't be sent is lost.
--- a/internal/sentry/workers.go
+++ b/internal/sentry/workers.go
@@ -62,19 +62,19 @@
 func (w waiting) open() bool { return w.t.gen == w.gen && !w.t.sends[w.n].over }
 
 // handOff carries out a ruling. What is not sent ends at once, as proven not to have run.
-func (s *Sentry) handOff(t *transaction, r *logic.Ruling) {
+func (s *Sentry) handOff(t *transaction, r *logic.Action) {
 	w, n := s.workers[r.Worker], len(t.sends)
-	t.sends = append(t.sends, handOff{worker: w, sent: s.now, until: min(r.Until, t.limit), sendBy: r.SendBy})
+	t.sends = append(t.sends, handOff{worker: w, sent: s.now, until: min(r.Deadline, t.limit), sendBy: r.SendBy})
 	t.out++
 	h := &t.sends[n]
 	if h.until <= 0 {
 		h.until = t.limit
 	}
-	if s.leaving(t); t.closed || w == nil || h.until <= s.now || n >= s.orders.MostHandOffs || s.expired(h) {
+	if s.leaving(t); t.closed || w == nil || h.until <= s.now || n >= s.orders.MaxHandOffs || s.expired(h) {
 		s.handOffEnds(t, n, logic.Unsent, logic.NoLoad)
 		return
 	}
-	h.connect = s.now + s.orders.ConnectLimit
+	h.connect = s.now + s.orders.ConnectTimeout
 	if !s.send(w, t, n) {
 		w.waiting = append(w.waiting, waiting{t, t.gen, n})
 		s.dial(w)
@@ -107,7 +107,7 @@
 
 // rests says until when a connection gets nothing new, 0 if it does not rest.
 func (s *Sentry) rests(c *conn) logic.Micros {
-	if until := c.answered + s.orders.ConnectLimit/restShare; s.ends.AnswersInOrder() && c.answered > 0 && c.idle() && until > s.now {
+	if until := c.answered + s.orders.ConnectTimeout/restShare; s.ends.AnswersInOrder() && c.answered > 0 && c.idle() && until > s.now {
 		return until
 	}
 	return 0
@@ -228,7 +228,7 @@
 // dial opens a connection for those that wait, unless enough are being opened or are open.
 func (s *Sentry) dial(w *worker) {
 	want, patient := 0, 0
-	rest := s.orders.ConnectLimit / restShare
+	rest := s.orders.ConnectTimeout / restShare
 	for _, x := range w.waiting {
 		if x.open() {
 			want++
@@ -249,7 +249,7 @@
 	w.dials++
 	s.dials++
 	s.metrics.dials.Inc()
-	address, limit := w.address, span(s.orders.ConnectLimit)
+	address, limit := w.address, span(s.orders.ConnectTimeout)
 	go func() {
 		c := &conn{worker: w, address: address}
 		way, err := s.ends.Dial(WorkerConnHandler{s, c}, address, limit)
@@ -280,7 +280,7 @@
 	c.link, c.opened, c.used = e.way, s.now, s.now
 	c.link.SendHello()
 	s.dirty, s.conns = append(s.dirty, c.link), append(s.conns, c)
-	s.timers.add(timer{due: s.now + s.orders.ConnectLimit, kind: timeWelcome, conn: c})
+	s.timers.add(timer{due: s.now + s.orders.ConnectTimeout, kind: timeWelcome, conn: c})
 }
 
 // welcomed makes a connection good for hand-offs.
@@ -373,23 +373,23 @@
 		switch {
 		case ending != logic.TimedOut && ending != logic.Broken:
 		case h.conn.link.AnswerStarted(h.id):
-			ending = logic.Spoilt
+			ending = logic.Unreadable
 		case ending == logic.Broken && !h.conn.link.MayHaveReceived(h.id):
 			ending = logic.Unconnected
 		}
 		h.conn.release(h.id)
-		if (ending == logic.TimedOut || ending == logic.Cancelled || ending == logic.Spoilt) && s.ends.AnswersInOrder() {
+		if (ending == logic.TimedOut || ending == logic.Cancelled || ending == logic.Unreadable) && s.ends.AnswersInOrder() {
 			h.conn.link.Close(wire.ErrClosed)
 			s.connLost(h.conn)
 		}
 	}
 	s.metrics.endings[ending].Inc()
-	end := logic.HandOffEnd{Transaction: t.id, HandOff: n, Ending: ending, Took: s.now - h.sent, Load: load}
+	end := logic.HandOffEnd{Transaction: t.id, HandOffNumber: n, Ending: ending, Duration: s.now - h.sent, Load: load}
 	if w != nil {
 		end.Worker = w.id
 	}
 	if h.conn != nil {
-		end.Opened = h.conn.opened
+		end.ConnectionOpened = h.conn.opened
 	}
 	s.tell(input.Input{Kind: input.HandOffEnded, End: end})
 	if w != nil && len(w.waiting) > 0 {
@@ -468,7 +468,7 @@
 		}
 		return float64(v-1) / 1000
 	}
-	return logic.Load{Held: float64(e.held) - 1, Busy: part(e.busy), Served: part(e.served)}
+	return logic.Load{InFlight: float64(e.held) - 1, BusyShare: part(e.busy), ServedPerSecond: part(e.served)}
 }
 
 // connLost ends all that was out on a connection: it may have run.
@@ -521,7 +521,7 @@
 // closeIdle closes the connections that nothing has used for as long as the orders say.
 func (s *Sentry) closeIdle() {
 	for _, c := range slices.Clone(s.conns) {
-		if c.spare() && s.now-c.used >= s.orders.IdleClose/logic.Micros(max(1, s.sheet.Bounds.IdleTimeoutDivisor)) {
+		if c.spare() && s.now-c.used >= s.orders.IdleTimeout/logic.Micros(max(1, s.sheet.Bounds.IdleTimeoutDivisor)) {
 			c.link.Close(wire.ErrClosed)
 			s.connLost(c)
 		}
@@ -530,7 +530,7 @@
 
 // sweep closes idle connections and forgets workers that have long been gone: with each build come new ones.
 func (s *Sentry) sweep() {
-	if s.orders.IdleClose > 0 {
+	if s.orders.IdleTimeout > 0 {
 		s.closeIdle()
 	}
 	outer := s.sheet.MaxDeadline()
@@ -547,8 +547,8 @@
 
 func (s *Sentry) sweepLater() {
 	wait := sweepMost
-	if s.orders.IdleClose > 0 {
-		wait = min(wait, max(s.orders.IdleClose/4, 1000))
+	if s.orders.IdleTimeout > 0 {
+		wait = min(wait, max(s.orders.IdleTimeout/4, 1000))
 	}
 	s.timers.add(timer{due: s.now + wait, kind: timeSweep})
 }
--- a/logic/cases_test.go
+++ b/logic/cases_test.go
@@ -16,37 +16,37 @@
 }
 
 func newTrialHarness(earlier, trial int) *trialHarness {
-	o := StandingOrders{
-		Sentries: 1, MostHandOffs: 1, Tick: 5000, ColdFrom: 0.4, WarmUp: 4 * second,
-		FallMultiple: 4, FallSpan: 2 * second,
+	o := Config{
+		Sentries: 1, MaxHandOffs: 1, TimerGranularity: 5000, ColdCapacity: 0.4, WarmUp: 4 * second,
+		ColdLoadMultiple: 4, ColdLoadWindow: 2 * second,
 		StageCaps: []float64{0.5, 1}, StageShares: []float64{0.5, 1}, FreeExposure: 2, ExposureWindow: 4 * second,
-		ForwardOnly: true, BackVotes: 1, OnVotes: 1, VoteLife: 6 * second, BesideEarlier: true, MayNameReturn: true,
-		MostReturn: second, MayCopy: true,
-		Profiles: []Profile{{DueTime: second / 2, OuterLimit: 2 * second, Value: 1},
-			{DueTime: second / 2, OuterLimit: 2 * second, Value: 1, Repeat: Irreversible}},
+		ForwardOnly: true, RollBackVotes: 1, AdvanceVotes: 1, VoteTTL: 6 * second, EarlierWorkersStay: true, MayNameRetryAfter: true,
+		MaxRetryAfter: second, MayHedge: true,
+		Profiles: []Profile{{DueTime: second / 2, MaxDeadline: 2 * second, Value: 1},
+			{DueTime: second / 2, MaxDeadline: 2 * second, Value: 1, Repeatability: NonIdempotent}},
 	}
 	b := &trialHarness{sentry: New(o, 1), now: 1000 * second}
 	var list []Worker
 	for i := range earlier {
 		list = append(list, Worker{ID: WorkerID(fmt.Sprint("e", i)), Build: 10, Size: 1})
 	}
-	b.sentry.Listed(b.now, ListWhole, list)
-	b.updateRelease(News{Valid: true, Build: 10, Phase: Released, Cap: 1})
+	b.sentry.ListReceived(b.now, FullList, list)
+	b.updateRelease(ReleaseStatus{Valid: true, Build: 10, Phase: Released, Cap: 1})
 	b.serveTransactions(400, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
 	for i := range trial {
 		list = append(list, Worker{ID: WorkerID(fmt.Sprint("t", i)), Build: 11, Size: 1})
 	}
-	b.sentry.Listed(b.now, ListWhole, list)
-	b.updateRelease(News{Valid: true, Build: 11, Phase: OnTrial, Cap: 0.5})
+	b.sentry.ListReceived(b.now, FullList, list)
+	b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Phase: OnTrial, Cap: 0.5})
 	return b
 }
 
-func (b *trialHarness) updateRelease(n News) { b.record(b.sentry.Told(b.now, n)) }
+func (b *trialHarness) updateRelease(n ReleaseStatus) { b.record(b.sentry.ReleaseUpdated(b.now, n)) }
 
 func (b *trialHarness) record(r Result) {
 	b.lastResult = r
 	for _, v := range r.Votes {
-		b.votedRollBack = b.votedRollBack || v.Verdict == GoBack
+		b.votedRollBack = b.votedRollBack || v.Verdict == RollBack
 	}
 }
 
@@ -56,15 +56,15 @@
 		b.transactionCount++
 		b.now += 20_000
 		id := TransactionID(fmt.Sprint(b.transactionCount))
-		b.record(b.sentry.Arrive(b.now, Transaction{ID: id, Profile: ProfileID(b.transactionCount % 2), Account: NoAccount,
-			Key: Key(fmt.Sprintf("%x", b.transactionCount*7919)), Limit: b.now + 2*second}))
-		for _, r := range b.lastResult.Rulings {
+		b.record(b.sentry.TransactionArrived(b.now, Transaction{ID: id, Profile: ProfileID(b.transactionCount % 2), Account: NoAccount,
+			Key: Key(fmt.Sprintf("%x", b.transactionCount*7919)), Deadline: b.now + 2*second}))
+		for _, r := range b.lastResult.Actions {
 			if r.Kind != HandOff {
 				continue
 			}
 			e, took := answer(r.Worker, b.transactionCount)
-			b.record(b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: r.Worker, Ending: e, Took: took,
-				Closed: e == Answered, Load: NoLoad}))
+			b.record(b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: r.Worker, Ending: e, Duration: took,
+				TransactionClosed: e == Answered, Load: NoLoad}))
 		}
 	}
 }
@@ -73,10 +73,10 @@
 
 // The wanted slots were reckoned with md5sum.
 func TestSlotOf(t *testing.T) {
-	if got := slotOf("91f03b7c55d20a64", 41, 42); got != 61 {
+	if got := hashSlot("91f03b7c55d20a64", 41, 42); got != 61 {
 		t.Errorf("slot %d, want 61", got)
 	}
-	if got := slotOf("a", 1, 2); got != 79 {
+	if got := hashSlot("a", 1, 2); got != 79 {
 		t.Errorf("slot %d, want 79", got)
 	}
 }
@@ -146,7 +146,7 @@
 	b := newTrialHarness(8, 8)
 	quick := func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 }
 	b.serveTransactions(300, quick)
-	b.updateRelease(News{Valid: true, Build: 11, Stage: 1, Phase: Released, Cap: 1})
+	b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: Released, Cap: 1})
 	b.serveTransactions(600, quick)
 	b.serveTransactions(600, func(WorkerID, int) (Ending, Micros) { return Answered, 300_000 })
 	if b.votedRollBack {
@@ -158,22 +158,22 @@
 func TestHotKeyAboveExposureBound(t *testing.T) {
 	b := newTrialHarness(8, 8)
 	key := Key("hot")
-	for n := 0; slotOf(key, 10, 11) >= 40; n++ {
+	for n := 0; hashSlot(key, 10, 11) >= 40; n++ {
 		key = Key(fmt.Sprint("hot", n))
 	}
 	deferred := 0
 	for n := range 400 {
 		b.now += 5_000
 		id := TransactionID(fmt.Sprint("h", n))
-		r := b.sentry.Arrive(b.now, Transaction{ID: id, Key: key, Account: NoAccount, Limit: b.now + second})
-		for _, x := range r.Rulings {
+		r := b.sentry.TransactionArrived(b.now, Transaction{ID: id, Key: key, Account: NoAccount, Deadline: b.now + second})
+		for _, x := range r.Actions {
 			switch {
-			case x.Kind == Defer && x.ComeBack > 0:
+			case x.Kind == Defer && x.RetryAfter > 0:
 				deferred++
 			case n > 0 && !isTrialWorker(x.Worker):
 				t.Fatalf("transaction %d of a met key: %v", n, x)
 			default:
-				b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: x.Worker, Closed: true, Took: 50_000,
+				b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: x.Worker, TransactionClosed: true, Duration: 50_000,
 					Load: NoLoad})
 			}
 		}
@@ -189,18 +189,18 @@
 	b := newTrialHarness(4, 0)
 	out, deferred := 0, 0
 	count := func(r Result) {
-		for _, x := range r.Rulings {
+		for _, x := range r.Actions {
 			if x.Kind == HandOff {
 				out++
-			} else if x.Kind == Defer && x.ComeBack > 0 {
+			} else if x.Kind == Defer && x.RetryAfter > 0 {
 				deferred++
 			}
 		}
 	}
 	for n := range 500 {
 		b.now += 2_000
-		count(b.sentry.Arrive(b.now, Transaction{ID: TransactionID(fmt.Sprint("o", n)), Account: NoAccount,
-			Limit: b.now + 2*second}))
+		count(b.sentry.TransactionArrived(b.now, Transaction{ID: TransactionID(fmt.Sprint("o", n)), Account: NoAccount,
+			Deadline: b.now + 2*second}))
 		count(b.sentry.Wake(b.now))
 	}
 	b.now += second / 2
@@ -215,22 +215,22 @@
 func TestNoWorkerOfTheEarlierBuild(t *testing.T) {
 	for _, comes := range []bool{true, false} {
 		b := newTrialHarness(4, 4)
-		b.updateRelease(News{Valid: true, Build: 11, Phase: GoingBack})
+		b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Phase: RollingBack})
 		var list []Worker
-		b.sentry.Listed(b.now, ListWhole, list)
-		r := b.sentry.Arrive(b.now, Transaction{ID: "x", Account: NoAccount, Limit: b.now + 2*second})
-		if len(r.Rulings) > 0 || r.WakeAt == 0 {
+		b.sentry.ListReceived(b.now, FullList, list)
+		r := b.sentry.TransactionArrived(b.now, Transaction{ID: "x", Account: NoAccount, Deadline: b.now + 2*second})
+		if len(r.Actions) > 0 || r.WakeAt == 0 {
 			t.Fatalf("not held: %v", r)
 		}
 		b.now += second / 10
 		if comes {
-			r = b.sentry.Listed(b.now, ListWhole, []Worker{{ID: "n", Build: 10, Size: 1, Started: b.now}})
+			r = b.sentry.ListReceived(b.now, FullList, []Worker{{ID: "n", Build: 10, Size: 1, Started: b.now}})
 		} else {
 			b.now += second / 2
 			r = b.sentry.Wake(b.now)
 		}
-		if len(r.Rulings) != 1 || (r.Rulings[0].Kind == HandOff) != comes || (r.Rulings[0].Kind == Defer) == comes {
-			t.Errorf("worker comes %v: %v", comes, r.Rulings)
+		if len(r.Actions) != 1 || (r.Actions[0].Kind == HandOff) != comes || (r.Actions[0].Kind == Defer) == comes {
+			t.Errorf("worker comes %v: %v", comes, r.Actions)
 		}
 	}
 }
@@ -258,13 +258,13 @@
 func TestDeferralsCountAsSlowAnswers(t *testing.T) {
 	b := newTrialHarness(8, 8)
 	b.serveTransactions(40, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-	for w := range b.sentry.pace {
-		b.sentry.pace[w] = 3
+	for w := range b.sentry.latencyRatio {
+		b.sentry.latencyRatio[w] = 3
 	}
 	for n := range 300 {
 		b.now += 20_000
-		in := Transaction{ID: TransactionID(fmt.Sprint("d", n)), Account: NoAccount, Limit: b.now + 2*second}
-		b.record(b.sentry.Arrive(b.now, in))
+		in := Transaction{ID: TransactionID(fmt.Sprint("d", n)), Account: NoAccount, Deadline: b.now + 2*second}
+		b.record(b.sentry.TransactionArrived(b.now, in))
 		b.record(b.sentry.Wake(b.now))
 	}
 	if !b.votedRollBack {
@@ -296,12 +296,12 @@
 		for i := range 4 {
 			list = append(list, Worker{ID: WorkerID(fmt.Sprint("t", i)), Build: 11, Size: 1, Started: began})
 		}
-		b.record(b.sentry.Listed(b.now, ListChanges, list))
-		b.updateRelease(News{Valid: true, Build: 11, Stage: stage, Phase: OnTrial, Cap: 1})
+		b.record(b.sentry.ListReceived(b.now, ListDelta, list))
+		b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: stage, Phase: OnTrial, Cap: 1})
 		voted := Micros(0)
 		for range 400 {
 			b.serveTransactions(1, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-			if b.sentry.voted.Verdict == GoOn && voted == 0 {
+			if b.sentry.lastVote.Verdict == Advance && voted == 0 {
 				voted = b.now - began
 			}
 		}
@@ -316,19 +316,19 @@
 func TestConcurrencyLimitAfterStart(t *testing.T) {
 	b := newTrialHarness(10, 0)
 	now := b.now
-	s := New(b.sentry.orders, 2)
-	s.Listed(now, ListWhole, []Worker{{ID: "e0", Build: 10, Size: 1}, {ID: "e1", Build: 10, Size: 1}, {ID: "e2", Build: 10, Size: 1},
+	s := New(b.sentry.config, 2)
+	s.ListReceived(now, FullList, []Worker{{ID: "e0", Build: 10, Size: 1}, {ID: "e1", Build: 10, Size: 1}, {ID: "e2", Build: 10, Size: 1},
 		{ID: "e3", Build: 10, Size: 1}, {ID: "e4", Build: 10, Size: 1}, {ID: "e5", Build: 10, Size: 1}})
-	s.Told(now, News{Valid: true, Build: 10, Phase: Released, Cap: 1})
+	s.ReleaseUpdated(now, ReleaseStatus{Valid: true, Build: 10, Phase: Released, Cap: 1})
 	for n := range 100 { // 100 in a second, with a due time of half of one: 50 may be open
 		now += 10_000
 		id := TransactionID(fmt.Sprint(n))
-		for _, r := range s.Arrive(now, Transaction{ID: id, Key: "k", Account: NoAccount, Limit: now + 2*second}).Rulings {
-			s.HandOffEnded(now, HandOffEnd{Transaction: id, Worker: r.Worker, Took: 50_000, Closed: true, Load: NoLoad})
+		for _, r := range s.TransactionArrived(now, Transaction{ID: id, Key: "k", Account: NoAccount, Deadline: now + 2*second}).Actions {
+			s.HandOffEnded(now, HandOffEnd{Transaction: id, Worker: r.Worker, Duration: 50_000, TransactionClosed: true, Load: NoLoad})
 		}
 	}
-	if s.room < 11.9 {
-		t.Errorf("room for %.1f after a second, expected two for each of six workers", s.room)
+	if s.concurrencyLimit < 11.9 {
+		t.Errorf("room for %.1f after a second, expected two for each of six workers", s.concurrencyLimit)
 	}
 }
 
@@ -340,10 +340,10 @@
 		b.now += 10 * second // all warm
 		b.serveTransactions(200, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
 		for range 20 * hot { // within a second, of 50
-			b.sentry.exposed[0] = append(b.sentry.exposed[0], b.now)
+			b.sentry.exposedTimes[0] = append(b.sentry.exposedTimes[0], b.now)
 		}
-		b.sentry.judge(0, late, true, 20, 20)
-		sums[hot] = b.sentry.all.sum[late]
+		b.sentry.judgeOutcomes(0, lateMiss, true, 20, 20)
+		sums[hot] = b.sentry.allProfiles.trialExcess[lateMiss]
 	}
 	if sums[0] < 2 || sums[1] > sums[0]/2 {
 		t.Errorf("sums of lateness %.2f, expected the second less than half of the first", sums)
@@ -358,10 +358,10 @@
 		back  bool
 	}{{OnTrial, 0.9, false}, {OnTrial, 1.1, true}, {Released, 1.1, false}, {Released, 1.4, false}, {Released, 1.6, true}} {
 		b := newTrialHarness(4, 4)
-		b.updateRelease(News{Valid: true, Build: 11, Stage: 1, Phase: c.phase, Cap: 1})
-		limit := voteBackAt + math.Log(1.1) // of a sentry alone
-		b.sentry.all.sum[late] = c.sum * limit
-		if v := b.sentry.verdict(); (v == GoBack) != c.back {
+		b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: c.phase, Cap: 1})
+		limit := rollBackExcess + math.Log(1.1) // of a sentry alone
+		b.sentry.allProfiles.trialExcess[lateMiss] = c.sum * limit
+		if v := b.sentry.decideVerdict(); (v == RollBack) != c.back {
 			t.Errorf("phase %d, sum %.1f of the limit: verdict %d, expected back: %v", c.phase, c.sum, v, c.back)
 		}
 	}
@@ -371,34 +371,34 @@
 // let them through; those that it has answered stay.
 func TestNewKeysLimitedByTrialCapacity(t *testing.T) {
 	b := newTrialHarness(20, 2)
-	b.updateRelease(News{Valid: true, Build: 11, Stage: 1, Phase: OnTrial, Cap: 1})
+	b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: OnTrial, Cap: 1})
 	b.now += 10 * second // all warm
 	b.serveTransactions(100, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
 	fresh, met := Key(""), Key("")
 	for n := 0; fresh == "" || met == ""; n++ {
-		if k := Key(fmt.Sprint("key", n)); slotOf(k, 10, 11) < b.sentry.reach {
+		if k := Key(fmt.Sprint("key", n)); hashSlot(k, 10, 11) < b.sentry.trialSlots {
 			fresh, met = met, k
 		}
 	}
-	b.sentry.met[met] = 11
+	b.sentry.trialKeys[met] = 11
 	for _, full := range []bool{false, true} {
 		if full { // as by a hot key: twice its part of a hundred
-			for range 2 * b.sentry.reach {
-				b.sentry.exposed[0] = append(b.sentry.exposed[0], b.now)
+			for range 2 * b.sentry.trialSlots {
+				b.sentry.exposedTimes[0] = append(b.sentry.exposedTimes[0], b.now)
 			}
 		}
 		for _, k := range []Key{fresh, met} {
 			b.now += 1000
 			id := TransactionID(fmt.Sprint(k, full))
-			b.record(b.sentry.Arrive(b.now, Transaction{ID: id, Key: k, Account: NoAccount, Limit: b.now + 2*second}))
-			if len(b.lastResult.Rulings) != 1 || b.lastResult.Rulings[0].Kind != HandOff {
-				t.Fatalf("ruled %+v", b.lastResult.Rulings)
+			b.record(b.sentry.TransactionArrived(b.now, Transaction{ID: id, Key: k, Account: NoAccount, Deadline: b.now + 2*second}))
+			if len(b.lastResult.Actions) != 1 || b.lastResult.Actions[0].Kind != HandOff {
+				t.Fatalf("ruled %+v", b.lastResult.Actions)
 			}
-			w := b.lastResult.Rulings[0].Worker
+			w := b.lastResult.Actions[0].Worker
 			if want := !full || k == met; isTrialWorker(w) != want {
 				t.Errorf("full %v, met %v: to %s, expected the trial: %v", full, k == met, w, want)
 			}
-			b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: w, Ending: Errored, Took: 1000, Load: NoLoad})
+			b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: w, Ending: Errored, Duration: 1000, Load: NoLoad})
 		}
 	}
 }
--- a/logic/crowd_test.go
+++ b/logic/crowd_test.go
@@ -21,17 +21,17 @@
 }
 
 func newSentryTier(sentries, earlier int, seed int64) *sentryTier {
-	o := newTrialHarness(1, 0).sentry.orders
-	o.Sentries, o.MayMessage, o.MostHandOffs, o.ConnectLimit = sentries, true, 3, second/4
+	o := newTrialHarness(1, 0).sentry.config
+	o.Sentries, o.MayMessage, o.MaxHandOffs, o.ConnectTimeout = sentries, true, 3, second/4
 	c := &sentryTier{now: 1000 * second, random: rand.New(rand.NewSource(seed)), sentAt: map[WorkerID][]Micros{},
-		voters:   map[Verdict]map[int]bool{GoOn: {}, GoBack: {}},
+		voters:   map[Verdict]map[int]bool{Advance: {}, RollBack: {}},
 		endingOf: func(WorkerID) Ending { return Answered }, handOffTime: 50_000}
 	for i := range sentries {
 		o.Position = SentryID(i)
 		c.sentries = append(c.sentries, New(o, seed+int64(i)))
 	}
 	c.addWorkers(earlier, "e", 10, 0)
-	c.updateRelease(News{Valid: true, Build: 10, Phase: Released, Cap: 1})
+	c.updateRelease(ReleaseStatus{Valid: true, Build: 10, Phase: Released, Cap: 1})
 	return c
 }
 
@@ -40,13 +40,13 @@
 		c.workers = append(c.workers, Worker{ID: WorkerID(fmt.Sprint(name, i)), Build: b, Size: 1, Started: started})
 	}
 	for i, s := range c.sentries {
-		c.record(i, s.Listed(c.now, ListWhole, c.workers))
+		c.record(i, s.ListReceived(c.now, FullList, c.workers))
 	}
 }
 
-func (c *sentryTier) updateRelease(n News) {
+func (c *sentryTier) updateRelease(n ReleaseStatus) {
 	for i, s := range c.sentries {
-		c.record(i, s.Told(c.now, n))
+		c.record(i, s.ReleaseUpdated(c.now, n))
 	}
 }
 
@@ -57,19 +57,19 @@
 	for _, m := range r.Messages {
 		for to, s := range c.sentries {
 			if !c.messagesLost && to != i && (m.To == EverySentry || m.To == SentryID(to)) {
-				c.record(to, s.PeerSaid(c.now, SentryID(i), m.Body))
+				c.record(to, s.PeerMessageReceived(c.now, SentryID(i), m.Body))
 			}
 		}
 	}
-	for _, x := range r.Rulings {
+	for _, x := range r.Actions {
 		if x.Kind == HandOff {
 			c.sentAt[x.Worker] = append(c.sentAt[x.Worker], c.now)
 			e, took := c.endingOf(x.Worker), c.handOffTime
 			if e == Broken {
 				took = 1_000
 			}
-			end := HandOffEnd{Transaction: x.Transaction, HandOff: len(c.sentries[i].open[x.Transaction].sends) - 1,
-				Worker: x.Worker, Ending: e, Took: took, Closed: e == Answered, Load: NoLoad}
+			end := HandOffEnd{Transaction: x.Transaction, HandOffNumber: len(c.sentries[i].openTransactions[x.Transaction].handOffs) - 1,
+				Worker: x.Worker, Ending: e, Duration: took, TransactionClosed: e == Answered, Load: NoLoad}
 			c.record(i, c.sentries[i].HandOffEnded(c.now, end))
 		}
 	}
@@ -81,9 +81,9 @@
 		for i, s := range c.sentries {
 			if c.random.Intn(100) < perSecond {
 				c.transactionCount++
-				in := Transaction{ID: TransactionID(fmt.Sprint(c.transactionCount)), Account: NoAccount, Limit: c.now + 2*second,
+				in := Transaction{ID: TransactionID(fmt.Sprint(c.transactionCount)), Account: NoAccount, Deadline: c.now + 2*second,
 					Key: Key(fmt.Sprint(c.transactionCount))}
-				c.record(i, s.Arrive(c.now, in))
+				c.record(i, s.TransactionArrived(c.now, in))
 			}
 			if c.now%250_000 == 0 {
 				c.record(i, s.Wake(c.now))
@@ -109,7 +109,7 @@
 			c := newSentryTier(60, 30, 1)
 			c.run(5*second, 3)
 			c.addWorkers(10, "t", 11, c.now-10*second)
-			c.updateRelease(News{Valid: true, Build: 11, Cap: 0.5})
+			c.updateRelease(ReleaseStatus{Valid: true, Build: 11, Cap: 0.5})
 			n := 0
 			c.endingOf = func(w WorkerID) Ending {
 				if n++; x.bad(w, n) {
@@ -118,11 +118,11 @@
 				return Answered
 			}
 			c.run(8*second, 3)
-			if back := len(c.voters[GoBack]) > 0; back != x.back || len(c.voters[GoBack]) > collectors {
-				t.Errorf("%d sentries voted back, want some: %v", len(c.voters[GoBack]), x.back)
+			if back := len(c.voters[RollBack]) > 0; back != x.back || len(c.voters[RollBack]) > collectorCount {
+				t.Errorf("%d sentries voted back, want some: %v", len(c.voters[RollBack]), x.back)
 			}
-			if on := len(c.voters[GoOn]); !x.back && (on == 0 || on > collectors) {
-				t.Errorf("%d sentries voted on, want the %d that collect", on, collectors)
+			if on := len(c.voters[Advance]); !x.back && (on == 0 || on > collectorCount) {
+				t.Errorf("%d sentries voted on, want the %d that collect", on, collectorCount)
 			}
 		})
 	}
@@ -133,12 +133,12 @@
 	c := newSentryTier(60, 30, 1)
 	c.run(5*second, 3)
 	c.addWorkers(10, "t", 11, c.now-10*second)
-	c.updateRelease(News{Valid: true, Build: 11, Cap: 0.5})
+	c.updateRelease(ReleaseStatus{Valid: true, Build: 11, Cap: 0.5})
 	c.run(4*second, 3)
-	c.updateRelease(News{Valid: true, Build: 11, Stage: 1, Cap: 0.5})
+	c.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Cap: 0.5})
 	c.handOffTime *= 8
 	c.run(4*second, 3)
-	if back := len(c.voters[GoBack]); back == 0 || back > collectors {
+	if back := len(c.voters[RollBack]); back == 0 || back > collectorCount {
 		t.Errorf("%d sentries voted back, want those that collect", back)
 	}
 }
@@ -149,13 +149,13 @@
 	c.messagesLost = true
 	c.run(5*second, 3)
 	c.addWorkers(10, "t", 11, c.now-10*second)
-	c.updateRelease(News{Valid: true, Build: 11, Cap: 0.5})
-	c.run(2*noAlarmTime, 1)
-	if on := len(c.voters[GoOn]); on > collectors {
+	c.updateRelease(ReleaseStatus{Valid: true, Build: 11, Cap: 0.5})
+	c.run(2*observationTime, 1)
+	if on := len(c.voters[Advance]); on > collectorCount {
 		t.Errorf("%d sentries voted on unseen", on)
 	}
-	c.run(2*noAlarmTime, 1)
-	if on := len(c.voters[GoOn]); on < 30 {
+	c.run(2*observationTime, 1)
+	if on := len(c.voters[Advance]); on < 30 {
 		t.Errorf("only %d sentries voted on after all", on)
 	}
 }
@@ -172,7 +172,7 @@
 		t.Errorf("a worker got %d hand-offs, another %d, the mean is %d", least, most, mean)
 	}
 	for i, s := range c.sentries {
-		if use := s.rosters[10].use; use > 4 {
+		if use := s.buildWorkers[10].subsetSize; use > 4 {
 			t.Fatalf("sentry %d uses %d workers for two transactions a second", i, use)
 		}
 	}
@@ -183,11 +183,11 @@
 	s := newSentryTier(1, 12, 1).sentries[0]
 	used := map[WorkerID]bool{}
 	for n := range 6 {
-		r := s.Arrive(s.now, Transaction{ID: TransactionID(fmt.Sprint(n)), Account: NoAccount, Limit: s.now + second})
-		used[r.Rulings[0].Worker] = true
+		r := s.TransactionArrived(s.now, Transaction{ID: TransactionID(fmt.Sprint(n)), Account: NoAccount, Deadline: s.now + second})
+		used[r.Actions[0].Worker] = true
 	}
-	if len(used) != 6 || s.rosters[10].use != 6 {
-		t.Errorf("%d workers for six open hand-offs, a set of %d", len(used), s.rosters[10].use)
+	if len(used) != 6 || s.buildWorkers[10].subsetSize != 6 {
+		t.Errorf("%d workers for six open hand-offs, a set of %d", len(used), s.buildWorkers[10].subsetSize)
 	}
 }
 
@@ -204,8 +204,8 @@
 			return Answered
 		}
 		c.run(10*second, 50)
-		if s := c.sentries[0]; (s.strikes[0] >= deadStrikes) != dead {
-			t.Errorf("dead %v: %d strikes", dead, s.strikes[0])
+		if s := c.sentries[0]; (s.consecutiveFailures[0] >= downAfterFailures) != dead {
+			t.Errorf("dead %v: %d strikes", dead, s.consecutiveFailures[0])
 		}
 	}
 }
@@ -218,33 +218,33 @@
 	f.Fuzz(func(t *testing.T, seed int64) {
 		c := newSentryTier(5, 8, seed)
 		c.addWorkers(2, "t", 11, 0)
-		c.updateRelease(News{Valid: true, Build: 11, Cap: 0.5})
-		s := c.sentries[int(c.sentries[0].collectorsAt()[0])]
+		c.updateRelease(ReleaseStatus{Valid: true, Build: 11, Cap: 0.5})
+		s := c.sentries[int(c.sentries[0].collectors()[0])]
 		for range 500 {
 			body := make([]byte, c.random.Intn(80))
 			c.random.Read(body)
 			from := SentryID(c.random.Intn(12) - 3)
 			if c.random.Intn(2) == 0 { // well formed, of another build, another length or falling counts
-				values := make([]uint64, 1+c.random.Intn(2*len(s.mine)))
+				values := make([]uint64, 1+c.random.Intn(2*len(s.ownCounts)))
 				values[0] = uint64(9 + 3*c.random.Intn(2))
 				if len(values) > 2 {
 					values[2] = uint64(len(values) - 3)
 				}
-				body = pack(byte(1+c.random.Intn(2)), values)
+				body = encodeMessage(byte(1+c.random.Intn(2)), values)
 			}
-			s.PeerSaid(c.now, from, body)
+			s.PeerMessageReceived(c.now, from, body)
 		}
-		if s.judged != 0 || s.allSum != 0 || len(s.reports) > 0 || s.advice != NoVerdict {
-			t.Fatalf("judged %d, all %v, advice %v", s.judged, s.allSum, s.advice)
+		if s.judgedOutcomes != 0 || s.fleetSlowExcess != 0 || len(s.reports) > 0 || s.collectorVerdict != NoVerdict {
+			t.Fatalf("judged %d, all %v, advice %v", s.judgedOutcomes, s.fleetSlowExcess, s.collectorVerdict)
 		}
-		values := append([]uint64{11, 7, uint64(len(s.mine))}, make([]uint64, len(s.mine))...)
-		values[3+place(0, errs, true)], values[4+place(0, errs, true)] = 30, 10
-		from := (s.orders.Position + 1) % 5
+		values := append([]uint64{11, 7, uint64(len(s.ownCounts))}, make([]uint64, len(s.ownCounts))...)
+		values[3+countIndex(0, errorMiss, true)], values[4+countIndex(0, errorMiss, true)] = 30, 10
+		from := (s.config.Position + 1) % 5
 		for range 3 { // the same report again adds nothing
-			s.PeerSaid(c.now, from, pack(asCounts, values))
+			s.PeerMessageReceived(c.now, from, encodeMessage(messageCounts, values))
 		}
-		if s.judged != 30 || s.profiles[0].sum[errs] < voteBackAt {
-			t.Errorf("a sound report: judged %d, sum %v", s.judged, s.profiles[0].sum[errs])
+		if s.judgedOutcomes != 30 || s.profiles[0].trialExcess[errorMiss] < rollBackExcess {
+			t.Errorf("a sound report: judged %d, sum %v", s.judgedOutcomes, s.profiles[0].trialExcess[errorMiss])
 		}
 	})
 }
@@ -264,11 +264,11 @@
 		c.addWorkers(4, "c", 10, started)
 		clear(c.sentAt)
 		c.run(2*second, 3+c.random.Intn(6)) // up to three times the usual
-		o := c.sentries[0].orders
+		o := c.sentries[0].config
 		for i := range 4 {
 			id := WorkerID(fmt.Sprint("c", i))
 			got := float64(len(c.sentAt[id]))
-			if most := o.FallMultiple * o.ColdFrom * usual * 2 / 0.6; got > most*1.5 { // a fleet loaded to 0.6
+			if most := o.ColdLoadMultiple * o.ColdCapacity * usual * 2 / 0.6; got > most*1.5 { // a fleet loaded to 0.6
 				t.Errorf("cold worker %s got %v hand-offs in two seconds, limit %v", id, got, most)
 			}
 		}
--- a/logic/drain.go
+++ b/logic/drain.go
@@ -11,17 +11,17 @@
 const (
 	// SIGKILL comes no sooner than this after the longest deadline, a longer one than longestCounted counting as that
 	// (PROTOCOL page, figures).
-	killAfterDeadline = 700 * millisecond
-	longestCounted    = 3 * second
+	killAfterDeadline  = 700 * millisecond
+	maxCountedDeadline = 3 * second
 
 	// The process may be held up for 150 ms (STANDING page), and its end takes a while.
 	drainMargin = 200 * millisecond
 
 	// From the last answer to when its connection is closed whatever its client does.
-	lastAnswers = 80 * millisecond
+	answerFlushTime = 80 * millisecond
 
 	// StopReadingAfter is when connections are read no more, after the process was asked to stop.
-	StopReadingAfter = killAfterDeadline - drainMargin - lastAnswers
+	StopReadingAfter = killAfterDeadline - drainMargin - answerFlushTime
 )
 
 // DrainSchedule says when the last steps of a planned stop are due, after the process was asked to stop.
@@ -32,13 +32,13 @@
 
 // DrainScheduleFor gives the schedule for the longest deadline of any class.
 func DrainScheduleFor(longest Micros) DrainSchedule {
-	answerBy := StopReadingAfter + min(longest, longestCounted)
-	return DrainSchedule{AnswerBy: answerBy, CloseBy: answerBy + lastAnswers}
+	answerBy := StopReadingAfter + min(longest, maxCountedDeadline)
+	return DrainSchedule{AnswerBy: answerBy, CloseBy: answerBy + answerFlushTime}
 }
 
 // FinalAnswer rules on a request that has no answer when it must have one: it is refused if nothing of it was ever sent to a
 // server, for then a retry is harmless, and has failed otherwise.
-func FinalAnswer(attempts int) RulingKind {
+func FinalAction(attempts int) ActionKind {
 	if attempts == 0 {
 		return Defer
 	}
--- a/logic/drain_test.go
+++ b/logic/drain_test.go
@@ -16,7 +16,7 @@
 			t.Errorf("deadline %d: %+v, kill at %d", longest, s, kill)
 		}
 	}
-	if FinalAnswer(0) != Defer || FinalAnswer(1) != WriteOff {
+	if FinalAction(0) != Defer || FinalAction(1) != WriteOff {
 		t.Error("a request of which nothing was sent is refused, any other has failed")
 	}
 }
--- a/logic/exposure_test.go
+++ b/logic/exposure_test.go
@@ -11,7 +11,7 @@
 	return func() Key {
 		for {
 			n++
-			if k := Key(fmt.Sprintf("%06x", n)); slotOf(k, 10, 11) < under {
+			if k := Key(fmt.Sprintf("%06x", n)); hashSlot(k, 10, 11) < under {
 				return k
 			}
 		}
@@ -25,20 +25,20 @@
 		window    Micros
 	}{{2, 0.5, 4 * second}, {0, 0.5, 4 * second}, {5, 0.1, 2 * second}, {1, 0.3, second}} {
 		b := newTrialHarness(8, 8)
-		b.sentry.orders.FreeExposure, b.sentry.orders.ExposureWindow = c.free, c.window
-		b.updateRelease(News{Valid: true, Build: 11, Phase: OnTrial, Cap: c.cap})
-		next, tick := trialKeyGenerator(percent(c.cap)), b.sentry.orders.Tick
+		b.sentry.config.FreeExposure, b.sentry.config.ExposureWindow = c.free, c.window
+		b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Phase: OnTrial, Cap: c.cap})
+		next, tick := trialKeyGenerator(percent(c.cap)), b.sentry.config.TimerGranularity
 		for round := range 3 {
 			b.now += c.window + 10*tick // nothing of the last round is in the window
 			sent := 0
 			for taken := 1; taken <= 60; taken++ {
 				b.transactionCount++
 				id := TransactionID(fmt.Sprint("x", b.transactionCount))
-				b.record(b.sentry.Arrive(b.now, Transaction{ID: id, Key: next(), Account: NoAccount, Limit: b.now + second}))
-				if len(b.lastResult.Rulings) != 1 || b.lastResult.Rulings[0].Kind != HandOff {
-					t.Fatalf("free %g cap %g round %d, transaction %d: %v", c.free, c.cap, round, taken, b.lastResult.Rulings)
+				b.record(b.sentry.TransactionArrived(b.now, Transaction{ID: id, Key: next(), Account: NoAccount, Deadline: b.now + second}))
+				if len(b.lastResult.Actions) != 1 || b.lastResult.Actions[0].Kind != HandOff {
+					t.Fatalf("free %g cap %g round %d, transaction %d: %v", c.free, c.cap, round, taken, b.lastResult.Actions)
 				}
-				w := b.lastResult.Rulings[0].Worker
+				w := b.lastResult.Actions[0].Worker
 				may := float64(sent+1) <= c.free+c.cap*float64(taken)
 				if isTrialWorker(w) != may {
 					t.Fatalf("free %g cap %g round %d: of %d taken %d were sent to the trial; one more: %v, expected %v",
@@ -47,7 +47,7 @@
 				if isTrialWorker(w) {
 					sent++
 				}
-				b.record(b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: w, Closed: true, Took: 1, Load: NoLoad}))
+				b.record(b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: w, TransactionClosed: true, Duration: 1, Load: NoLoad}))
 			}
 		}
 	}
@@ -56,17 +56,17 @@
 // What was sent to the trial counts until its whole window has passed, whatever was taken meanwhile.
 func TestExposureWindowEdge(t *testing.T) {
 	b := newTrialHarness(8, 8)
-	o := &b.sentry.orders
+	o := &b.sentry.config
 	next := trialKeyGenerator(1)
 	send := func() bool {
 		b.transactionCount++
 		id := TransactionID(fmt.Sprint("e", b.transactionCount))
-		b.record(b.sentry.Arrive(b.now, Transaction{ID: id, Key: next(), Account: NoAccount, Limit: b.now + second}))
-		w := b.lastResult.Rulings[0].Worker
-		b.record(b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: w, Closed: true, Took: 1, Load: NoLoad}))
+		b.record(b.sentry.TransactionArrived(b.now, Transaction{ID: id, Key: next(), Account: NoAccount, Deadline: b.now + second}))
+		w := b.lastResult.Actions[0].Worker
+		b.record(b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: w, TransactionClosed: true, Duration: 1, Load: NoLoad}))
 		return isTrialWorker(w)
 	}
-	o.FreeExposure, b.sentry.news.Cap = 2, 0.01
+	o.FreeExposure, b.sentry.releaseStatus.Cap = 2, 0.01
 	b.now += 2 * o.ExposureWindow
 	if !send() || !send() || send() {
 		t.Fatal("expected two to the trial, and no third")
@@ -75,7 +75,7 @@
 	if send() {
 		t.Error("one more within the window, edge included")
 	}
-	b.now += 4 * o.Tick
+	b.now += 4 * o.TimerGranularity
 	if !send() {
 		t.Error("none after the window has passed")
 	}
--- a/logic/lease_test.go
+++ b/logic/lease_test.go
@@ -18,33 +18,33 @@
 const testDrainGrace = 2 * second
 
 // newLeased has the server s-1 listed at its start.
-func newLeaseHarness(t *testing.T, change func(*StandingOrders)) *leaseHarness {
-	o := newTrialHarness(1, 0).sentry.orders
-	o.NoticeWithin, o.DrainGrace, o.AskForList, o.AskWithin = 6*second, testDrainGrace, true, 10*second
-	o.MayCopy, o.WarmUp = false, 0
+func newLeaseHarness(t *testing.T, change func(*Config)) *leaseHarness {
+	o := newTrialHarness(1, 0).sentry.config
+	o.ListChangeDelay, o.DrainGrace, o.ListOnRequest, o.MaxListAge = 6*second, testDrainGrace, true, 10*second
+	o.MayHedge, o.WarmUp = false, 0
 	if change != nil {
 		change(&o)
 	}
 	l := &leaseHarness{t: t, sentry: New(o, 1), start: 1000 * second}
 	l.now = l.start
-	l.receiveList(ListWhole)
-	l.sentry.Told(l.now, News{Valid: true, Build: 10, Phase: Released, Cap: 1})
+	l.receiveList(FullList)
+	l.sentry.ReleaseUpdated(l.now, ReleaseStatus{Valid: true, Build: 10, Phase: Released, Cap: 1})
 	return l
 }
 
 func (l *leaseHarness) receiveList(kind ListKind) {
-	l.sentry.Listed(l.now, kind, []Worker{{ID: "s-1", Build: 10, Size: 1}})
+	l.sentry.ListReceived(l.now, kind, []Worker{{ID: "s-1", Build: 10, Size: 1}})
 }
 
 func (l *leaseHarness) setTime(after Micros) *leaseHarness { l.now = l.start + after; return l }
 
 // arrive has a request come and gives the attempt that is made for it at once, nil if there is none.
-func (l *leaseHarness) arrive() *Ruling {
+func (l *leaseHarness) arrive() *Action {
 	l.transactionCount++
-	r := l.sentry.Arrive(l.now, Transaction{ID: TransactionID(fmt.Sprint(l.transactionCount)), Account: NoAccount, Limit: l.now + 2*second})
-	for i := range r.Rulings {
-		if r.Rulings[i].Kind == HandOff {
-			return &r.Rulings[i]
+	r := l.sentry.TransactionArrived(l.now, Transaction{ID: TransactionID(fmt.Sprint(l.transactionCount)), Account: NoAccount, Deadline: l.now + 2*second})
+	for i := range r.Actions {
+		if r.Actions[i].Kind == HandOff {
+			return &r.Actions[i]
 		}
 	}
 	return nil
@@ -57,8 +57,8 @@
 	if r == nil {
 		l.t.Fatalf("no attempt at %v", l.now-l.start)
 	}
-	l.sentry.HandOffEnded(l.now, HandOffEnd{Transaction: r.Transaction, Worker: "s-1", Ending: ending, Closed: ending == Answered, Load: NoLoad,
-		Opened: l.start + opened})
+	l.sentry.HandOffEnded(l.now, HandOffEnd{Transaction: r.Transaction, Worker: "s-1", Ending: ending, TransactionClosed: ending == Answered, Load: NoLoad,
+		ConnectionOpened: l.start + opened})
 }
 
 // lasts wants attempts up to a time after the start, and none after it.
@@ -70,7 +70,7 @@
 	if r := l.setTime(until).arrive(); r == nil || r.SendBy != l.start+until {
 		l.t.Errorf("at %v: attempt %+v, expected one with that limit", until, r)
 	} else {
-		l.sentry.HandOffEnded(l.now, HandOffEnd{Transaction: r.Transaction, Worker: "s-1", Ending: Unsent, Closed: true, Load: NoLoad})
+		l.sentry.HandOffEnded(l.now, HandOffEnd{Transaction: r.Transaction, Worker: "s-1", Ending: Unsent, TransactionClosed: true, Load: NoLoad})
 	}
 	if r := l.setTime(until + 1).arrive(); r != nil {
 		l.t.Errorf("after %v: attempt %+v, expected none", until, r)
@@ -79,16 +79,16 @@
 
 const (
 	listLeaseDuration   = 6*second + testDrainGrace - leaseMargin
-	answerLeaseDuration = listLeaseDuration - drainingTakes // of an answer
+	answerLeaseDuration = listLeaseDuration - maxAcceptWhileDraining // of an answer
 )
 
 func TestLeaseOfAList(t *testing.T) {
 	l := newLeaseHarness(t, nil)
-	l.setTime(second).sentry.AskFailed(l.now, true)
+	l.setTime(second).sentry.ListRequestFailed(l.now, true)
 	l.expectLeaseUntil(listLeaseDuration)
-	r := l.sentry.Listed(l.now, ListChanges, []Worker{{ID: "s-1", Build: 10, Size: 1}}) // what is held goes out
-	if len(r.Rulings) != 1 || r.Rulings[0].Kind != HandOff {
-		t.Errorf("rulings %v at a list, expected an attempt for what was held", r.Rulings)
+	r := l.sentry.ListReceived(l.now, ListDelta, []Worker{{ID: "s-1", Build: 10, Size: 1}}) // what is held goes out
+	if len(r.Actions) != 1 || r.Actions[0].Kind != HandOff {
+		t.Errorf("rulings %v at a list, expected an attempt for what was held", r.Actions)
 	}
 }
 
@@ -98,8 +98,8 @@
 	l.setTime(listLeaseDuration + 1).arrive()
 	for range 200 {
 		l.now += 10_000
-		for _, r := range l.sentry.Wake(l.now).Rulings {
-			if r.Kind != Defer || r.ComeBack == 0 {
+		for _, r := range l.sentry.Wake(l.now).Actions {
+			if r.Kind != Defer || r.RetryAfter == 0 {
 				t.Errorf("ruling %+v, expected a refusal with a time to come back", r)
 			}
 			return
@@ -109,8 +109,8 @@
 }
 
 func TestLeaseWithoutListChangeDelay(t *testing.T) {
-	l := newLeaseHarness(t, func(o *StandingOrders) { o.NoticeWithin = 0 })
-	l.sentry.AskFailed(l.now, true)
+	l := newLeaseHarness(t, func(o *Config) { o.ListChangeDelay = 0 })
+	l.sentry.ListRequestFailed(l.now, true)
 	if r := l.setTime(1000 * second).arrive(); r == nil || r.SendBy != 0 {
 		t.Errorf("attempt %+v, expected one with no limit", r)
 	}
@@ -118,9 +118,9 @@
 
 func TestLeaseOfCachedList(t *testing.T) {
 	l := newLeaseHarness(t, nil)
-	l.sentry = New(l.sentry.orders, 1)
-	l.receiveList(ListRemembered)
-	l.sentry.Told(l.now, News{Valid: true, Build: 10, Phase: Released, Cap: 1})
+	l.sentry = New(l.sentry.config, 1)
+	l.receiveList(CachedList)
+	l.sentry.ReleaseUpdated(l.now, ReleaseStatus{Valid: true, Build: 10, Phase: Released, Cap: 1})
 	l.expectLeaseUntil(testDrainGrace - leaseMargin)
 }
 
@@ -139,13 +139,13 @@
 		"one opened after a break": {func(l *leaseHarness) {
 			l.setTime(2*second).serveTransaction(-second, Answered)
 			l.setTime(3*second).serveTransaction(0, Broken)
-			l.sentry.shunned[0] = 0
+			l.sentry.ejectedUntil[0] = 0
 			l.setTime(5*second).serveTransaction(4*second, Answered)
 		}, listLeaseDuration},
 		"one from before a break of another": {func(l *leaseHarness) {
 			l.setTime(2*second).serveTransaction(-second, Answered)
 			l.setTime(3*second).serveTransaction(0, Broken)
-			l.sentry.shunned[0] = 0
+			l.sentry.ejectedUntil[0] = 0
 			l.setTime(5*second).serveTransaction(second, Answered)
 		}, 5*second + answerLeaseDuration},
 		"an error":      {func(l *leaseHarness) { l.setTime(5*second).serveTransaction(0, Errored) }, listLeaseDuration},
@@ -153,7 +153,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newLeaseHarness(t, nil)
-			l.sentry.AskFailed(l.now, true)
+			l.sentry.ListRequestFailed(l.now, true)
 			c.do(l)
 			if by := l.sentry.sendBy(0); by != l.start+c.until {
 				t.Errorf("lease until %v, expected %v", by-l.start, c.until)
@@ -167,8 +167,8 @@
 	l := newLeaseHarness(t, nil)
 	l.setTime(5*second).serveTransaction(0, Answered)
 	l.now = l.start + 5*second
-	l.sentry.Listed(l.now, ListChanges, []Worker{{ID: "s-1", Build: 11, Size: 1}})
-	if a := l.sentry.serverLeases[0].answered; a != 0 {
+	l.sentry.ListReceived(l.now, ListDelta, []Worker{{ID: "s-1", Build: 11, Size: 1}})
+	if a := l.sentry.workerLeases[0].sentAt; a != 0 {
 		t.Errorf("an answer at %v counts for another build", a-l.start)
 	}
 }
@@ -176,60 +176,60 @@
 // What has begun to come counts as told, and what a move of discovery leaves untold counts at a set time.
 func TestLeaseOfPossiblyStaleList(t *testing.T) {
 	l := newLeaseHarness(t, nil)
-	l.setTime(second).sentry.ListUnsure(l.now, l.start+second)
-	l.sentry.ListUnsure(l.now, l.start+3*second) // a later doubt doesn't put off the earlier one
+	l.setTime(second).sentry.ListMayBeStale(l.now, l.start+second)
+	l.sentry.ListMayBeStale(l.now, l.start+3*second) // a later doubt doesn't put off the earlier one
 	l.expectLeaseUntil(second + testDrainGrace - leaseMargin)
 
 	l = newLeaseHarness(t, nil)
 	l.setTime(6*second).serveTransaction(0, Answered) // it had not begun to drain at 2 s
-	l.sentry.ListUnsure(l.now, l.start+second)
+	l.sentry.ListMayBeStale(l.now, l.start+second)
 	l.expectLeaseUntil(6*second + answerLeaseDuration)
 
 	l = newLeaseHarness(t, nil)
-	l.setTime(second).sentry.ListUnsure(l.now, l.start+second)
-	l.receiveList(ListChanges)
+	l.setTime(second).sentry.ListMayBeStale(l.now, l.start+second)
+	l.receiveList(ListDelta)
 	l.expectLeaseUntil(second + listLeaseDuration)
 }
 
 // Where lists are pushed, what discovery has counts as told at once while no watch stands.
 func TestLeaseOfAPushedList(t *testing.T) {
-	l := newLeaseHarness(t, func(o *StandingOrders) { o.AskForList = false })
-	l.setTime(3*second).sentry.AskFailed(l.now, false)
-	l.setTime(4*second).sentry.AskFailed(l.now, false)
+	l := newLeaseHarness(t, func(o *Config) { o.ListOnRequest = false })
+	l.setTime(3*second).sentry.ListRequestFailed(l.now, false)
+	l.setTime(4*second).sentry.ListRequestFailed(l.now, false)
 	l.expectLeaseUntil(3*second + testDrainGrace - leaseMargin)
 
-	l = newLeaseHarness(t, func(o *StandingOrders) { o.AskForList = false })
-	l.setTime(2*second).sentry.ListUnsure(l.now, l.now) // begun to come, and then broken off
-	l.setTime(3*second).sentry.AskFailed(l.now, false)
+	l = newLeaseHarness(t, func(o *Config) { o.ListOnRequest = false })
+	l.setTime(2*second).sentry.ListMayBeStale(l.now, l.now) // begun to come, and then broken off
+	l.setTime(3*second).sentry.ListRequestFailed(l.now, false)
 	l.expectLeaseUntil(2*second + testDrainGrace - leaseMargin)
-	l.receiveList(ListChanges)
+	l.receiveList(ListDelta)
 	l.expectLeaseUntil(l.now - l.start + listLeaseDuration)
 }
 
 // Waits double from failure to failure, sooner where discovery is busy, up to a bound, each spread over half to three halves
 // of its length, and begin anew after an answer.
 func TestListRequestBackoff(t *testing.T) {
-	for busy, least := range map[bool]Micros{false: firstRetry, true: firstBusyRetry} {
+	for busy, least := range map[bool]Micros{false: initialRetryDelay, true: initialBusyRetryDelay} {
 		l := newLeaseHarness(t, nil)
 		for round := range 2 {
-			for wait := least; wait <= 4*mostRetry; wait *= 2 {
-				usual := min(wait, mostRetry)
-				l.sentry.AskFailed(l.now, busy)
-				if got := l.sentry.askAt - l.now; got < usual/2 || got > usual*3/2 {
+			for wait := least; wait <= 4*maxRetryDelay; wait *= 2 {
+				usual := min(wait, maxRetryDelay)
+				l.sentry.ListRequestFailed(l.now, busy)
+				if got := l.sentry.nextListRequestAt - l.now; got < usual/2 || got > usual*3/2 {
 					t.Errorf("round %d, busy %v: waits %v, expected about %v", round, busy, got, usual)
 				}
-				l.now = l.sentry.askAt
+				l.now = l.sentry.nextListRequestAt
 			}
-			l.receiveList(ListWhole)
+			l.receiveList(FullList)
 		}
 	}
-	shortest, longest := mostRetry, Micros(0)
+	shortest, longest := maxRetryDelay, Micros(0)
 	for seed := range 200 {
-		s := New(newLeaseHarness(t, nil).sentry.orders, int64(seed))
-		s.AskFailed(second, true)
-		shortest, longest = min(shortest, s.askAt-second), max(longest, s.askAt-second)
+		s := New(newLeaseHarness(t, nil).sentry.config, int64(seed))
+		s.ListRequestFailed(second, true)
+		shortest, longest = min(shortest, s.nextListRequestAt-second), max(longest, s.nextListRequestAt-second)
 	}
-	if shortest > firstBusyRetry*6/10 || longest < firstBusyRetry*14/10 {
+	if shortest > initialBusyRetryDelay*6/10 || longest < initialBusyRetryDelay*14/10 {
 		t.Errorf("processes wait %v to %v, expected them spread", shortest, longest)
 	}
 }
@@ -239,19 +239,19 @@
 	const lost, end = 10 * second, 50 * second
 	// At 2 a second a pause may be longer than the lease of an answer.
 	for perSecond, least := range map[float64]float64{2: 0.9, 7: 0.97, 20: 0.97} {
-		o := newLeaseHarness(t, nil).sentry.orders
-		o.Sentries, o.MostHandOffs = 100, 3
+		o := newLeaseHarness(t, nil).sentry.config
+		o.Sentries, o.MaxHandOffs = 100, 3
 		f := &outageSimulation{sentry: New(o, 3), random: rand.New(rand.NewSource(1)), now: 1000 * second, connectionOpened: map[WorkerID]Micros{}}
 		start := f.now
 		var list []Worker
 		for i := range 60 {
 			list = append(list, Worker{ID: WorkerID(fmt.Sprint("s-", i)), Build: 10, Size: 1})
 		}
-		f.carryOut(f.sentry.Listed(f.now, ListWhole, list))
-		f.carryOut(f.sentry.Told(f.now, News{Valid: true, Build: 10, Phase: Released, Cap: 1}))
+		f.carryOut(f.sentry.ListReceived(f.now, FullList, list))
+		f.carryOut(f.sentry.ReleaseUpdated(f.now, ReleaseStatus{Valid: true, Build: 10, Phase: Released, Cap: 1}))
 		for next := f.now; f.now < start+end; f.now += millisecond {
 			if f.now < start+lost && f.now%(2*second) == 0 {
-				f.carryOut(f.sentry.Listed(f.now, ListChanges, nil)) // a sign of life
+				f.carryOut(f.sentry.ListReceived(f.now, ListDelta, nil)) // a sign of life
 			}
 			if f.now >= next {
 				f.arrive()
@@ -277,16 +277,16 @@
 
 type outageHandOff struct {
 	endsAt Micros
-	action Ruling
+	action Action
 }
 
 func (f *outageSimulation) arrive() {
 	f.arrived++
-	f.carryOut(f.sentry.Arrive(f.now, Transaction{ID: TransactionID(fmt.Sprint(f.arrived)), Account: NoAccount, Limit: f.now + 2*second}))
+	f.carryOut(f.sentry.TransactionArrived(f.now, Transaction{ID: TransactionID(fmt.Sprint(f.arrived)), Account: NoAccount, Deadline: f.now + 2*second}))
 }
 
 func (f *outageSimulation) carryOut(r Result) {
-	for _, x := range r.Rulings {
+	for _, x := range r.Actions {
 		if x.Kind != HandOff {
 			continue
 		}
@@ -307,8 +307,8 @@
 			continue
 		}
 		f.served++
-		f.carryOut(f.sentry.HandOffEnded(f.now, HandOffEnd{Transaction: a.action.Transaction, Worker: a.action.Worker, Ending: Answered, Closed: true,
-			Load: NoLoad, Opened: f.connectionOpened[a.action.Worker], Took: 80 * millisecond}))
+		f.carryOut(f.sentry.HandOffEnded(f.now, HandOffEnd{Transaction: a.action.Transaction, Worker: a.action.Worker, Ending: Answered, TransactionClosed: true,
+			Load: NoLoad, ConnectionOpened: f.connectionOpened[a.action.Worker], Duration: 80 * millisecond}))
 	}
 	f.carryOut(f.sentry.Wake(f.now))
 }
--- a/logic/port.go
+++ b/logic/port.go
@@ -20,19 +20,19 @@
 )
 
 // Repeat says whether a transaction may run again.
-type Repeat int
+type Repeatability int
 
 const (
-	Redoable Repeat = iota
-	Labelled
-	Irreversible
+	Idempotent Repeatability = iota
+	Deduplicated
+	NonIdempotent
 )
 
 // Scope is the group of workers that drops the repeats of a labelled transaction.
-type Scope int
+type DedupScope int
 
 const (
-	ScopeAll Scope = iota
+	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
@@ -48,14 +48,14 @@
 
 // Profile is what the orders say of one kind of transaction.
 type Profile struct {
-	DueTime    Micros
-	OuterLimit Micros
-	Value      float64
-	LateShare  float64
-	Repeat     Repeat
-	Scope      Scope
-	Window     Micros // how long repeats of a labelled one are dropped
-	Streamed   bool
+	DueTime        Micros
+	MaxDeadline    Micros
+	Value          float64
+	LateValueShare float64
+	Repeatability  Repeatability
+	DedupScope     DedupScope
+	DedupWindow    Micros // how long repeats of a labelled one are dropped
+	Streamed       bool
 }
 
 // Account is a customer's share and its quota, in transactions a second over all sentries.
@@ -65,7 +65,7 @@
 }
 
 // StandingOrders is what a sentry is told once, at its start.
-type StandingOrders struct {
+type Config struct {
 	Sentries int
 	Position SentryID
 	Zone     ZoneID
@@ -73,51 +73,51 @@
 	Accounts []Account
 
 	// The list of workers.
-	AskForList bool   // it comes only when asked for
-	AskWithin  Micros // a sentry that follows nothing is held to know what was listed this long ago
+	ListOnRequest bool   // it comes only when asked for
+	MaxListAge    Micros // a sentry that follows nothing is held to know what was listed this long ago
 	// A change counts as told so long after discovery had it, whether or not it arrived; 0: only once it has been told.
-	NoticeWithin Micros
+	ListChangeDelay Micros
 
 	// What is allowed.
-	MayProbe, MayCancel, MayCopy, MayMessage, MayNameReturn bool
-	MostHandOffs                                            int
-	MostReturn                                              Micros
-	ConnectLimit                                            Micros
-	IdleClose                                               Micros // a connection that nothing uses is closed after this, 0 if it stays
-	Tick                                                    Micros
+	MayProbe, MayCancel, MayHedge, MayMessage, MayNameRetryAfter bool
+	MaxHandOffs                                                  int
+	MaxRetryAfter                                                Micros
+	ConnectTimeout                                               Micros
+	IdleTimeout                                                  Micros // a connection that nothing uses is closed after this, 0 if it stays
+	TimerGranularity                                             Micros
 
 	// Figures of the rules.
-	AnswerGrace  Micros
-	DrainGrace   Micros
-	ColdFrom     float64
-	WarmUp       Micros
-	FallMultiple float64
-	FallSpan     Micros
+	AnswerGrace      Micros
+	DrainGrace       Micros
+	ColdCapacity     float64
+	WarmUp           Micros
+	ColdLoadMultiple float64
+	ColdLoadWindow   Micros
 
 	// Builds on trial.
-	Control           Control
-	BesideEarlier     bool // the earlier workers stay until the release
-	StageShares       []float64
-	StageCaps         []float64
-	FreeExposure      float64
-	ExposureWindow    Micros
-	ExposureByProfile bool
-	GuardedStages     int
-	ForwardOnly       bool
-	OnVotes           int
-	HoldVotes         int
-	BackVotes         int
-	VoteLife          Micros
-	VoteWait          Micros
-	VotesPerSecond    float64
-	Bake              Micros
-	ComplaintShare    float64
-	CountsEvery       Micros  // the platform's counts come so often, 0 if never
-	CountsShare       float64 // of all hand-offs that they count
+	Control            Control
+	EarlierWorkersStay bool // the earlier workers stay until the release
+	StageShares        []float64
+	StageCaps          []float64
+	FreeExposure       float64
+	ExposureWindow     Micros
+	ExposureByProfile  bool
+	GuardedStages      int
+	ForwardOnly        bool
+	AdvanceVotes       int
+	HoldVotes          int
+	RollBackVotes      int
+	VoteTTL            Micros
+	VoteTimeout        Micros
+	VotesPerSecond     float64
+	BakeTime           Micros
+	ComplaintShare     float64
+	CountsPeriod       Micros  // the platform's counts come so often, 0 if never
+	CountsSampleShare  float64 // of all hand-offs that they count
 
 	// Prices, as shares of the whole value.
-	BehindPrice, HarmPrice, CrossPrice, WastePrice float64
-	OverShareValue                                 float64
+	StaleBuildPrice, HarmPrice, CrossZonePrice, WastePrice float64
+	OverShareValue                                         float64
 }
 
 // WorkerState is what the list says of a worker.
@@ -144,20 +144,20 @@
 type ListKind int
 
 const (
-	ListWhole ListKind = iota
-	ListChanges
-	ListRemembered // whole, as held before the sentry's start, maybe old
+	FullList ListKind = iota
+	ListDelta
+	CachedList // whole, as held before the sentry's start, maybe old
 )
 
 // Transaction is what a client asks for.
 type Transaction struct {
-	ID      TransactionID
-	Profile ProfileID
-	Account AccountID
-	Key     Key
-	Limit   Micros // the client gives this try up then
-	Hint    Micros // expected work, 0 if not known
-	Again   bool   // the client marked it as a repeat
+	ID           TransactionID
+	Profile      ProfileID
+	Account      AccountID
+	Key          Key
+	Deadline     Micros // the client gives this try up then
+	ExpectedWork Micros // expected work, 0 if not known
+	IsRetry      bool   // the client marked it as a repeat
 }
 
 // Ending is how a hand-off ended.
@@ -172,29 +172,29 @@
 	Broken             // the connection broke; may have run
 	Cancelled          // may have run
 	Unsent             // proven not to have run
-	Spoilt             // an answer came, or began to, that can't be read: it has run
+	Unreadable         // an answer came, or began to, that can't be read: it has run
 )
 
 // Load is what a worker reports of its load; a figure that it does not tell is below 0.
 type Load struct {
-	Held   float64 // transactions
-	Busy   float64 // share of its cores
-	Served float64 // transactions a second
+	InFlight        float64 // transactions
+	BusyShare       float64 // share of its cores
+	ServedPerSecond float64 // transactions a second
 }
 
 // NoLoad is the report of a worker that tells nothing.
-var NoLoad = Load{Held: -1, Busy: -1, Served: -1}
+var NoLoad = Load{InFlight: -1, BusyShare: -1, ServedPerSecond: -1}
 
 // HandOffEnd tells the end of one hand-off.
 type HandOffEnd struct {
-	Transaction TransactionID
-	HandOff     int
-	Worker      WorkerID
-	Ending      Ending
-	Took        Micros
-	Closed      bool   // the transaction has its final answer
-	Opened      Micros // when the connection that carried it had come up, 0 if that is not told
-	Load        Load
+	Transaction       TransactionID
+	HandOffNumber     int
+	Worker            WorkerID
+	Ending            Ending
+	Duration          Micros
+	TransactionClosed bool   // the transaction has its final answer
+	ConnectionOpened  Micros // when the connection that carried it had come up, 0 if that is not told
+	Load              Load
 }
 
 // Phase is where the newest build stands.
@@ -202,31 +202,31 @@
 
 const (
 	OnTrial Phase = iota
-	GoingBack
+	RollingBack
 	Released
 	Withdrawn
 )
 
 // VoteFate is what became of a vote.
-type VoteFate int
+type VoteResult int
 
 const (
-	NoVoteAsked VoteFate = iota // news that answers no vote
-	VoteStands
-	VoteMoot
+	NoVote VoteResult = iota // news that answers no vote
+	VoteAccepted
+	VoteObsolete
 	VoteRefused
-	VoteUnanswered
+	VoteTimedOut
 )
 
 // News is where the newest build stands, as the platform told it. Unless Valid, only Fate counts.
-type News struct {
-	Valid bool
-	Build BuildID
-	Stage int
-	Phase Phase
-	Cap   float64
-	Age   Micros
-	Fate  VoteFate
+type ReleaseStatus struct {
+	Valid      bool
+	Build      BuildID
+	Stage      int
+	Phase      Phase
+	Cap        float64
+	Age        Micros
+	VoteResult VoteResult
 }
 
 // Complaint says that a client found an answer wrong.
@@ -238,34 +238,34 @@
 
 // Counts is what the platform counted of one build and profile, in a sample of all hand-offs over a past period.
 // All sentries are told the same.
-type Counts struct {
-	Build    BuildID
-	Profile  ProfileID
-	HandOffs int
-	Failed   int    // not answered, for whatever reason
-	Mean     Micros // time of the others
-	Age      Micros // since the period ended
+type BuildCounts struct {
+	Build        BuildID
+	Profile      ProfileID
+	HandOffs     int
+	Failed       int    // not answered, for whatever reason
+	MeanDuration Micros // time of the others
+	Age          Micros // since the period ended
 }
 
 // RulingKind is what is to be done about a transaction.
-type RulingKind int
+type ActionKind int
 
 const (
-	HandOff RulingKind = iota
+	HandOff ActionKind = iota
 	CancelHandOff
 	Defer
 	WriteOff
 )
 
 // Ruling is one act on one transaction. Rulings are carried out in order.
-type Ruling struct {
-	Kind        RulingKind
-	Transaction TransactionID
-	Worker      WorkerID // HandOff
-	Until       Micros   // HandOff: given up then
-	SendBy      Micros   // HandOff: not to be written later, 0 if there is no such limit
-	Number      int      // CancelHandOff: which one, from 0
-	ComeBack    Micros   // Defer: how long the client should stay away, 0 if not said
+type Action struct {
+	Kind          ActionKind
+	Transaction   TransactionID
+	Worker        WorkerID // HandOff
+	Deadline      Micros   // HandOff: given up then
+	SendBy        Micros   // HandOff: not to be written later, 0 if there is no such limit
+	HandOffNumber int      // CancelHandOff: which one, from 0
+	RetryAfter    Micros   // Defer: how long the client should stay away, 0 if not said
 }
 
 // Verdict is what a vote stands for.
@@ -273,9 +273,9 @@
 
 const (
 	NoVerdict Verdict = iota
-	GoOn
+	Advance
 	Hold
-	GoBack
+	RollBack
 )
 
 // Vote is a sentry's vote on a build at a stage.
@@ -294,12 +294,12 @@
 // Result is what a call wants done. WakeAt asks for a Wake call then; 0 asks for none; a later call may name
 // an earlier time and a Wake that comes unasked does no harm.
 type Result struct {
-	Rulings  []Ruling
-	Votes    []Vote
-	Follow   bool // subscribe to changes of the list
-	ReadList bool // ask for the whole list once
-	Probes   []WorkerID
-	Messages []Message
-	Notes    []string
-	WakeAt   Micros
+	Actions   []Action
+	Votes     []Vote
+	WatchList bool // subscribe to changes of the list
+	FetchList bool // ask for the whole list once
+	Probes    []WorkerID
+	Messages  []Message
+	LogLines  []string
+	WakeAt    Micros
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -10,13 +10,13 @@
 // decides.
 type simulation struct {
 	t                *testing.T
-	config           StandingOrders
+	config           Config
 	sentry           *Sentry
 	random           *rand.Rand
 	now              Micros
 	workersByID      map[WorkerID]Worker
 	drainKnownSince  map[WorkerID]Micros // since when the sentry knows that a worker drains or is gone
-	release          News
+	release          ReleaseStatus
 	open             map[TransactionID]*simTransaction
 	openIDs          []TransactionID
 	takenAt          []Micros
@@ -41,23 +41,23 @@
 	mayHaveRun bool
 }
 
-func randomConfig(chance *rand.Rand) StandingOrders {
+func randomConfig(chance *rand.Rand) Config {
 	pick := func(n int) bool { return chance.Intn(n) == 0 }
-	o := StandingOrders{
-		Sentries: 1 + chance.Intn(5), AskForList: pick(2), AskWithin: 10 * second, MayCopy: pick(2),
+	o := Config{
+		Sentries: 1 + chance.Intn(5), ListOnRequest: pick(2), MaxListAge: 10 * second, MayHedge: pick(2),
 		MayMessage: pick(2),
-		MayCancel:  true, MayNameReturn: true, MostHandOffs: 1 + chance.Intn(5), MostReturn: second, Tick: 5000,
-		AnswerGrace: 20000, DrainGrace: second / 4, ColdFrom: 0.4, WarmUp: 4 * second, FallMultiple: 3,
-		FallSpan: second,
-		Control:  Control(chance.Intn(2)), BesideEarlier: pick(2), StageShares: []float64{0.1, 0.4, 1},
+		MayCancel:  true, MayNameRetryAfter: true, MaxHandOffs: 1 + chance.Intn(5), MaxRetryAfter: second, TimerGranularity: 5000,
+		AnswerGrace: 20000, DrainGrace: second / 4, ColdCapacity: 0.4, WarmUp: 4 * second, ColdLoadMultiple: 3,
+		ColdLoadWindow: second,
+		Control:        Control(chance.Intn(2)), EarlierWorkersStay: pick(2), StageShares: []float64{0.1, 0.4, 1},
 		StageCaps: []float64{0.2, 0.6, 1}, FreeExposure: 2, ExposureWindow: 3 * second,
 		GuardedStages: chance.Intn(2),
-		ForwardOnly:   pick(2), OnVotes: 1, BackVotes: 1, VoteLife: 6 * second, VoteWait: second,
-		Bake: 3 * second, CrossPrice: 0.04,
+		ForwardOnly:   pick(2), AdvanceVotes: 1, RollBackVotes: 1, VoteTTL: 6 * second, VoteTimeout: second,
+		BakeTime: 3 * second, CrossZonePrice: 0.04,
 	}
-	for r := Redoable; r <= Irreversible; r++ {
-		o.Profiles = append(o.Profiles, Profile{DueTime: second / 2, OuterLimit: 2 * second, Value: 1 + float64(r),
-			Repeat: r, Window: second, Scope: Scope(chance.Intn(3))})
+	for r := Idempotent; r <= NonIdempotent; r++ {
+		o.Profiles = append(o.Profiles, Profile{DueTime: second / 2, MaxDeadline: 2 * second, Value: 1 + float64(r),
+			Repeatability: r, DedupWindow: second, DedupScope: DedupScope(chance.Intn(3))})
 	}
 	return o
 }
@@ -71,8 +71,8 @@
 	for i := range 8 {
 		f.setWorker(Worker{ID: f.workerID(i), Build: 10, Size: 1 + float64(i%2), Zone: ZoneID(i % 2), Cell: i % 3})
 	}
-	f.checkActions(f.sentry.Listed(f.now, ListRemembered, f.allWorkers()))
-	f.updateRelease(News{Valid: true, Build: 10, Stage: 2, Phase: Released, Cap: 1})
+	f.checkActions(f.sentry.ListReceived(f.now, CachedList, f.allWorkers()))
+	f.updateRelease(ReleaseStatus{Valid: true, Build: 10, Stage: 2, Phase: Released, Cap: 1})
 	return f
 }
 
@@ -97,15 +97,15 @@
 	return all
 }
 
-func (f *simulation) updateRelease(n News) {
+func (f *simulation) updateRelease(n ReleaseStatus) {
 	if n.Build != f.release.Build {
 		f.exposedAt, f.keysOnTrial = nil, map[Key]bool{}
 	}
-	if n.Phase == GoingBack || n.Phase == Withdrawn {
+	if n.Phase == RollingBack || n.Phase == Withdrawn {
 		f.keysOnTrial = map[Key]bool{}
 	}
 	f.release = n
-	f.checkActions(f.sentry.Told(f.now, n))
+	f.checkActions(f.sentry.ReleaseUpdated(f.now, n))
 }
 
 func (f *simulation) fail(format string, args ...any) {
@@ -116,10 +116,10 @@
 // do checks every ruling against the rules as they are worded.
 func (f *simulation) checkActions(r Result) {
 	f.t.Helper()
-	for _, x := range r.Rulings {
+	for _, x := range r.Actions {
 		o := f.open[x.Transaction]
 		if x.Kind == CancelHandOff {
-			if o == nil || x.Number >= len(o.handOffs) || o.handOffs[x.Number].ended {
+			if o == nil || x.HandOffNumber >= len(o.handOffs) || o.handOffs[x.HandOffNumber].ended {
 				f.fail("rule 1: %v cancels what is not out", x)
 			}
 			continue
@@ -139,7 +139,7 @@
 		case HandOff:
 			f.checkHandOff(o, x, p, mayRun, out)
 		case Defer:
-			if mayRun && (p.Repeat == Irreversible || p.Repeat == Labelled && p.Scope != ScopeAll) {
+			if mayRun && (p.Repeatability == NonIdempotent || p.Repeatability == Deduplicated && p.DedupScope != ScopeAll) {
 				f.fail("rule 2: %v deferred though it may have run", x)
 			}
 			o.closed = true
@@ -151,14 +151,14 @@
 	}
 }
 
-func (f *simulation) checkHandOff(o *simTransaction, x Ruling, p Profile, mayRun bool, out int) {
+func (f *simulation) checkHandOff(o *simTransaction, x Action, p Profile, mayRun bool, out int) {
 	f.t.Helper()
 	f.handOffCount++
 	w, known := f.workersByID[x.Worker]
-	if !known || f.now > o.transaction.Limit || x.Until > o.transaction.Limit {
+	if !known || f.now > o.transaction.Deadline || x.Deadline > o.transaction.Deadline {
 		f.fail("rule 1: %v to an unknown worker or past its limit", x)
 	}
-	if out > 0 && !f.config.MayCopy || len(o.handOffs) >= f.config.MostHandOffs {
+	if out > 0 && !f.config.MayHedge || len(o.handOffs) >= f.config.MaxHandOffs {
 		f.fail("rule 2: hand-off %v with %d out of %d", x, out, len(o.handOffs))
 	}
 	for _, h := range o.handOffs {
@@ -166,8 +166,8 @@
 			continue
 		}
 		first := f.workersByID[h.worker]
-		apart := p.Scope == ScopeZone && first.Zone != w.Zone || p.Scope == ScopeCell && first.Cell != w.Cell
-		if p.Repeat == Irreversible || p.Repeat == Labelled && (apart || f.now >= h.sentAt+p.Window) {
+		apart := p.DedupScope == ScopeZone && first.Zone != w.Zone || p.DedupScope == ScopeCell && first.Cell != w.Cell
+		if p.Repeatability == NonIdempotent || p.Repeatability == Deduplicated && (apart || f.now >= h.sentAt+p.DedupWindow) {
 			f.fail("rule 2: %v sent again", x)
 		}
 	}
@@ -180,12 +180,12 @@
 		f.fail("rule 5: %v to a build not announced", x)
 	case trial && f.release.Phase != OnTrial:
 		f.fail("rule 5: %v to a build that goes back", x)
-	case trial && f.release.Stage < f.config.GuardedStages && p.Repeat != Redoable:
+	case trial && f.release.Stage < f.config.GuardedStages && p.Repeatability != Idempotent:
 		f.fail("rule 5: %v to the trial in a guarded stage", x)
 	case trial:
 		from := f.now - f.config.ExposureWindow
-		f.exposedAt = append(trim(f.exposedAt, from), f.now)
-		if taken := since(f.takenAt,
+		f.exposedAt = append(dropUpTo(f.exposedAt, from), f.now)
+		if taken := countAfter(f.takenAt,
 			from); float64(len(f.exposedAt)) > f.config.FreeExposure+f.release.Cap*float64(taken)+1e-9 {
 			f.fail("rule 5: %d hand-offs to the trial, %d taken, cap %v", len(f.exposedAt), taken, f.release.Cap)
 		}
@@ -193,9 +193,9 @@
 	if f.config.ForwardOnly && f.keysOnTrial[o.transaction.Key] && w.Build < f.release.Build && f.release.Phase != Withdrawn {
 		f.fail("rule 5: %v takes a key back", x)
 	}
-	if age := f.now - w.Started; w.Started > 0 && age < f.config.FallSpan {
-		f.coldHandOffs[w.ID] = append(trim(f.coldHandOffs[w.ID], f.now-f.config.FallSpan), f.now)
-		most := 3 + f.config.FallMultiple*float64(since(f.takenAt, f.now-f.config.FallSpan))/2
+	if age := f.now - w.Started; w.Started > 0 && age < f.config.ColdLoadWindow {
+		f.coldHandOffs[w.ID] = append(dropUpTo(f.coldHandOffs[w.ID], f.now-f.config.ColdLoadWindow), f.now)
+		most := 3 + f.config.ColdLoadMultiple*float64(countAfter(f.takenAt, f.now-f.config.ColdLoadWindow))/2
 		if float64(len(f.coldHandOffs[w.ID])) > most {
 			f.fail("rule 4: %d hand-offs to one cold worker", len(f.coldHandOffs[w.ID]))
 		}
@@ -206,9 +206,9 @@
 func (f *simulation) arrive() {
 	f.transactionCount++
 	in := Transaction{ID: TransactionID(fmt.Sprint(f.transactionCount)), Profile: ProfileID(f.random.Intn(3)),
-		Account: NoAccount,
-		Key:     Key(fmt.Sprintf("%x", f.random.Intn(60))),
-		Limit:   f.now + second/2 + Micros(f.random.Int63n(int64(second)))}
+		Account:  NoAccount,
+		Key:      Key(fmt.Sprintf("%x", f.random.Intn(60))),
+		Deadline: f.now + second/2 + Micros(f.random.Int63n(int64(second)))}
 	switch f.random.Intn(8) {
 	case 0:
 		in.Key = ""
@@ -218,7 +218,7 @@
 	f.open[in.ID] = &simTransaction{transaction: in}
 	f.openIDs = append(f.openIDs, in.ID)
 	f.takenAt = append(f.takenAt, f.now)
-	f.checkActions(f.sentry.Arrive(f.now, in))
+	f.checkActions(f.sentry.TransactionArrived(f.now, in))
 }
 
 // end ends one open hand-off, or all that have passed their transaction's limit.
@@ -232,13 +232,13 @@
 	closed := o.closed || e == Answered
 	if e == Answered && !o.closed {
 		f.answerCount++
-		if w := f.workersByID[h.worker]; w.Build == f.release.Build && f.release.Phase <= Released && f.release.Phase != GoingBack {
+		if w := f.workersByID[h.worker]; w.Build == f.release.Build && f.release.Phase <= Released && f.release.Phase != RollingBack {
 			f.keysOnTrial[o.transaction.Key] = o.transaction.Key != ""
 		}
 	}
 	o.closed = closed
-	f.checkActions(f.sentry.HandOffEnded(f.now, HandOffEnd{Transaction: o.transaction.ID, HandOff: n, Worker: h.worker, Ending: e,
-		Took: f.now - h.sentAt, Closed: closed, Load: Load{float64(f.random.Intn(4) - 1), -1, -1}}))
+	f.checkActions(f.sentry.HandOffEnded(f.now, HandOffEnd{Transaction: o.transaction.ID, HandOffNumber: n, Worker: h.worker, Ending: e,
+		Duration: f.now - h.sentAt, TransactionClosed: closed, Load: Load{float64(f.random.Intn(4) - 1), -1, -1}}))
 }
 
 // sweep ends what has run out and sees that nothing open is overdue.
@@ -248,12 +248,12 @@
 		o := f.open[id]
 		out := false
 		for n, h := range o.handOffs {
-			if !h.ended && f.now >= o.transaction.Limit {
+			if !h.ended && f.now >= o.transaction.Deadline {
 				f.endHandOff(o, n, TimedOut)
 			}
 			out = out || !h.ended
 		}
-		if !o.closed && f.now > o.transaction.Limit+f.config.AnswerGrace {
+		if !o.closed && f.now > o.transaction.Deadline+f.config.AnswerGrace {
 			f.fail("rule 1: %s has no final answer", id)
 		}
 		if o.closed && !out {
@@ -305,9 +305,9 @@
 	}
 	f.setWorker(w)
 	if f.random.Intn(2) == 0 {
-		f.checkActions(f.sentry.Listed(f.now, ListChanges, []Worker{w}))
+		f.checkActions(f.sentry.ListReceived(f.now, ListDelta, []Worker{w}))
 	} else {
-		f.checkActions(f.sentry.Listed(f.now, ListWhole, f.allWorkers()))
+		f.checkActions(f.sentry.ListReceived(f.now, FullList, f.allWorkers()))
 	}
 }
 
@@ -317,17 +317,17 @@
 	switch {
 	case n.Phase == Released || n.Phase == Withdrawn:
 		n.Build, n.Phase, n.Stage = n.Build+1, OnTrial, 0
-	case n.Phase == GoingBack:
+	case n.Phase == RollingBack:
 		n.Phase = Withdrawn
 	case f.random.Intn(3) == 0:
-		n.Phase = GoingBack
+		n.Phase = RollingBack
 	case n.Stage < 2:
 		n.Stage++
 	default:
 		n.Phase = Released
 	}
 	n.Cap = f.config.StageCaps[n.Stage]
-	if n.Phase == GoingBack || n.Phase == Withdrawn {
+	if n.Phase == RollingBack || n.Phase == Withdrawn {
 		n.Cap = 0
 	}
 	f.updateRelease(n)
@@ -337,17 +337,17 @@
 func (f *simulation) sendIrregularCalls() {
 	body := make([]byte, f.random.Intn(300))
 	f.random.Read(body)
-	f.checkActions(f.sentry.PeerSaid(f.now, SentryID(f.random.Intn(9)-2), body))
-	f.checkActions(f.sentry.Complained(f.now, Complaint{Profile: ProfileID(f.random.Intn(9) - 2),
+	f.checkActions(f.sentry.PeerMessageReceived(f.now, SentryID(f.random.Intn(9)-2), body))
+	f.checkActions(f.sentry.ComplaintReceived(f.now, Complaint{Profile: ProfileID(f.random.Intn(9) - 2),
 		Worker: f.workerID(f.random.Intn(30))}))
-	f.checkActions(f.sentry.AskFailed(f.now, true))
+	f.checkActions(f.sentry.ListRequestFailed(f.now, true))
 	f.checkActions(f.sentry.ClientLeft(f.now, "nobody"))
-	f.checkActions(f.sentry.HandOffEnded(f.now, HandOffEnd{Transaction: "nobody", HandOff: -3, Worker: "nobody"}))
-	f.checkActions(f.sentry.Told(f.now, News{Fate: VoteUnanswered}))
-	f.checkActions(f.sentry.Told(f.now, News{Fate: VoteMoot}))
+	f.checkActions(f.sentry.HandOffEnded(f.now, HandOffEnd{Transaction: "nobody", HandOffNumber: -3, Worker: "nobody"}))
+	f.checkActions(f.sentry.ReleaseUpdated(f.now, ReleaseStatus{VoteResult: VoteTimedOut}))
+	f.checkActions(f.sentry.ReleaseUpdated(f.now, ReleaseStatus{VoteResult: VoteObsolete}))
 	odd := Worker{ID: "w19", Build: 0, Size: -1, Started: f.now * 5, State: Ready}
 	f.setWorker(odd)
-	f.checkActions(f.sentry.Listed(f.now, ListChanges, []Worker{odd}))
+	f.checkActions(f.sentry.ListReceived(f.now, ListDelta, []Worker{odd}))
 	if len(f.openIDs) > 0 {
 		o := f.open[f.openIDs[0]]
 		o.closed = true
@@ -376,7 +376,7 @@
 	for _, c := range []struct {
 		ending Ending
 		met    bool
-	}{{Spoilt, true}, {Broken, true}, {TimedOut, true}, {Errored, false}, {Unconnected, false}} {
+	}{{Unreadable, true}, {Broken, true}, {TimedOut, true}, {Errored, false}, {Unconnected, false}} {
 		b := newTrialHarness(4, 4)
 		b.now += 10 * second // warm
 		sent := map[Key]bool{}
@@ -390,16 +390,16 @@
 		if len(sent) == 0 {
 			t.Fatal("nothing went to the trial")
 		}
-		b.sentry.reach = 0 // by the hash alone all would go to the earlier build
+		b.sentry.trialSlots = 0 // by the hash alone all would go to the earlier build
 		for k := range sent {
 			b.now += second / 10
-			b.record(b.sentry.Arrive(b.now, Transaction{ID: TransactionID(k), Key: k, Account: NoAccount, Limit: b.now + 2*second}))
-			for _, r := range b.lastResult.Rulings {
+			b.record(b.sentry.TransactionArrived(b.now, Transaction{ID: TransactionID(k), Key: k, Account: NoAccount, Deadline: b.now + 2*second}))
+			for _, r := range b.lastResult.Actions {
 				if earlier := r.Kind == HandOff && !isTrialWorker(r.Worker); earlier == c.met {
 					t.Errorf("after ending %d: %+v, expected the earlier build: %v", c.ending, r, !c.met)
 				}
 			}
-			b.sentry.reach = 0
+			b.sentry.trialSlots = 0
 		}
 	}
 }
@@ -411,22 +411,22 @@
 		profile ProfileID
 		later   int // that the worker answers
 		again   bool
-	}{{0, 80, true}, {0, passing - 1, false}, {0, 0, false}, {1, 80, false}} {
+	}{{0, 80, true}, {0, laterAnswersIfLost - 1, false}, {0, 0, false}, {1, 80, false}} {
 		b := newTrialHarness(1, 0)
-		b.sentry.orders.MayCopy, b.sentry.orders.MayCancel, b.sentry.orders.MostHandOffs = false, true, 3
-		b.sentry.spare = 2
-		b.record(b.sentry.Arrive(b.now, Transaction{ID: "lost", Profile: c.profile, Key: "k", Account: NoAccount, Limit: b.now + 2*second}))
+		b.sentry.config.MayHedge, b.sentry.config.MayCancel, b.sentry.config.MaxHandOffs = false, true, 3
+		b.sentry.retryBudget = 2
+		b.record(b.sentry.TransactionArrived(b.now, Transaction{ID: "lost", Profile: c.profile, Key: "k", Account: NoAccount, Deadline: b.now + 2*second}))
 		cancelled, again, shunned, lost := false, false, false, 0
 		for n := range 80 {
 			b.now += 20_000
 			id := TransactionID(fmt.Sprint("later", n))
 			if n < c.later {
-				b.sentry.Arrive(b.now, Transaction{ID: id, Key: "k", Account: NoAccount, Limit: b.now + 2*second})
-				b.sentry.HandOffEnded(b.now+10_000, HandOffEnd{Transaction: id, Worker: "e0", Took: 10_000, Closed: true, Load: NoLoad})
+				b.sentry.TransactionArrived(b.now, Transaction{ID: id, Key: "k", Account: NoAccount, Deadline: b.now + 2*second})
+				b.sentry.HandOffEnded(b.now+10_000, HandOffEnd{Transaction: id, Worker: "e0", Duration: 10_000, TransactionClosed: true, Load: NoLoad})
 			}
-			for b.record(b.sentry.Wake(b.now + 10_000)); len(b.lastResult.Rulings) > 0; {
-				x := b.lastResult.Rulings[0]
-				b.lastResult.Rulings = b.lastResult.Rulings[1:]
+			for b.record(b.sentry.Wake(b.now + 10_000)); len(b.lastResult.Actions) > 0; {
+				x := b.lastResult.Actions[0]
+				b.lastResult.Actions = b.lastResult.Actions[1:]
 				switch {
 				case x.Kind == CancelHandOff && x.Transaction == "lost":
 					cancelled = true
@@ -437,10 +437,10 @@
 					t.Fatalf("ruled %+v", x)
 				}
 			}
-			shunned, lost = shunned || b.sentry.shunned[0] > b.now, max(lost, b.sentry.lost)
+			shunned, lost = shunned || b.sentry.ejectedUntil[0] > b.now, max(lost, b.sentry.lostHandOffs)
 		}
-		if cancelled != c.again || again != c.again || shunned != (c.later < passing) || c.profile == 1 && lost == 0 ||
-			c.later < passing && lost > 0 {
+		if cancelled != c.again || again != c.again || shunned != (c.later < laterAnswersIfLost) || c.profile == 1 && lost == 0 ||
+			c.later < laterAnswersIfLost && lost > 0 {
 			t.Errorf("profile %d, %d later: cancelled %v, handed off again %v, left out %v, %d lost", c.profile, c.later, cancelled,
 				again, shunned, lost)
 		}
@@ -450,22 +450,22 @@
 // A build that goes back serves on within its cap while no earlier worker is ready, and no longer.
 func TestRollBackWithoutEarlierWorkers(t *testing.T) {
 	b := newTrialHarness(2, 4)
-	b.updateRelease(News{Valid: true, Build: 11, Stage: 1, Phase: Released, Cap: 1})
-	b.record(b.sentry.Listed(b.now, ListChanges, []Worker{{ID: "e0", Build: 10, Size: 1, State: Gone}, {ID: "e1", Build: 10, Size: 1, State: Gone}}))
+	b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: Released, Cap: 1})
+	b.record(b.sentry.ListReceived(b.now, ListDelta, []Worker{{ID: "e0", Build: 10, Size: 1, State: Gone}, {ID: "e1", Build: 10, Size: 1, State: Gone}}))
 	for _, c := range []struct {
 		cap   float64
 		at    string // where the earlier build is again
 		trial bool
 	}{{1, "", true}, {1, "e0", false}, {0, "", false}} {
 		b.now += 10 * second
-		b.updateRelease(News{Valid: true, Build: 11, Stage: 1, Phase: GoingBack, Cap: c.cap})
+		b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: RollingBack, Cap: c.cap})
 		state := Gone
 		if c.at != "" {
 			state = Ready
 		}
-		b.record(b.sentry.Listed(b.now, ListChanges, []Worker{{ID: "e0", Build: 10, Size: 1, State: state}}))
+		b.record(b.sentry.ListReceived(b.now, ListDelta, []Worker{{ID: "e0", Build: 10, Size: 1, State: state}}))
 		met := 0
-		b.serveTransactions(50, func(w WorkerID, _ int) (Ending, Micros) { met += int(one(isTrialWorker(w))); return Answered, 50_000 })
+		b.serveTransactions(50, func(w WorkerID, _ int) (Ending, Micros) { met += int(oneIf(isTrialWorker(w))); return Answered, 50_000 })
 		if met > 0 != c.trial {
 			t.Errorf("cap %v, earlier worker %q: %d to the build that goes back", c.cap, c.at, met)
 		}
@@ -475,17 +475,17 @@
 // While the news of a release is still to come and the earlier build has gone, the trial's workers make the room.
 func TestConcurrencyLimitWithoutEarlierWorkers(t *testing.T) {
 	b := newTrialHarness(10, 10)
-	b.updateRelease(News{Valid: true, Build: 11, Stage: 1, Phase: OnTrial, Cap: 1})
+	b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: OnTrial, Cap: 1})
 	b.now += 10 * second
 	b.serveTransactions(300, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-	b.sentry.room = 30
+	b.sentry.concurrencyLimit = 30
 	var gone []Worker
 	for i := range 10 {
 		gone = append(gone, Worker{ID: WorkerID(fmt.Sprint("e", i)), Build: 10, Size: 1, State: Draining})
 	}
-	b.record(b.sentry.Listed(b.now, ListChanges, gone))
+	b.record(b.sentry.ListReceived(b.now, ListDelta, gone))
 	b.serveTransactions(50, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-	if b.sentry.room < 20 {
-		t.Errorf("room for %.1f, expected that of ten workers", b.sentry.room)
+	if b.sentry.concurrencyLimit < 20 {
+		t.Errorf("room for %.1f, expected that of ten workers", b.sentry.concurrencyLimit)
 	}
 }
--- a/standin/client.go
+++ b/standin/client.go
@@ -284,7 +284,7 @@
 		return
 	}
 	now := c.env.Now()
-	left := min(logic.Micros(float64(p.OuterLimit)*c.load.TryTimeoutShare), f.StartedAt+p.OuterLimit-now)
+	left := min(logic.Micros(float64(p.MaxDeadline)*c.load.TryTimeoutShare), f.StartedAt+p.MaxDeadline-now)
 	if left <= 0 {
 		return
 	}
@@ -299,12 +299,12 @@
 	} else {
 		m.Profile, m.Account, m.Key = uint32(f.Profile), uint32(f.account), []byte(f.key)
 	}
-	if p.Repeat == logic.Labelled {
+	if p.Repeatability == logic.Deduplicated {
 		m.DeduplicationToken = []byte(f.mark)
 	}
 	l.link.Put(wire.KindAsk, m)
 	l.link.Flush()
-	wait := span(left + p.OuterLimit/2 + c.env.Config.AnswerGrace) // an answer that comes late is still seen
+	wait := span(left + p.MaxDeadline/2 + c.env.Config.AnswerGrace) // an answer that comes late is still seen
 	if c.chance.Float64() < c.load.AbandonShare {
 		wait = time.Duration(c.chance.Float64() * float64(span(left)))
 	}
@@ -410,20 +410,20 @@
 // the sentry or since it was not reached.
 func (c *ClientPool) again(f *Transaction, harmless bool) {
 	p := &c.env.Config.Profiles[f.Profile]
-	labelled := p.Repeat == logic.Labelled && p.Scope == logic.ScopeAll && c.env.Now()-f.StartedAt < p.Window/2
-	may := p.Repeat == logic.Redoable || p.Repeat == logic.Irreversible && harmless || labelled
+	labelled := p.Repeatability == logic.Deduplicated && p.DedupScope == logic.ScopeAll && c.env.Now()-f.StartedAt < p.DedupWindow/2
+	may := p.Repeatability == logic.Idempotent || p.Repeatability == logic.NonIdempotent && harmless || labelled
 	select {
 	case <-c.done:
 		return
 	default:
 	}
-	if !may || f.SatisfiedAfter > 0 || f.Tries > c.load.MaxRetries || c.env.Now()+logic.Micros(c.load.Backoff/time.Microsecond) >= f.StartedAt+p.OuterLimit {
+	if !may || f.SatisfiedAfter > 0 || f.Tries > c.load.MaxRetries || c.env.Now()+logic.Micros(c.load.Backoff/time.Microsecond) >= f.StartedAt+p.MaxDeadline {
 		return
 	}
 	time.AfterFunc(c.load.Backoff, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if f.SatisfiedAfter == 0 && c.env.Now() < f.StartedAt+p.OuterLimit {
+		if f.SatisfiedAfter == 0 && c.env.Now() < f.StartedAt+p.MaxDeadline {
 			c.try(f)
 		}
 	})
--- a/standin/desk.go
+++ b/standin/desk.go
@@ -34,7 +34,7 @@
 	server  *wire.Server
 	Address string
 	links   map[*wire.Link]logic.SentryID
-	now     logic.News
+	now     logic.ReleaseStatus
 	since   logic.Micros // of this state
 	baking  logic.Micros // since all machines of the stage run, 0 before
 	votes   map[logic.SentryID]standing
@@ -47,7 +47,7 @@
 // Turn is one change of the newest build's state.
 type StatusChange struct {
 	At     logic.Micros
-	Status logic.News
+	Status logic.ReleaseStatus
 }
 
 type standing struct {
@@ -60,7 +60,7 @@
 	stages := len(s.Config.StageCaps)
 	return &ControlPlane{env: s, fleet: fleet, links: map[*wire.Link]logic.SentryID{}, votes: map[logic.SentryID]standing{},
 		StatusInterval: time.Second, done: make(chan struct{}),
-		now: logic.News{Valid: true, Build: first, Stage: stages - 1, Phase: logic.Released, Cap: 1}}
+		now: logic.ReleaseStatus{Valid: true, Build: first, Stage: stages - 1, Phase: logic.Released, Cap: 1}}
 }
 
 // Start has it listen and move.
@@ -74,7 +74,7 @@
 		tick := time.NewTicker(50 * time.Millisecond)
 		defer tick.Stop()
 		next := d.env.Now()
-		period := next + d.env.Config.CountsEvery
+		period := next + d.env.Config.CountsPeriod
 		for {
 			select {
 			case <-d.done:
@@ -87,7 +87,7 @@
 				next = now + logic.Micros(d.StatusInterval/time.Microsecond)
 				d.tellAll()
 			}
-			if every := d.env.Config.CountsEvery; every > 0 && d.env.Now() >= period {
+			if every := d.env.Config.CountsPeriod; every > 0 && d.env.Now() >= period {
 				period += every
 				d.tellCounts()
 			}
@@ -111,7 +111,7 @@
 }
 
 // State is where the newest build stands.
-func (d *ControlPlane) Status() logic.News {
+func (d *ControlPlane) Status() logic.ReleaseStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.now
@@ -131,10 +131,10 @@
 	if d.now.Phase == logic.OnTrial {
 		d.fleet.DrainBuild(d.now.Build)
 	}
-	d.enter(logic.News{Valid: true, Build: b, Phase: logic.OnTrial, Cap: d.env.Config.StageCaps[0]})
+	d.enter(logic.ReleaseStatus{Valid: true, Build: b, Phase: logic.OnTrial, Cap: d.env.Config.StageCaps[0]})
 }
 
-func (d *ControlPlane) enter(n logic.News) {
+func (d *ControlPlane) enter(n logic.ReleaseStatus) {
 	d.now, d.since, d.baking = n, d.env.Now(), 0
 	d.History = append(d.History, StatusChange{d.since, n})
 	if n.Phase == logic.OnTrial && n.Stage == 0 {
@@ -151,24 +151,24 @@
 			continue
 		}
 		switch {
-		case v.vote.Verdict == logic.GoBack:
+		case v.vote.Verdict == logic.RollBack:
 			back++
-		case v.vote.Verdict == logic.GoOn && v.vote.Stage == d.now.Stage:
+		case v.vote.Verdict == logic.Advance && v.vote.Stage == d.now.Stage:
 			on++
 		case v.vote.Verdict == logic.Hold:
 			hold++
 		}
 	}
 	switch d.now.Phase {
-	case logic.GoingBack:
+	case logic.RollingBack:
 		d.fleet.DrainBuild(d.now.Build)
 		n := d.now
 		n.Phase = logic.Withdrawn
 		d.enter(n)
 	case logic.OnTrial, logic.Released:
-		if back >= o.BackVotes && len(d.History) > 0 {
+		if back >= o.RollBackVotes && len(d.History) > 0 {
 			n := d.now
-			n.Phase, n.Cap = logic.GoingBack, 0
+			n.Phase, n.Cap = logic.RollingBack, 0
 			d.enter(n)
 			return
 		}
@@ -178,8 +178,8 @@
 		if d.fleet.RollOut(d.now.Build, o.StageShares[d.now.Stage]) && d.baking == 0 {
 			d.baking = now
 		}
-		enough := on >= max(1, o.OnVotes) || o.Control == logic.ControlTimer && hold < max(1, o.HoldVotes)
-		if d.baking == 0 || now-d.baking < o.Bake || !enough {
+		enough := on >= max(1, o.AdvanceVotes) || o.Control == logic.ControlTimer && hold < max(1, o.HoldVotes)
+		if d.baking == 0 || now-d.baking < o.BakeTime || !enough {
 			return
 		}
 		n := d.now
@@ -233,7 +233,7 @@
 	})
 }
 
-func (d *ControlPlane) tell(l *wire.Link, n logic.News, since logic.Micros, vote uint64, fate pb.News_Fate) {
+func (d *ControlPlane) tell(l *wire.Link, n logic.ReleaseStatus, since logic.Micros, vote uint64, fate pb.News_Fate) {
 	if n.Valid {
 		d.env.Record(audit.Event{Kind: audit.NewsTold, Sentry: d.links[l], News: n})
 	}
@@ -277,11 +277,11 @@
 	switch {
 	case d.Deny || d.budget < 1:
 		fate = pb.News_REFUSED
-	case v.Build != d.now.Build || v.Verdict == logic.GoOn && v.Stage != d.now.Stage:
+	case v.Build != d.now.Build || v.Verdict == logic.Advance && v.Stage != d.now.Stage:
 		fate = pb.News_MOOT
 	default:
 		d.budget--
-		d.votes[d.links[l]] = standing{v, now + o.VoteLife}
+		d.votes[d.links[l]] = standing{v, now + o.VoteTTL}
 	}
 	if d.Silent {
 		return
--- a/standin/stage.go
+++ b/standin/stage.go
@@ -14,7 +14,7 @@
 
 // Stage is what the stand-ins of one drill share.
 type Environment struct {
-	Config *logic.StandingOrders
+	Config *logic.Config
 	Zones  []string
 	base   time.Time
 	mu     sync.Mutex
@@ -51,7 +51,7 @@
 }
 
 // NewStage begins a drill's clock.
-func NewEnvironment(o *logic.StandingOrders, zones []string, seed int64) *Environment {
+func NewEnvironment(o *logic.Config, zones []string, seed int64) *Environment {
 	return &Environment{Config: o, Zones: zones, base: time.Now(), chance: rand.New(rand.NewSource(seed)),
 		builds: map[logic.BuildID]BuildBehavior{}, marks: map[string]logic.Micros{}, recent: make([]logic.BuildID, 100),
 		counts: map[countedBy]counted{}}
@@ -100,7 +100,7 @@
 func (s *Environment) count(b logic.BuildID, p logic.ProfileID, failed bool, took logic.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.Config.CountsEvery == 0 || s.chance.Float64() >= s.Config.CountsShare {
+	if s.Config.CountsPeriod == 0 || s.chance.Float64() >= s.Config.CountsSampleShare {
 		return
 	}
 	c := s.counts[countedBy{b, p}]
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -275,13 +275,13 @@
 	o := w.env.Config
 	w.recent = append(w.recent, arrival{now, work})
 	sum := 0.0
-	for len(w.recent) > 0 && w.recent[0].at <= now-o.FallSpan {
+	for len(w.recent) > 0 && w.recent[0].at <= now-o.ColdLoadWindow {
 		w.recent = w.recent[1:]
 	}
 	for _, a := range w.recent {
 		sum += a.work
 	}
-	return sum > o.FallMultiple*w.Speed*float64(w.Cores)*w.warmth(now)*float64(o.FallSpan)
+	return sum > o.ColdLoadMultiple*w.Speed*float64(w.Cores)*w.warmth(now)*float64(o.ColdLoadWindow)
 }
 
 func (w *Worker) run(j *job) {
@@ -306,7 +306,7 @@
 	w.busy--
 	delete(w.running, j)
 	p := &w.env.Config.Profiles[j.p]
-	if p.Repeat != logic.Labelled || w.env.firstRun(w.group(p), j.mark, p.Window) {
+	if p.Repeatability != logic.Deduplicated || w.env.firstRun(w.group(p), j.mark, p.DedupWindow) {
 		w.env.Record(j.event(audit.Ran))
 	}
 	if fails {
@@ -329,7 +329,7 @@
 }
 
 func (w *Worker) group(p *logic.Profile) string {
-	switch p.Scope {
+	switch p.DedupScope {
 	case logic.ScopeZone:
 		return fmt.Sprintf("zone %d ", w.Entry.Zone)
 	case logic.ScopeCell:
--- a/standin/worker_test.go
+++ b/standin/worker_test.go
@@ -12,8 +12,8 @@
 )
 
 func testStage() *Environment {
-	return NewEnvironment(&logic.StandingOrders{FallMultiple: 2, FallSpan: 1_000_000, Profiles: []logic.Profile{
-		{Repeat: logic.Redoable}, {Repeat: logic.Labelled, Window: 150_000}}}, []string{"z"}, 1)
+	return NewEnvironment(&logic.Config{ColdLoadMultiple: 2, ColdLoadWindow: 1_000_000, Profiles: []logic.Profile{
+		{Repeatability: logic.Idempotent}, {Repeatability: logic.Deduplicated, DedupWindow: 150_000}}}, []string{"z"}, 1)
 }
 
 // hand gives a worker hand-offs over one connection and counts how they end.
