--- a/logic/logic.go
+++ b/logic/logic.go
@@ -138,9 +138,9 @@
 // Wake does what has come due.
 func (s *Sentry) Wake(now Micros) Result {
 	return s.handleEvent(now, func() {
-		for len(s.timers) > 0 && s.timers[0].at <= s.now {
-			t := s.timers[0].transaction
-			s.timers = s.timers[1:]
+		for len(s.wakeUps) > 0 && s.wakeUps[0].at <= s.now {
+			t := s.wakeUps[0].transaction
+			s.wakeUps = s.wakeUps[1:]
 			switch {
 			case t.closed:
 			case t.queued:
@@ -244,7 +244,7 @@
 	case !t.queued:
 		t.queued = true
 		s.queue = append(s.queue, t)
-		s.alarm(until, t)
+		s.wakeUp(until, t)
 	}
 	return false
 }
@@ -460,7 +460,7 @@
 	r := Action{Kind: HandOff, Transaction: t.ID, Worker: s.workers[w].ID, Deadline: t.Deadline, SendBy: s.sendBy(w)}
 	s.result.Actions = append(s.result.Actions, r)
 	if o := &s.config; o.MayHedge && len(t.handOffs) == 1 || !o.MayHedge && o.MayCancel && p.Repeatability != NonIdempotent {
-		s.alarm(s.now+p.DueTime/2, t)
+		s.wakeUp(s.now+p.DueTime/2, t)
 	}
 	return false
 }
@@ -478,7 +478,7 @@
 	case s.answerLost(h.worker, h.sentAt):
 		s.result.Actions = append(s.result.Actions, Action{Kind: CancelHandOff, Transaction: t.ID, HandOffNumber: n})
 	default:
-		s.alarm(s.now+t.profile.DueTime/8, t)
+		s.wakeUp(s.now+t.profile.DueTime/8, t)
 	}
 }
 
--- a/logic/state.go
+++ b/logic/state.go
@@ -55,7 +55,7 @@
 // worth is the value for the work.
 func (p *profileStats) valuePerWork() float64 { return p.Value / p.expectedDuration }
 
-type alarm struct {
+type wakeUp struct {
 	at          Micros
 	transaction *transaction
 }
@@ -67,7 +67,7 @@
 	now                        Micros
 	result                     Result
 	openTransactions           map[TransactionID]*transaction
-	timers                     []alarm // the earliest first
+	wakeUps                    []wakeUp // the earliest first
 	queue                      []*transaction
 	profiles                   []profileStats  // by place
 	allProfiles                profileStats    // of all profiles together: its sums
@@ -329,11 +329,11 @@
 	return body[0], values
 }
 
-func (s *Sentry) alarm(at Micros, t *transaction) {
+func (s *Sentry) wakeUp(at Micros, t *transaction) {
 	at = max(at, s.now+1)
-	later := func(a alarm, at Micros) int { return cmp.Compare(a.at, at) }
-	i, _ := slices.BinarySearchFunc(s.timers, at+1, later)
-	s.timers = slices.Insert(s.timers, i, alarm{at, t})
+	later := func(a wakeUp, at Micros) int { return cmp.Compare(a.at, at) }
+	i, _ := slices.BinarySearchFunc(s.wakeUps, at+1, later)
+	s.wakeUps = slices.Insert(s.wakeUps, i, wakeUp{at, t})
 }
 
 func percent(share float64) int { return int(100*share + 1e-9) }
@@ -415,12 +415,12 @@
 
 // nextWake is the earliest time still to come at which something is due.
 func (s *Sentry) nextWake() (wake Micros) {
-	for len(s.timers) > 0 && s.timers[0].transaction.closed {
-		s.timers = s.timers[1:]
+	for len(s.wakeUps) > 0 && s.wakeUps[0].transaction.closed {
+		s.wakeUps = s.wakeUps[1:]
 	}
 	next := []Micros{s.nextListRequestAt, s.nextVoteAt}
-	if len(s.timers) > 0 {
-		next = append(next, s.timers[0].at)
+	if len(s.wakeUps) > 0 {
+		next = append(next, s.wakeUps[0].at)
 	}
 	for _, at := range next {
 		if at > s.now && (wake == 0 || at < wake) {
