--- a/logic/crowd_test.go
+++ b/logic/crowd_test.go
@@ -225,7 +225,7 @@
 			c.random.Read(body)
 			from := SentryID(c.random.Intn(12) - 3)
 			if c.random.Intn(2) == 0 { // well formed, of another build, another length or falling counts
-				values := make([]uint64, 1+c.random.Intn(2*len(s.ownCounts)))
+				values := make([]uint64, 1+c.random.Intn(2*len(s.outcomeCounts)))
 				values[0] = uint64(9 + 3*c.random.Intn(2))
 				if len(values) > 2 {
 					values[2] = uint64(len(values) - 3)
@@ -237,11 +237,11 @@
 		if s.judgedOutcomes != 0 || s.fleetSlowExcess != 0 || len(s.reports) > 0 || s.collectorVerdict != NoVerdict {
 			t.Fatalf("judged %d, all %v, advice %v", s.judgedOutcomes, s.fleetSlowExcess, s.collectorVerdict)
 		}
-		values := append([]uint64{11, 7, uint64(len(s.ownCounts))}, make([]uint64, len(s.ownCounts))...)
+		values := append([]uint64{11, 7, uint64(len(s.outcomeCounts))}, make([]uint64, len(s.outcomeCounts))...)
 		values[3+countIndex(0, errorMiss, true)], values[4+countIndex(0, errorMiss, true)] = 30, 10
 		from := (s.config.Position + 1) % 5
 		for range 3 { // the same report again adds nothing
-			s.PeerMessageReceived(c.now, from, encodeMessage(messageCounts, values))
+			s.PeerMessageReceived(c.now, from, encodeMessage(messageReport, values))
 		}
 		if s.judgedOutcomes != 30 || s.profiles[0].trialExcess[errorMiss] < rollBackExcess {
 			t.Errorf("a sound report: judged %d, sum %v", s.judgedOutcomes, s.profiles[0].trialExcess[errorMiss])
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -22,7 +22,7 @@
 	// From the design page.
 	rollBackExcess   = 4.0        // a sum above it votes back
 	maxAdvanceExcess = 2.0        // a sum under it may vote on
-	minSample        = 20         // outcomes before a vote on
+	minSampleSize    = 20         // outcomes before a vote on
 	settleTime       = 3 * second // a worker this young is not judged on time
 	observationTime  = 5 * second
 	initialMissRate  = 0.05 // assumed before anything was seen
@@ -100,8 +100,8 @@
 		s.formerBounds = append(s.formerBounds, was)
 		s.applyConfig(o)
 		s.usualLoad, s.baselineLoad = s.usualLoad*float64(s.arrivalWindow)/span, s.baselineLoad*float64(s.arrivalWindow)/span
-		if len(s.ownCounts) != s.countsLen() { // counts by other places: they start anew under another name
-			s.ownCounts, s.runID = make([]uint64, s.countsLen()), (s.runID+1)%math.MaxUint32
+		if len(s.outcomeCounts) != s.countsLen() { // counts by other places: they start anew under another name
+			s.outcomeCounts, s.runID = make([]uint64, s.countsLen()), (s.runID+1)%math.MaxUint32
 		}
 		s.rerankWorkers()
 		s.refreshBuilds()
@@ -288,7 +288,7 @@
 	}
 	s.result.Actions = append(s.result.Actions, r)
 	s.givenUp[t.Key]++
-	if len(t.handOffs) == 0 && s.releaseStatus.Phase == OnTrial && !s.countsAreCurrent() { // under the bound, slowness shows in these
+	if len(t.handOffs) == 0 && s.releaseStatus.Phase == OnTrial && !s.platformCountsAreCurrent() { // under the bound, slowness shows in these
 		s.judgeFleetLatency(&s.profiles[t.Profile], float64(p.MaxDeadline))
 	}
 	t.closed = true
@@ -585,8 +585,8 @@
 		return
 	}
 	if h.end.Ending != Answered {
-		s.ownErrors += ownFailureSmoothing * (oneIf(h.end.Ending == Errored)*ownFailureScale - s.ownErrors)
-		s.ownFailures += ownFailureSmoothing * (ownFailureScale - s.ownFailures)
+		s.ownErrors += ownFailureSmoothing * (oneIf(h.end.Ending == Errored)*ownFailureWindow - s.ownErrors)
+		s.ownFailures += ownFailureSmoothing * (ownFailureWindow - s.ownFailures)
 	}
 	hurried := h.end.Ending == TimedOut && h.end.Duration < p.DueTime // the client's patience, not the worker
 	s.failureRate[w] += failureRateSmoothing * (oneIf(h.end.Ending != Answered && !hurried) - s.failureRate[w])
@@ -676,14 +676,14 @@
 
 func (s *Sentry) startTrial() {
 	s.resetTrial()
-	if len(s.arrivalTimes) >= minSample {
+	if len(s.arrivalTimes) >= minSampleSize {
 		s.baselineLoad = s.ownLoad()
 	}
 	if s.baselineAt, s.baselineCapacity = s.now, s.fleetCapacity; s.now-s.firstCallAt > s.arrivalWindow {
 		s.baselineArrivalRate = float64(len(s.arrivalTimes)) / float64(s.arrivalWindow)
 	}
 	for i := range s.profiles {
-		if p := &s.profiles[i]; p.earlierOutcomes >= max(1, 10*minSample/s.config.Sentries) {
+		if p := &s.profiles[i]; p.earlierOutcomes >= max(1, 10*minSampleSize/s.config.Sentries) {
 			p.baselineThreshold = p.latencyThreshold
 		}
 	}
@@ -782,9 +782,9 @@
 	weight := s.missWeight(h.worker, k, miss)
 	s.ownMisses[k][h.worker] += uint64(oneIf(miss))
 	if newest && h.end.Ending == Answered {
-		s.wrongAnswerSum = max(0, s.wrongAnswerSum-answerRelief)
+		s.wrongAnswerSum = max(0, s.wrongAnswerSum-complaintDecayPerAnswer)
 	}
-	if !s.countsAreCurrent() {
+	if !s.platformCountsAreCurrent() {
 		if warm {
 			s.judgeFleetLatency(p, took)
 		}
@@ -828,7 +828,7 @@
 			return
 		}
 		load := max(1, s.fleetCapacity*s.trialShare()/max(s.capacity(s.releaseStatus.Build), 1e-9)) * s.relativeLoad()
-		by = lateWeight * (hits - n*(2*own.earlierMissRate[lateMiss]+toleratedLateShare*s.expectedSlowdown(load))) * s.lateMeter.outcomeWeight(s.now, n)
+		by = lateWeight * (hits - n*(2*own.earlierMissRate[lateMiss]+toleratedLateShare*s.expectedSlowdown(load))) * s.lateMeter.addAndWeigh(s.now, n)
 	} else {
 		s.judgedOutcomes += int(n)
 	}
@@ -845,7 +845,7 @@
 	}
 	slow := took > min(fleetSlowFactor*p.baselineThreshold, float64(p.DueTime)) &&
 		(s.cooperates() || s.lowerQuartileLatencyRatio() > fleetSlowLatencyRatio*s.expectedSlowdown(s.relativeLoad()))
-	s.countOutcome(len(s.ownCounts)-4, slow)
+	s.countOutcome(len(s.outcomeCounts)-4, slow)
 	s.addFleetOutcomes(1, oneIf(slow))
 }
 
@@ -857,11 +857,11 @@
 		slack = max(minToleratedSlowShare, min(maxToleratedSlowShare, 0.8*minToleratedSlowShare+s.firstStageSlow/max(1, s.firstStageOutcomes)))
 		slack *= s.expectedSlowdown(s.relativeLoad())
 	}
-	s.fleetSlowExcess = max(0, s.fleetSlowExcess+(slow-n*slack)*s.fleetMeter.outcomeWeight(s.now, n))
+	s.fleetSlowExcess = max(0, s.fleetSlowExcess+(slow-n*slack)*s.fleetMeter.addAndWeigh(s.now, n))
 }
 
 // part is how much n more outcomes count each: times of one second hang together in a jam.
-func (m *rateMeter) outcomeWeight(now Micros, n float64) float64 {
+func (m *rateMeter) addAndWeigh(now Micros, n float64) float64 {
 	m.rate, m.at = m.rate*math.Exp(-float64(now-m.at)/float64(second))+n, now
 	return fullWeightPerSecond / max(m.rate, fullWeightPerSecond)
 }
@@ -872,7 +872,7 @@
 // loadNow is the load to that before the trial, taken for no other where too little was seen then.
 func (s *Sentry) relativeLoad() float64 {
 	if s.cooperates() && s.baselineArrivalMeter.rate > 0 {
-		return s.arrivedMeter.rate / s.baselineArrivalMeter.rate * max(1, s.baselineCapacity/max(s.fleetCapacity, 1e-9))
+		return s.arrivalMeter.rate / s.baselineArrivalMeter.rate * max(1, s.baselineCapacity/max(s.fleetCapacity, 1e-9))
 	}
 	if s.baselineLoad == 0 {
 		return 1
@@ -926,7 +926,7 @@
 	return s.handleEvent(now, func() {
 		if w, known := s.workerIndex[c.Worker]; known && c.Profile >= 0 && int(c.Profile) < len(s.profiles) {
 			newest := s.releaseStatus.Valid && s.workers[w].Build == s.releaseStatus.Build
-			if s.judgesByCounts() { // they do not see it, and nobody else will tell
+			if s.judgesByPlatformCounts() { // they do not see it, and nobody else will tell
 				s.wrongAnswerSum = max(0, s.wrongAnswerSum+complaintWeight*(2*oneIf(newest && s.isJudging())-1))
 				return
 			}
@@ -936,14 +936,14 @@
 }
 
 const (
-	ownFailureSmoothing, ownFailureScale = 0.1, 10.0 // of a sentry's own failures, about so many count
-	countsValidPeriods                   = 4         // periods for which the platform's counts hold
-	meanSmoothing                        = 0.2       // for each of its periods
-	toleratedMeanIncrease                = 0.5       // share by which a mean may be longer
-	toleratedFailureIncrease             = 0.1       // and of failures, beyond twice the earlier build's
+	ownFailureSmoothing, ownFailureWindow = 0.1, 10.0 // of a sentry's own failures, about so many count
+	platformCountsValidPeriods            = 4         // periods for which the platform's counts hold
+	meanSmoothing                         = 0.2       // for each of its periods
+	toleratedMeanIncrease                 = 0.5       // share by which a mean may be longer
+	toleratedFailureIncrease              = 0.1       // and of failures, beyond twice the earlier build's
 
-	complaintWeight = 2 * rollBackExcess
-	answerRelief    = rollBackExcess / 30 // for each answer of the trial
+	complaintWeight         = 2 * rollBackExcess
+	complaintDecayPerAnswer = rollBackExcess / 30 // for each answer of the trial
 
 	manySentries                                 = 20
 	minToleratedSlowShare, maxToleratedSlowShare = 0.45, 0.9  // share of slow answers let pass there: at the least and the most
@@ -977,10 +977,10 @@
 		body := encodeMessage(messageVerdict, []uint64{uint64(s.releaseStatus.Build), uint64(s.releaseStatus.Stage), uint64(v)})
 		s.result.Messages = append(s.result.Messages, Message{To: EverySentry, Body: body})
 	}
-	values := s.countsReport(maxReportedWorkers)
+	values := s.ownReport(maxReportedWorkers)
 	for _, to := range s.collectors() {
 		if to != s.config.Position {
-			s.result.Messages = append(s.result.Messages, Message{To: to, Body: encodeMessage(messageCounts, values)})
+			s.result.Messages = append(s.result.Messages, Message{To: to, Body: encodeMessage(messageReport, values)})
 		}
 	}
 }
@@ -993,7 +993,7 @@
 	minGroupWorkers    = 6   // workers in a group, else there is none
 	maxGroupWorkerLoad = 3.0 // load from which others are tried, who do not hear of it
 	otherGroupRank     = 1e6
-	groupOpenFade      = 20.0 // usual times for which a hand-off counts whose end was not heard of
+	groupOpenTTL       = 20.0 // usual times for which a hand-off counts whose end was not heard of
 )
 
 func (s *Sentry) groupCount() int { return max(1, s.config.Sentries/sentriesPerGroup) }
@@ -1027,7 +1027,7 @@
 	if s.groupOpen[w] == 0 {
 		return 0
 	}
-	return max(0, s.groupOpen[w]-float64(s.now-s.groupOpenAt[w])/max(1, groupOpenFade*s.usualDuration()))
+	return max(0, s.groupOpen[w]-float64(s.now-s.groupOpenAt[w])/max(1, groupOpenTTL*s.usualDuration()))
 }
 
 // PeerSaid takes a message. What does not hold together is dropped.
@@ -1046,8 +1046,8 @@
 			if v := Verdict(values[2]); v >= s.collectorVerdict || s.now-s.collectorVerdictAt >= collectorVerdictLifetime {
 				s.collectorVerdict, s.collectorVerdictAt, s.collectorVerdictStage = v, s.now, int(values[1]) // the strongest heard lately
 			}
-		case what == messageCounts && len(values) >= len(s.ownCounts)+3 && values[2] == uint64(len(s.ownCounts)) && s.isCollector():
-			s.mergeReport(from, report{values[1], values[3 : len(s.ownCounts)+3], values[len(s.ownCounts)+3:]})
+		case what == messageReport && len(values) >= len(s.outcomeCounts)+3 && values[2] == uint64(len(s.outcomeCounts)) && s.isCollector():
+			s.mergeReport(from, report{values[1], values[3 : len(s.outcomeCounts)+3], values[len(s.outcomeCounts)+3:]})
 		}
 	})
 }
@@ -1057,10 +1057,10 @@
 // twice. All sentries then err alike; own outcomes judge again when no counts have come for some periods.
 func (s *Sentry) CountsReceived(now Micros, c BuildCounts) Result {
 	return s.handleEvent(now, func() {
-		if c.Profile < 0 || int(c.Profile) >= len(s.profiles) || c.HandOffs <= 0 || !s.judgesByCounts() {
+		if c.Profile < 0 || int(c.Profile) >= len(s.profiles) || c.HandOffs <= 0 || !s.judgesByPlatformCounts() {
 			return
 		}
-		s.countsReceivedAt = s.now
+		s.platformCountsAt = s.now
 		p, n, failed := &s.profiles[c.Profile], float64(c.HandOffs), float64(min(c.HandOffs, c.Failed))
 		newest := s.releaseStatus.Valid && c.Build == s.releaseStatus.Build && (c.Build != s.earlierBuild || s.judgedOutcomes > 0)
 		if !newest && c.Build != s.earlierBuild {
@@ -1071,7 +1071,7 @@
 		} else {
 			p.earlierFailedShare = failed / n
 		}
-		if !newest || s.now-s.earlierOutcomeAt <= countsValidPeriods*s.config.CountsPeriod { // else nothing tells what is usual now
+		if !newest || s.now-s.earlierOutcomeAt <= platformCountsValidPeriods*s.config.CountsPeriod { // else nothing tells what is usual now
 			s.judgeOutcomes(c.Profile, errorMiss, newest, n, failed)
 		}
 		at := s.now - c.Age - s.config.CountsPeriod/2
@@ -1080,14 +1080,14 @@
 }
 
 // countsRule says whether the platform's counts drive the sums.
-func (s *Sentry) judgesByCounts() bool {
+func (s *Sentry) judgesByPlatformCounts() bool {
 	o := &s.config
 	return o.CountsPeriod > 0 && !o.MayMessage && o.CountsSampleShare*float64(o.Sentries) > 1
 }
 
 // counted says whether they do so now.
-func (s *Sentry) countsAreCurrent() bool {
-	return s.judgesByCounts() && s.countsReceivedAt > 0 && s.now-s.countsReceivedAt < countsValidPeriods*s.config.CountsPeriod
+func (s *Sentry) platformCountsAreCurrent() bool {
+	return s.judgesByPlatformCounts() && s.platformCountsAt > 0 && s.now-s.platformCountsAt < platformCountsValidPeriods*s.config.CountsPeriod
 }
 
 // tellMeans adds a mean time to those of its period, over all profiles: of the trial, the warmth of its
@@ -1116,18 +1116,18 @@
 	s.periodMeans = [2]latencyMeans{}
 	perSecond := all.answers * float64(second) / float64(s.config.CountsPeriod)
 	if !s.isJudging() {
-		s.baselineCountRate += max(meanSmoothing, oneIf(s.baselineCountRate == 0)) * (perSecond - s.baselineCountRate)
+		s.baselinePlatformRate += max(meanSmoothing, oneIf(s.baselinePlatformRate == 0)) * (perSecond - s.baselinePlatformRate)
 		return
 	}
-	load := max(1, perSecond/max(s.baselineCountRate, 1e-9)) * max(1, s.baselineCapacity/max(s.fleetCapacity, 1e-9))
+	load := max(1, perSecond/max(s.baselinePlatformRate, 1e-9)) * max(1, s.baselineCapacity/max(s.fleetCapacity, 1e-9))
 	if all.answers > 0 {
 		slow := min(1, max(0, all.duration/all.baselineDuration/s.expectedSlowdown(load)-1))
-		s.fleetSlowExcess = max(0, s.fleetSlowExcess+lateWeight*all.answers*(slow-toleratedMeanIncrease)*s.fleetMeter.outcomeWeight(s.now, all.answers))
+		s.fleetSlowExcess = max(0, s.fleetSlowExcess+lateWeight*all.answers*(slow-toleratedMeanIncrease)*s.fleetMeter.addAndWeigh(s.now, all.answers))
 	}
 	if trial.answers > 0 {
 		load *= max(1, s.baselineCapacity*float64(s.trialSlots)/max(100*s.capacity(s.releaseStatus.Build), 1e-9))
 		longer := trial.duration / max(trial.earlierDuration, trial.baselineDuration*s.expectedSlowdown(load))
-		weight := lateWeight * trial.answers * s.lateMeter.outcomeWeight(s.now, trial.answers)
+		weight := lateWeight * trial.answers * s.lateMeter.addAndWeigh(s.now, trial.answers)
 		s.allProfiles.trialExcess[lateMiss] = max(0, s.allProfiles.trialExcess[lateMiss]+weight*(min(1, max(0, longer-1))-toleratedMeanIncrease))
 	}
 }
@@ -1141,7 +1141,7 @@
 	s.ejectOverdue()
 	s.refreshReadyWorkers()
 	s.logLease()
-	if s.periodMeans[0].answers > 0 && s.now > s.countsReceivedAt {
+	if s.periodMeans[0].answers > 0 && s.now > s.platformCountsAt {
 		s.judgePeriodMeans()
 	}
 	if s.usualLoad == 0 || s.releaseStatus.Phase != RollingBack {
@@ -1193,7 +1193,7 @@
 	// The release takes the earlier workers away: before it, all is looked at under full load for a while.
 	last := o.EarlierWorkersStay && s.releaseStatus.Stage+1 >= len(o.StageCaps)
 	settled := s.now - max(s.statusSince, r.youngestStart) - Micros(oneIf(last))*o.WarmUp/lastStageWarmUpDivisor
-	if settled >= patience || settled >= settleTime && s.judgedOutcomes >= minSample {
+	if settled >= patience || settled >= settleTime && s.judgedOutcomes >= minSampleSize {
 		return Advance
 	}
 	return NoVerdict
--- a/logic/state.go
+++ b/logic/state.go
@@ -133,13 +133,13 @@
 	takenTimes                            [][]Micros         // transactions: all in the first, then by profile
 	exposedTimes                          [][]Micros         // hand-offs to the trial, likewise
 	periodMeans                           [2]latencyMeans    // of the period in hand: of all, of the trial
-	baselineCountRate                     float64            // counted in a second before the trial
+	baselinePlatformRate                  float64            // counted in a second before the trial
 	ownErrors, ownFailures                float64            // own hand-offs of late that a worker failed, and that failed for any reason
 	wrongAnswerSum                        float64            // sum of reports of wrong answers, where each judges by itself
-	countsReceivedAt                      Micros             // the platform's last count
+	platformCountsAt                      Micros             // the platform's last count
 	earlierOutcomeAt                      Micros             // last outcome of the earlier build
 	totalTrialMisses                      [missKinds]float64 // all misses of the trial's workers
-	ownCounts                             []uint64           // outcomes counted
+	outcomeCounts                         []uint64           // outcomes counted
 	runID                                 uint64             // tells this run of the sentry from others
 	reports                               map[SentryID]report
 	collectorVerdict                      Verdict // of the collectors
@@ -147,7 +147,7 @@
 	collectorVerdictStage                 int // stage
 	nextReportAt                          Micros
 	fleetMeter, lateMeter                 rateMeter
-	arrivedMeter, baselineArrivalMeter    rateMeter   // transactions that came to all, and that would have as before the trial
+	arrivalMeter, baselineArrivalMeter    rateMeter   // transactions that came to all, and that would have as before the trial
 	givenUp, olderGivenUp                 map[Key]int // given up, and not come again yet: lately, and some time ago
 	givenUpRotatedAt                      Micros      // when the older ones were set apart
 	newArrivals                           uint64
@@ -304,7 +304,7 @@
 }
 
 // First byte of a message.
-const messageCounts, messageVerdict, messageHandOff, messageHandOffEnded = 1, 2, 3, 4
+const messageReport, messageVerdict, messageHandOff, messageHandOffEnded = 1, 2, 3, 4
 
 // pack makes a message of one kind of whole numbers; unpack gives none where it is not such a message.
 func encodeMessage(what byte, values []uint64) []byte {
@@ -474,7 +474,7 @@
 func (s *Sentry) resetTrial() {
 	s.trialSlots, s.judgedOutcomes, s.fleetSlowExcess, s.rollBackDecided, s.totalTrialMisses = 0, 0, 0, false, [missKinds]float64{}
 	s.baselineLoad, s.baselineArrivalRate, s.newArrivals, s.firstStageOutcomes, s.firstStageSlow = 0, 0, 0, 0, 0
-	s.arrivedMeter, s.baselineArrivalMeter = rateMeter{}, rateMeter{}
+	s.arrivalMeter, s.baselineArrivalMeter = rateMeter{}, rateMeter{}
 	clear(s.givenUp)
 	clear(s.olderGivenUp)
 	s.lastVote, s.lastVoteAt, s.wrongAnswerSum = Vote{}, 0, 0
@@ -490,7 +490,7 @@
 		clear(s.trialMisses[k])
 		clear(s.ownMisses[k])
 	}
-	s.ownCounts = make([]uint64, s.countsLen())
+	s.outcomeCounts = make([]uint64, s.countsLen())
 	s.reports, s.collectorVerdict, s.collectorVerdictAt = map[SentryID]report{}, NoVerdict, 0
 }
 
@@ -527,8 +527,8 @@
 
 // mark counts one outcome at a place.
 func (s *Sentry) countOutcome(at int, hit bool) {
-	s.ownCounts[at]++
-	s.ownCounts[at+1] += uint64(oneIf(hit))
+	s.outcomeCounts[at]++
+	s.outcomeCounts[at+1] += uint64(oneIf(hit))
 }
 
 func (s *Sentry) runFilters(t *transaction, from int) {
@@ -590,8 +590,8 @@
 	for i := 0; i < len(r.counts); i += 2 {
 		n, hits := float64(r.counts[i]-old.counts[i]), float64(r.counts[i+1]-old.counts[i+1])
 		if id, k, trial, all := decodeCountIndex(i, len(r.counts)); i == len(r.counts)-2 {
-			s.arrivedMeter.outcomeWeight(s.now, hits)
-			s.baselineArrivalMeter.outcomeWeight(s.now, n-hits)
+			s.arrivalMeter.addAndWeigh(s.now, hits)
+			s.baselineArrivalMeter.addAndWeigh(s.now, n-hits)
 		} else if n > 0 && all && s.cooperates() { // few sentries see it each by itself, and sooner
 			s.addFleetOutcomes(n, hits)
 		} else if n > 0 && !all {
@@ -663,12 +663,12 @@
 }
 
 // report is what a message to the collectors tells: all counts since the trial began, and the misses of some workers.
-func (s *Sentry) countsReport(most int) []uint64 {
+func (s *Sentry) ownReport(most int) []uint64 {
 	if s.baselineArrivalRate > 0 {
 		due := uint64(s.baselineArrivalRate * float64(s.now-s.baselineAt))
-		s.ownCounts[len(s.ownCounts)-2], s.ownCounts[len(s.ownCounts)-1] = due+s.newArrivals, s.newArrivals
+		s.outcomeCounts[len(s.outcomeCounts)-2], s.outcomeCounts[len(s.outcomeCounts)-1] = due+s.newArrivals, s.newArrivals
 	}
-	values := append([]uint64{uint64(s.releaseStatus.Build), s.runID, uint64(len(s.ownCounts))}, s.ownCounts...)
+	values := append([]uint64{uint64(s.releaseStatus.Build), s.runID, uint64(len(s.outcomeCounts))}, s.outcomeCounts...)
 	return s.appendMisses(values, most)
 }
 
