--- a/internal/sentry/sentry_test.go
+++ b/internal/sentry/sentry_test.go
@@ -787,7 +787,7 @@
 	return brokenWay{way}, err
 }
 
-func (brokenWay) MayHave(uint64) bool { return false }
+func (brokenWay) MayHaveReceived(uint64) bool { return false }
 
 // A hand-off whose last byte never left when its connection broke has not run: an irreversible transaction is deferred.
 func TestBrokenBeforeTheLastByte(t *testing.T) {
