--- a/logic/logic.go
+++ b/logic/logic.go
@@ -71,35 +71,35 @@
 )
 
 // follow takes over orders. A profile's row is found by its place; what was learnt of it stays.
-func (s *Sentry) applyConfig(o Config) {
-	o.Sentries = max(1, o.Sentries)
-	s.config, s.maxDueTime = o, 0
-	for i, p := range o.Profiles {
-		if due := float64(p.DueTime); i >= len(s.profiles) {
+func (s *Sentry) applyConfig(config Config) {
+	config.Sentries = max(1, config.Sentries)
+	s.config, s.maxDueTime = config, 0
+	for i, profile := range config.Profiles {
+		if dueTime := float64(profile.DueTime); i >= len(s.profiles) {
 			s.profiles = append(s.profiles, profileStats{
-				expectedDuration: due / 6, latencyThreshold: due / 4, earlierMissRate: [missKinds]float64{initialMissRate, initialMissRate}})
+				expectedDuration: dueTime / 6, latencyThreshold: dueTime / 4, earlierMissRate: [missKinds]float64{initialMissRate, initialMissRate}})
 			s.takenTimes, s.exposedTimes = append(s.takenTimes, nil), append(s.exposedTimes, nil)
 		}
-		s.profiles[i].Profile = &p
-		s.maxDueTime, s.maxDeadline = max(s.maxDueTime, p.DueTime), max(s.maxDeadline, p.MaxDeadline)
+		s.profiles[i].Profile = &profile
+		s.maxDueTime, s.maxDeadline = max(s.maxDueTime, profile.DueTime), max(s.maxDeadline, profile.MaxDeadline)
 	}
-	s.arrivalWindow = max(o.ExposureWindow, o.ColdLoadWindow, second)
+	s.arrivalWindow = max(config.ExposureWindow, config.ColdLoadWindow, second)
 	s.maxRuleWindow = max(s.maxRuleWindow, s.arrivalWindow)
 }
 
 // Ordered takes other orders while transactions are open and a build is on trial. What is open keeps its
 // profile, what rules count goes on, the bound on exposure so far holds beside the new one for its window.
-func (s *Sentry) Reconfigure(now Micros, o Config) Result {
+func (s *Sentry) Reconfigure(now Micros, config Config) Result {
 	return s.handleEvent(now, func() {
-		old, span := s.config, float64(s.arrivalWindow)
-		was := exposureBound{old.FreeExposure, old.ExposureWindow, old.ExposureByProfile, 0}
-		s.formerBounds = slices.DeleteFunc(s.formerBounds, func(b exposureBound) bool {
-			return b.until <= s.now || exposureBound{b.free, b.window, b.byProfile, 0} == was
+		oldConfig, oldWindow := s.config, float64(s.arrivalWindow)
+		oldBound := exposureBound{oldConfig.FreeExposure, oldConfig.ExposureWindow, oldConfig.ExposureByProfile, 0}
+		s.formerBounds = slices.DeleteFunc(s.formerBounds, func(bound exposureBound) bool {
+			return bound.until <= s.now || exposureBound{bound.free, bound.window, bound.byProfile, 0} == oldBound
 		})
-		was.until = s.now + old.ExposureWindow + 4*old.TimerGranularity
-		s.formerBounds = append(s.formerBounds, was)
-		s.applyConfig(o)
-		s.usualLoad, s.baselineLoad = s.usualLoad*float64(s.arrivalWindow)/span, s.baselineLoad*float64(s.arrivalWindow)/span
+		oldBound.until = s.now + oldConfig.ExposureWindow + 4*oldConfig.TimerGranularity
+		s.formerBounds = append(s.formerBounds, oldBound)
+		s.applyConfig(config)
+		s.usualLoad, s.baselineLoad = s.usualLoad*float64(s.arrivalWindow)/oldWindow, s.baselineLoad*float64(s.arrivalWindow)/oldWindow
 		if len(s.outcomeCounts) != s.countsLen() { // counts by other places: they start anew under another name
 			s.outcomeCounts, s.runID = make([]uint64, s.countsLen()), (s.runID+1)%math.MaxUint32
 		}
@@ -109,13 +109,13 @@
 }
 
 // call frames every call.
-func (s *Sentry) handleEvent(now Micros, do func()) Result {
+func (s *Sentry) handleEvent(now Micros, apply func()) Result {
 	if s.firstCallAt > 0 && now > s.now+second { // it wakes more often than that: it has stood still
 		s.stalledAt = now
 	}
 	s.now, s.result = max(s.now, now), Result{}
 	s.firstCallAt = cmp.Or(s.firstCallAt, s.now)
-	do()
+	apply()
 	if s.config.ListOnRequest && s.now >= s.nextListRequestAt { // keeps the subscription alive
 		s.result.WatchList, s.nextListRequestAt = true, s.now+max(second, s.config.MaxListAge/2)
 	}
@@ -172,13 +172,13 @@
 // hasRoom says whether one more may be open. A repeat, or a try of a client in a hurry, wants half of the
 // room free: such clients would leave nothing to others. Else an idle worker of the group makes room.
 func (s *Sentry) underConcurrencyLimit(t *transaction) bool {
-	less := t.IsRetry || t.Deadline-t.arrivedAt < t.profile.DueTime
-	if fits := float64(s.openHandOffs-s.lostHandOffs) < s.concurrencyLimit*(1-retryReservedShare*oneIf(less)); fits || less || !s.inGroup() {
+	yields := t.IsRetry || t.Deadline-t.arrivedAt < t.profile.DueTime
+	if fits := float64(s.openHandOffs-s.lostHandOffs) < s.concurrencyLimit*(1-retryReservedShare*oneIf(yields)); fits || yields || !s.inGroup() {
 		return fits
 	}
-	r := s.buildWorkers[s.earlierBuild]
+	workers := s.buildWorkers[s.earlierBuild]
 	idle := func(w int) bool { return !s.isOccupied(w) && s.groupOpenNow(w) < maxIdleGroupOpen }
-	return slices.ContainsFunc(r.ready[:r.groupWorkers], idle)
+	return slices.ContainsFunc(workers.ready[:workers.groupWorkers], idle)
 }
 
 const (
@@ -196,39 +196,39 @@
 // learnRoom bounds the open hand-offs by how answers come, and by what this sentry's own traffic fills in the
 // longest due time, since hundreds with a little too much each jam a fleet that none of them has seen late.
 // It guards against overload of any cause; it can do harm where failures are quick, hence its floor.
-func (s *Sentry) adjustConcurrencyLimit(p *profileStats, w int, e HandOffEnd) {
-	ready := float64(max(1, s.readyCount(s.earlierBuild), s.readyCount(s.releaseStatus.Build))) // news come later than lists
+func (s *Sentry) adjustConcurrencyLimit(stats *profileStats, w int, end HandOffEnd) {
+	readyWorkers := float64(max(1, s.readyCount(s.earlierBuild), s.readyCount(s.releaseStatus.Build))) // news come later than lists
 	switch {
 	case s.consecutiveFailures[w] > 0 || s.failureRate[w] > ejectFailureRate || s.zoneSlowdown(s.workers[w].Zone) > 1: // not the load
-	case e.Ending == TimedOut && (e.Duration < p.DueTime || s.answerLost(w, s.now-e.Duration)): // a hurry, or lost
-	case e.Ending == TurnedAway || e.Ending == TimedOut || e.Ending == Answered && e.Duration > p.DueTime:
+	case end.Ending == TimedOut && (end.Duration < stats.DueTime || s.answerLost(w, s.now-end.Duration)): // a hurry, or lost
+	case end.Ending == TurnedAway || end.Ending == TimedOut || end.Ending == Answered && end.Duration > stats.DueTime:
 		s.concurrencyLimit -= min(concurrencyDecrease, s.concurrencyLimit/4)
-	case e.Ending == Answered && float64(s.openHandOffs) >= 0.7*s.concurrencyLimit:
+	case end.Ending == Answered && float64(s.openHandOffs) >= 0.7*s.concurrencyLimit:
 		s.concurrencyLimit += concurrencyIncrease * max(1, 4/s.concurrencyLimit)
 	}
-	known := min(s.arrivalWindow, max(second, s.now-s.firstCallAt))
-	own := max(minOwnTrafficLimit, float64(s.maxDueTime)*float64(len(s.arrivalTimes))/float64(known))
+	observed := min(s.arrivalWindow, max(second, s.now-s.firstCallAt))
+	ownTrafficLimit := max(minOwnTrafficLimit, float64(s.maxDueTime)*float64(len(s.arrivalTimes))/float64(observed))
 	// Open at a time by this sentry's usual traffic, in no jam.
-	usual := s.usualLoad * s.fleetCapacity / float64(s.arrivalWindow) * min(s.usualDuration(), float64(s.maxDueTime)/8)
-	s.concurrencyLimit = min(max(s.concurrencyLimit, minConcurrencyPerWorker*max(ready/float64(s.config.Sentries), usual), 1), maxConcurrencyPerWorker*ready, own)
+	usualOpen := s.usualLoad * s.fleetCapacity / float64(s.arrivalWindow) * min(s.usualDuration(), float64(s.maxDueTime)/8)
+	s.concurrencyLimit = min(max(s.concurrencyLimit, minConcurrencyPerWorker*max(readyWorkers/float64(s.config.Sentries), usualOpen), 1), maxConcurrencyPerWorker*readyWorkers, ownTrafficLimit)
 }
 
 // assign chooses the build: the two-build hash, under the counter, with keys going forward only.
 func (s *Sentry) assignBuild(t *transaction) bool {
 	trial, onTrial := s.trialBuild()
-	met := s.config.ForwardOnly && onTrial && t.Key != "" && s.trialKeys[t.Key] == trial
+	keyOnTrial := s.config.ForwardOnly && onTrial && t.Key != "" && s.trialKeys[t.Key] == trial
 	t.worker = -1
 	if onTrial {
 		if t.Key != "" {
 			t.slot = hashSlot(t.Key, s.earlierBuild, trial)
 		}
-		failedThere := len(t.handOffs) > 0 && t.handOffs[len(t.handOffs)-1].build == trial
+		failedOnTrial := len(t.handOffs) > 0 && t.handOffs[len(t.handOffs)-1].build == trial
 		guarded := s.releaseStatus.Stage < s.config.GuardedStages && t.profile.Repeatability != Idempotent
-		if met || t.slot < s.trialSlots && !guarded && !failedThere {
-			if !guarded && s.withinExposureBound(t, met) {
+		if keyOnTrial || t.slot < s.trialSlots && !guarded && !failedOnTrial {
+			if !guarded && s.withinExposureBound(t, keyOnTrial) {
 				t.worker = s.chooseWorker(t, trial)
 			}
-			return t.worker >= 0 || !met || s.giveUp(t)
+			return t.worker >= 0 || !keyOnTrial || s.giveUp(t)
 		}
 	}
 	return true
@@ -236,15 +236,15 @@
 
 // holdBack keeps a transaction while no worker of its build is ready, until an answer in time is unlikely.
 func (s *Sentry) queueOrGiveUp(t *transaction) bool {
-	until := s.queueDeadline(t)
+	deadline := s.queueDeadline(t)
 	switch {
 	case t.hasOpenHandOff(): // a copy that finds no worker is let go
-	case s.now >= until:
+	case s.now >= deadline:
 		return s.giveUp(t)
 	case !t.queued:
 		t.queued = true
 		s.queue = append(s.queue, t)
-		s.wakeUp(until, t)
+		s.wakeUp(deadline, t)
 	}
 	return false
 }
@@ -256,12 +256,12 @@
 
 // release runs what was held again, when the workers or the news have changed.
 func (s *Sentry) runQueued() {
-	held := s.queue
+	queued := s.queue
 	s.queue = nil
-	slices.SortStableFunc(held, func(a, b *transaction) int {
+	slices.SortStableFunc(queued, func(a, b *transaction) int {
 		return cmp.Compare(s.profiles[b.Profile].valuePerWork(), s.profiles[a.Profile].valuePerWork())
 	})
-	for _, t := range held {
+	for _, t := range queued {
 		switch {
 		case t.closed || !t.queued:
 		case s.underConcurrencyLimit(t):
@@ -277,19 +277,19 @@
 
 // giveUp answers at once: a deferral where a retry is harmless, else a write-off.
 func (s *Sentry) giveUp(t *transaction) bool {
-	p := t.profile
-	ran := slices.ContainsFunc(t.handOffs, func(h handOff) bool { return h.mayHaveRun })
-	r := Action{Kind: WriteOff, Transaction: t.ID}
-	if !ran || p.Repeatability == Idempotent || p.Repeatability == Deduplicated && p.DedupScope == ScopeAll {
-		r.Kind = Defer
+	profile := t.profile
+	mayHaveRun := slices.ContainsFunc(t.handOffs, func(h handOff) bool { return h.mayHaveRun })
+	action := Action{Kind: WriteOff, Transaction: t.ID}
+	if !mayHaveRun || profile.Repeatability == Idempotent || profile.Repeatability == Deduplicated && profile.DedupScope == ScopeAll {
+		action.Kind = Defer
 		if s.config.MayNameRetryAfter {
-			r.RetryAfter = min(p.DueTime/2, s.config.MaxRetryAfter)
+			action.RetryAfter = min(profile.DueTime/2, s.config.MaxRetryAfter)
 		}
 	}
-	s.result.Actions = append(s.result.Actions, r)
+	s.result.Actions = append(s.result.Actions, action)
 	s.givenUp[t.Key]++
 	if len(t.handOffs) == 0 && s.releaseStatus.Phase == OnTrial && !s.platformCountsAreCurrent() { // under the bound, slowness shows in these
-		s.judgeFleetLatency(&s.profiles[t.Profile], float64(p.MaxDeadline))
+		s.judgeFleetLatency(&s.profiles[t.Profile], float64(profile.MaxDeadline))
 	}
 	t.closed = true
 	s.removeTransaction(t)
@@ -306,48 +306,48 @@
 // choose takes the least loaded of the working set: the first few ready workers in this sentry's own order,
 // one more whenever all are busy. The orders are drawn by size, so that hundreds with little to do spread
 // over the fleet; it can harm where the few happen to be shared with busy sentries and nothing tells so.
-func (s *Sentry) chooseWorker(t *transaction, b BuildID) int {
-	r := s.buildWorkers[b]
-	if r == nil {
+func (s *Sentry) chooseWorker(t *transaction, build BuildID) int {
+	workers := s.buildWorkers[build]
+	if workers == nil {
 		return -1
 	}
-	best := s.leastLoaded(r.ready[:min(max(r.subsetSize, r.groupWorkers), len(r.ready))], t, b)
-	near := r.groupWorkers >= minGroupWorkers && best >= 0 && s.loadScore(best) < maxGroupWorkerLoad/s.workers[best].Size
-	open := best >= 0 && (!s.isOccupied(best) || s.likelyConnected(best) && s.refusedShare > ejectFailureRate)
-	if near || open || r.subsetSize >= len(r.ready) {
+	best := s.leastLoaded(workers.ready[:min(max(workers.subsetSize, workers.groupWorkers), len(workers.ready))], t, build)
+	groupHasRoom := workers.groupWorkers >= minGroupWorkers && best >= 0 && s.loadScore(best) < maxGroupWorkerLoad/s.workers[best].Size
+	subsetHasRoom := best >= 0 && (!s.isOccupied(best) || s.likelyConnected(best) && s.refusedShare > ejectFailureRate)
+	if groupHasRoom || subsetHasRoom || workers.subsetSize >= len(workers.ready) {
 		return best
 	}
-	r.subsetSize++
-	for _, w := range r.ready[r.subsetSize-1:] {
-		if s.isEligible(w, b, t) {
+	workers.subsetSize++
+	for _, w := range workers.ready[workers.subsetSize-1:] {
+		if s.isEligible(w, build, t) {
 			return w
 		}
 	}
 	return best
 }
 
-func (s *Sentry) leastLoaded(of []int, t *transaction, b BuildID) int {
-	best, least := -1, 0.0
-	look := max(sampledWorkers, sampledWorkers*len(of)/s.config.Sentries)
+func (s *Sentry) leastLoaded(candidates []int, t *transaction, build BuildID) int {
+	best, lowest := -1, 0.0
+	samples := max(sampledWorkers, sampledWorkers*len(candidates)/s.config.Sentries)
 	if s.refusedShare > refusedShareSmoothing || s.maxZoneSlowdown > 1 || s.inGroup() { // few will do, or all are known
-		look = len(of)
+		samples = len(candidates)
 	}
-	for i, w := range of {
-		if look < len(of) {
-			w = of[s.random.Intn(len(of))]
+	for i, w := range candidates {
+		if samples < len(candidates) {
+			w = candidates[s.random.Intn(len(candidates))]
 		}
-		if i >= look && best >= 0 {
+		if i >= samples && best >= 0 {
 			break
 		}
-		if !s.isEligible(w, b, t) {
+		if !s.isEligible(w, build, t) {
 			continue
 		}
 		load := s.loadScore(w) * (1 + nonLoadFailureWeight*s.nonLoadFailureRate[w]*s.slowRecency(w))
 		if len(t.handOffs)+1 >= s.config.MaxHandOffs { // the last one wants a worker that does not fail
 			load *= 1 + 20*s.nonLoadFailureRate[w]
 		}
-		if best < 0 || load < least {
-			best, least = w, load
+		if best < 0 || load < lowest {
+			best, lowest = w, load
 		}
 	}
 	return best
@@ -364,32 +364,32 @@
 
 // learnWay books how long answers take by zone: the way to one may be slow or lose what is sent, though each
 // of its workers is met too seldom to tell.
-func (s *Sentry) recordZoneLatency(w int, p *profileStats, h *handOff) {
-	z, took := s.workers[w].Zone, float64(h.end.Duration)/p.expectedDuration
+func (s *Sentry) recordZoneLatency(w int, stats *profileStats, h *handOff) {
+	zone, ratio := s.workers[w].Zone, float64(h.end.Duration)/stats.expectedDuration
 	switch {
 	case h.end.Ending == Unconnected && !s.failedFast(h):
-		took = maxZoneLatencyRatio
+		ratio = maxZoneLatencyRatio
 	case h.end.Ending != Answered && h.end.Ending != TimedOut:
 		return
 	}
-	for len(s.zoneLatencyRatio) <= int(z) {
+	for len(s.zoneLatencyRatio) <= int(zone) {
 		s.zoneLatencyRatio, s.zoneUpdatedAt = append(s.zoneLatencyRatio, 1), append(s.zoneUpdatedAt, 0)
 	}
-	s.zoneLatencyRatio[z] += zoneLatencySmoothing * (min(maxZoneLatencyRatio, took) - s.zoneLatencyRatio[z])
-	s.zoneUpdatedAt[z], s.maxZoneSlowdown = s.now, 1
-	for z := range s.zoneLatencyRatio {
-		s.maxZoneSlowdown = max(s.maxZoneSlowdown, s.zoneSlowdown(ZoneID(z)))
+	s.zoneLatencyRatio[zone] += zoneLatencySmoothing * (min(maxZoneLatencyRatio, ratio) - s.zoneLatencyRatio[zone])
+	s.zoneUpdatedAt[zone], s.maxZoneSlowdown = s.now, 1
+	for zone := range s.zoneLatencyRatio {
+		s.maxZoneSlowdown = max(s.maxZoneSlowdown, s.zoneSlowdown(ZoneID(zone)))
 	}
 }
 
 // farther is how much slower than the own zone another one is, beyond chance, 1 at the least.
-func (s *Sentry) zoneSlowdown(z ZoneID) float64 {
-	own := s.config.Zone
-	if z == own || int(z) >= len(s.zoneLatencyRatio) || int(own) >= len(s.zoneLatencyRatio) {
+func (s *Sentry) zoneSlowdown(zone ZoneID) float64 {
+	ownZone := s.config.Zone
+	if zone == ownZone || int(zone) >= len(s.zoneLatencyRatio) || int(ownZone) >= len(s.zoneLatencyRatio) {
 		return 1
 	}
-	fresh := max(0, 1-float64(s.now-s.zoneUpdatedAt[z])/s.slowTTL())
-	return 1 + fresh*max(0, s.zoneLatencyRatio[z]/max(1, s.zoneLatencyRatio[own])/toleratedZoneRatio-1)
+	recency := max(0, 1-float64(s.now-s.zoneUpdatedAt[zone])/s.slowTTL())
+	return 1 + recency*max(0, s.zoneLatencyRatio[zone]/max(1, s.zoneLatencyRatio[ownZone])/toleratedZoneRatio-1)
 }
 
 // recalled is the same for how slow it was, which a sentry with little to do remembers longer.
@@ -401,16 +401,16 @@
 
 // score is the load of a worker for its size: the lowest wins. Among equals chance decides, by size.
 func (s *Sentry) loadScore(w int) float64 {
-	fresh, size := s.recency(w), s.workers[w].Size*s.warmUpCapacity(w, s.now)
-	load := float64(s.openByWorker[w]) + max(fresh*s.otherLoad[w], s.groupOpenNow(w))
+	recency, capacity := s.recency(w), s.workers[w].Size*s.warmUpCapacity(w, s.now)
+	load := float64(s.openByWorker[w]) + max(recency*s.otherLoad[w], s.groupOpenNow(w))
 	if load < idleLoad {
 		load = idleLoad * (s.random.ExpFloat64() - 1)
 	}
-	load = (load + 1) / size
-	slower := 1 + s.slowRecency(w)*max(0, s.latencyRatio[w]/toleratedLatencyRatio-1)
-	load *= math.Pow(slower, 1+oneIf(s.usualWorkerLoad == 0)) // where no load is reported, slowness stands for it too
-	if z := s.workers[w].Zone; z != s.config.Zone {
-		load *= (1 + 8*s.config.CrossZonePrice) * math.Pow(s.zoneSlowdown(z), 2)
+	load = (load + 1) / capacity
+	slowdown := 1 + s.slowRecency(w)*max(0, s.latencyRatio[w]/toleratedLatencyRatio-1)
+	load *= math.Pow(slowdown, 1+oneIf(s.usualWorkerLoad == 0)) // where no load is reported, slowness stands for it too
+	if zone := s.workers[w].Zone; zone != s.config.Zone {
+		load *= (1 + 8*s.config.CrossZonePrice) * math.Pow(s.zoneSlowdown(zone), 2)
 	}
 	if !s.likelyConnected(w) {
 		load *= 1 + newConnectionPenalty*s.refusedShare
@@ -422,21 +422,21 @@
 }
 
 // ready says whether a worker of the build may get this transaction now.
-func (s *Sentry) isEligible(w int, b BuildID, t *transaction) bool {
-	if s.workers[w].Build != b || s.workers[w].State != Ready || !s.hasLease(w) || s.atColdLimit(w) {
+func (s *Sentry) isEligible(w int, build BuildID, t *transaction) bool {
+	if s.workers[w].Build != build || s.workers[w].State != Ready || !s.hasLease(w) || s.atColdLimit(w) {
 		return false
 	}
-	p := t.profile
+	profile := t.profile
 	for i := range t.handOffs {
 		h := &t.handOffs[i]
-		if h.worker == w && (!h.ended || len(t.handOffs) < s.readyCount(b)) {
+		if h.worker == w && (!h.ended || len(t.handOffs) < s.readyCount(build)) {
 			return false
 		}
-		if !h.mayHaveRun || p.Repeatability != Deduplicated {
+		if !h.mayHaveRun || profile.Repeatability != Deduplicated {
 			continue
 		}
-		first, this := &s.workers[h.worker], &s.workers[w]
-		if p.DedupScope == ScopeZone && first.Zone != this.Zone || p.DedupScope == ScopeCell && first.Cell != this.Cell {
+		earlier, candidate := &s.workers[h.worker], &s.workers[w]
+		if profile.DedupScope == ScopeZone && earlier.Zone != candidate.Zone || profile.DedupScope == ScopeCell && earlier.Cell != candidate.Cell {
 			return false
 		}
 	}
@@ -444,7 +444,7 @@
 }
 
 func (s *Sentry) handOff(t *transaction) bool {
-	w, p := t.worker, t.profile
+	w, profile := t.worker, t.profile
 	h := handOff{worker: w, build: s.workers[w].Build, sentAt: s.now, mayHaveRun: true, newConnection: !s.likelyConnected(w)}
 	h.timingInvalid = h.newConnection
 	t.handOffs = append(t.handOffs, h)
@@ -457,26 +457,26 @@
 		}
 	}
 	s.notifyGroup(w, messageHandOff)
-	r := Action{Kind: HandOff, Transaction: t.ID, Worker: s.workers[w].ID, Deadline: t.Deadline, SendBy: s.sendBy(w)}
-	s.result.Actions = append(s.result.Actions, r)
-	if o := &s.config; o.MayHedge && len(t.handOffs) == 1 || !o.MayHedge && o.MayCancel && p.Repeatability != NonIdempotent {
-		s.wakeUp(s.now+p.DueTime/2, t)
+	action := Action{Kind: HandOff, Transaction: t.ID, Worker: s.workers[w].ID, Deadline: t.Deadline, SendBy: s.sendBy(w)}
+	s.result.Actions = append(s.result.Actions, action)
+	if o := &s.config; o.MayHedge && len(t.handOffs) == 1 || !o.MayHedge && o.MayCancel && profile.Repeatability != NonIdempotent {
+		s.wakeUp(s.now+profile.DueTime/2, t)
 	}
 	return false
 }
 
 // silent says that a worker has answered several that were sent after a hand-off: the answer to that, or its
 // connection, is lost, and tells nothing of load or health. (Few may pass a long one; reports come too late.)
-func (s *Sentry) answerLost(w int, sent Micros) bool { return s.answeredSentTimes[w][0] > sent }
+func (s *Sentry) answerLost(w int, sentAt Micros) bool { return s.answeredSentTimes[w][0] > sentAt }
 
 // endSilent gives up a hand-off that takes suspiciously long and seems lost, where it may be sent again. It
 // does harm where one is only very long: it runs twice.
 func (s *Sentry) cancelIfLost(t *transaction) {
-	n := len(t.handOffs) - 1
-	switch h := &t.handOffs[n]; {
+	number := len(t.handOffs) - 1
+	switch h := &t.handOffs[number]; {
 	case h.ended || !s.mayRetry(t):
 	case s.answerLost(h.worker, h.sentAt):
-		s.result.Actions = append(s.result.Actions, Action{Kind: CancelHandOff, Transaction: t.ID, HandOffNumber: n})
+		s.result.Actions = append(s.result.Actions, Action{Kind: CancelHandOff, Transaction: t.ID, HandOffNumber: number})
 	default:
 		s.wakeUp(s.now+t.profile.DueTime/8, t)
 	}
@@ -487,10 +487,10 @@
 	if len(t.handOffs) >= s.config.MaxHandOffs || t.Deadline-s.now < s.config.TimerGranularity {
 		return false
 	}
-	p := t.profile
+	profile := t.profile
 	for _, h := range t.handOffs {
-		old := p.Repeatability == Deduplicated && s.now >= h.sentAt+p.DedupWindow-s.config.TimerGranularity
-		if h.mayHaveRun && (p.Repeatability == NonIdempotent || old) {
+		windowOver := profile.Repeatability == Deduplicated && s.now >= h.sentAt+profile.DedupWindow-s.config.TimerGranularity
+		if h.mayHaveRun && (profile.Repeatability == NonIdempotent || windowOver) {
 			return false
 		}
 	}
@@ -534,16 +534,16 @@
 // quick says that a hand-off was broken or refused at once, which costs next to nothing, or that its answer
 // was spoilt, which no load explains.
 func (s *Sentry) failedFast(h *handOff) bool {
-	e, soon := h.end.Ending, h.end.Duration < s.config.ConnectTimeout/8
-	return e == Unreadable || soon && (e == Broken || e == Unconnected)
+	ending, atOnce := h.end.Ending, h.end.Duration < s.config.ConnectTimeout/8
+	return ending == Unreadable || atOnce && (ending == Broken || ending == Unconnected)
 }
 
 // tooCold keeps this sentry's part of what all may send a cold worker: half the stated multiple of what one
 // of its size usually gets of this sentry's traffic, chance standing in for what is less than one. It guards
 // against bursts, retries and fleets that start anew falling on a few, however many sentries there are.
 func (s *Sentry) atColdLimit(w int) bool {
-	warmth := s.warmUpCapacity(w, s.now)
-	if warmth >= 1 {
+	capacity := s.warmUpCapacity(w, s.now)
+	if capacity >= 1 {
 		s.coldHandOffs[w] = nil
 		return false
 	}
@@ -551,14 +551,14 @@
 	if s.now >= s.randomAllowanceUntil[w] {
 		s.randomAllowance[w], s.randomAllowanceUntil[w] = s.random.Float64(), s.now+s.config.ColdLoadWindow
 	}
-	fair := s.workers[w].Size * s.usualLoad * float64(s.config.ColdLoadWindow) / float64(s.arrivalWindow)
-	if r := s.buildWorkers[s.workers[w].Build]; r != nil && r.subsetSize < len(r.ready) { // the rest is for other sentries
-		fair *= float64(len(r.ready)) / float64(r.subsetSize)
+	fairShare := s.workers[w].Size * s.usualLoad * float64(s.config.ColdLoadWindow) / float64(s.arrivalWindow)
+	if workers := s.buildWorkers[s.workers[w].Build]; workers != nil && workers.subsetSize < len(workers.ready) { // the rest is for other sentries
+		fairShare *= float64(len(workers.ready)) / float64(workers.subsetSize)
 	}
-	free := freeColdHandOffs * s.config.ColdLoadMultiple * float64(s.config.ColdLoadWindow) / float64(second)
-	extra := min(2, s.randomAllowance[w]+free/float64(s.config.Sentries))
+	freeHandOffs := freeColdHandOffs * s.config.ColdLoadMultiple * float64(s.config.ColdLoadWindow) / float64(second)
+	allowance := min(2, s.randomAllowance[w]+freeHandOffs/float64(s.config.Sentries))
 	sent := float64(countAfter(s.coldHandOffs[w], s.now-s.config.ColdLoadWindow))
-	return sent+1 > extra+coldLoadShare*s.config.ColdLoadMultiple*warmth*fair
+	return sent+1 > allowance+coldLoadShare*s.config.ColdLoadMultiple*capacity*fairShare
 }
 
 // holds is how many transactions a worker has by its report, below 0 if that can't be told. What is not told
@@ -573,33 +573,33 @@
 
 // learnWorker books what an ended hand-off says of its worker.
 func (s *Sentry) recordWorkerOutcome(t *transaction, h *handOff) {
-	w, p := h.worker, &s.profiles[t.Profile]
-	silent := h.end.Ending == TimedOut && s.answerLost(w, h.sentAt)
-	renew := max(latencyRatioSmoothing, (1-s.recency(w))/2)
+	w, stats := h.worker, &s.profiles[t.Profile]
+	lost := h.end.Ending == TimedOut && s.answerLost(w, h.sentAt)
+	smoothing := max(latencyRatioSmoothing, (1-s.recency(w))/2)
 	s.seenAt[w] = s.now
-	if held := s.reportedInFlight(w, h); held >= 0 {
-		s.usualWorkerLoad += rateSmoothing * (held - s.usualWorkerLoad)
-		s.otherLoad[w] += otherLoadSmoothing * (max(0, held-float64(s.openByWorker[w])) - s.otherLoad[w])
+	if inFlight := s.reportedInFlight(w, h); inFlight >= 0 {
+		s.usualWorkerLoad += rateSmoothing * (inFlight - s.usualWorkerLoad)
+		s.otherLoad[w] += otherLoadSmoothing * (max(0, inFlight-float64(s.openByWorker[w])) - s.otherLoad[w])
 	}
-	if silent || h.end.Ending == Cancelled || h.end.Ending == Unsent || h.end.Ending == Unreadable {
+	if lost || h.end.Ending == Cancelled || h.end.Ending == Unsent || h.end.Ending == Unreadable {
 		return
 	}
 	if h.end.Ending != Answered {
 		s.ownErrors += ownFailureSmoothing * (oneIf(h.end.Ending == Errored)*ownFailureWindow - s.ownErrors)
 		s.ownFailures += ownFailureSmoothing * (ownFailureWindow - s.ownFailures)
 	}
-	hurried := h.end.Ending == TimedOut && h.end.Duration < p.DueTime // the client's patience, not the worker
+	hurried := h.end.Ending == TimedOut && h.end.Duration < stats.DueTime // the client's patience, not the worker
 	s.failureRate[w] += failureRateSmoothing * (oneIf(h.end.Ending != Answered && !hurried) - s.failureRate[w])
-	full := h.end.Ending == TurnedAway || h.end.Ending == TimedOut
-	s.nonLoadFailureRate[w] += failureRateSmoothing * (oneIf(h.end.Ending != Answered && !full) - s.nonLoadFailureRate[w])
+	overloaded := h.end.Ending == TurnedAway || h.end.Ending == TimedOut
+	s.nonLoadFailureRate[w] += failureRateSmoothing * (oneIf(h.end.Ending != Answered && !overloaded) - s.nonLoadFailureRate[w])
 	if h.end.Ending == Answered && !h.timingInvalid || h.end.Ending == TimedOut {
-		ratio := min(10, float64(h.end.Duration)/p.expectedDuration)
-		s.latencyRatio[w] += renew * (ratio - s.latencyRatio[w])
+		ratio := min(10, float64(h.end.Duration)/stats.expectedDuration)
+		s.latencyRatio[w] += smoothing * (ratio - s.latencyRatio[w])
 	}
 	if h.newConnection && (h.end.Ending == Answered || h.end.Ending == Unconnected) {
 		s.refusedShare += refusedShareSmoothing * (oneIf(h.end.Ending == Unconnected) - s.refusedShare)
 	}
-	s.recordZoneLatency(w, p, h)
+	s.recordZoneLatency(w, stats, h)
 	switch h.end.Ending {
 	case Unconnected, Broken: // one that still answers some is not dead: only this sentry's way to it is bad
 		if s.now >= s.ejectedUntil[w] && !(s.failedFast(h) && s.now-s.lastAnswerAt[w] < loadTTL) {
@@ -607,9 +607,9 @@
 			s.ejectedUntil[w] = s.now + second/2<<s.consecutiveFailures[w]
 		}
 	case Answered:
-		latest := s.answeredSentTimes[w][:]
-		latest[0] = max(latest[0], h.sentAt)
-		slices.Sort(latest)
+		sentTimes := s.answeredSentTimes[w][:]
+		sentTimes[0] = max(sentTimes[0], h.sentAt)
+		slices.Sort(sentTimes)
 		if s.consecutiveFailures[w] >= downAfterFailures {
 			s.recoveredAt[w] = s.now
 		}
@@ -629,14 +629,14 @@
 // and counts lost hand-offs: they are no load. Once many are out, one that answered what came later stays.
 func (s *Sentry) ejectOverdue() {
 	s.lostHandOffs = 0
-	few := s.ejectedCount()*fewEjectedDivisor < s.readyCount(s.earlierBuild)
+	fewEjected := s.ejectedCount()*fewEjectedDivisor < s.readyCount(s.earlierBuild)
 	for _, t := range s.openTransactions {
 		for i := range t.handOffs {
 			switch h := &t.handOffs[i]; {
 			case h.ended || s.now < h.sentAt+t.profile.DueTime:
 			case s.answerLost(h.worker, h.sentAt):
 				s.lostHandOffs++
-			case few || s.lastAnswerAt[h.worker] <= h.sentAt:
+			case fewEjected || s.lastAnswerAt[h.worker] <= h.sentAt:
 				s.eject(h.worker)
 			}
 		}
@@ -644,31 +644,31 @@
 }
 
 // rankOf draws a worker's place in this sentry's order: its group's first, by size, the own zone's sooner.
-func (s *Sentry) drawRank(in Worker) float64 {
-	return s.random.ExpFloat64()/in.Size*(1+otherZoneRankPenalty*oneIf(in.Zone != s.config.Zone)) + otherGroupRank*oneIf(!s.inOwnGroup(in.ID))
+func (s *Sentry) drawRank(worker Worker) float64 {
+	return s.random.ExpFloat64()/worker.Size*(1+otherZoneRankPenalty*oneIf(worker.Zone != s.config.Zone)) + otherGroupRank*oneIf(!s.inOwnGroup(worker.ID))
 }
 
 // ---- The build on trial ----
 
 // Told takes the platform's news and the answer to a vote.
-func (s *Sentry) ReleaseUpdated(now Micros, n ReleaseStatus) Result {
+func (s *Sentry) ReleaseUpdated(now Micros, status ReleaseStatus) Result {
 	return s.handleEvent(now, func() {
-		if n.VoteResult == VoteRefused || n.VoteResult == VoteTimedOut {
+		if status.VoteResult == VoteRefused || status.VoteResult == VoteTimedOut {
 			s.lastVoteAt = 0
 			s.nextVoteAt = s.now + second/4 + Micros(s.random.Int63n(int64(second)/2))
 		}
-		if n.Valid {
-			if n.Build != s.releaseStatus.Build || !s.releaseStatus.Valid {
+		if status.Valid {
+			if status.Build != s.releaseStatus.Build || !s.releaseStatus.Valid {
 				s.startTrial()
 			}
-			if n.Build != s.releaseStatus.Build || n.Stage != s.releaseStatus.Stage || n.Phase != s.releaseStatus.Phase {
-				s.statusSince = s.now - n.Age
+			if status.Build != s.releaseStatus.Build || status.Stage != s.releaseStatus.Stage || status.Phase != s.releaseStatus.Phase {
+				s.statusSince = s.now - status.Age
 			}
-			if n.Phase != OnTrial { // sent back, or no earlier build is used any more
-				s.rolledBack[n.Build] = n.Phase != Released
+			if status.Phase != OnTrial { // sent back, or no earlier build is used any more
+				s.rolledBack[status.Build] = status.Phase != Released
 				clear(s.trialKeys)
 			}
-			s.releaseStatus = n
+			s.releaseStatus = status
 			s.refreshBuilds()
 		}
 	})
@@ -683,8 +683,8 @@
 		s.baselineArrivalRate = float64(len(s.arrivalTimes)) / float64(s.arrivalWindow)
 	}
 	for i := range s.profiles {
-		if p := &s.profiles[i]; p.earlierOutcomes >= max(1, 10*minSampleSize/s.config.Sentries) {
-			p.baselineThreshold = p.latencyThreshold
+		if stats := &s.profiles[i]; stats.earlierOutcomes >= max(1, 10*minSampleSize/s.config.Sentries) {
+			stats.baselineThreshold = stats.latencyThreshold
 		}
 	}
 }
@@ -703,13 +703,13 @@
 	if s.releaseStatus.Valid && s.releaseStatus.Phase == Released {
 		return s.releaseStatus.Build
 	}
-	best, most := BuildID(-1), 0.0
-	for b, r := range s.buildWorkers {
-		if s.releaseStatus.Valid && b >= s.releaseStatus.Build || s.rolledBack[b] {
+	best, maxCapacity := BuildID(-1), 0.0
+	for build, workers := range s.buildWorkers {
+		if s.releaseStatus.Valid && build >= s.releaseStatus.Build || s.rolledBack[build] {
 			continue
 		}
-		if r.capacity > most || r.capacity == most && r.capacity > 0 && b > best {
-			best, most = b, r.capacity
+		if workers.capacity > maxCapacity || workers.capacity == maxCapacity && workers.capacity > 0 && build > best {
+			best, maxCapacity = build, workers.capacity
 		}
 	}
 	return best
@@ -718,152 +718,152 @@
 // ramp raises the trial's slots with what its workers can do by now, up to the cap, and never lowers them
 // while the cap stands: a key that was sent to the trial stays there.
 func (s *Sentry) rampTrialSlots() {
-	trial, on := s.trialBuild()
-	if !on {
+	trial, onTrial := s.trialBuild()
+	if !onTrial {
 		s.trialSlots = 0
 		return
 	}
-	trialCan, fleet := 0.0, s.capacity(s.earlierBuild)
-	if r := s.buildWorkers[trial]; r != nil {
-		trialCan = r.warmCapacity
+	trialCapacity, totalCapacity := 0.0, s.capacity(s.earlierBuild)
+	if workers := s.buildWorkers[trial]; workers != nil {
+		trialCapacity = workers.warmCapacity
 	}
 	// Where the earlier workers all stay, they have little to do: the trial's would carry far more than they.
-	fleet += trialCan * (1 - oneIf(s.config.EarlierWorkersStay && fleet > 0)*2/3)
-	share := trialShareFactor * trialCan / max(fleet, 1e-9)
+	totalCapacity += trialCapacity * (1 - oneIf(s.config.EarlierWorkersStay && totalCapacity > 0)*2/3)
+	share := trialShareFactor * trialCapacity / max(totalCapacity, 1e-9)
 	s.trialSlots = min(max(s.trialSlots, percent(share)), percent(s.releaseStatus.Cap))
 }
 
 // trial is the build on trial, if there is one that may be sent to: also one that goes back, until its cap is
 // down or an earlier worker is ready.
 func (s *Sentry) trialBuild() (BuildID, bool) {
-	last := s.releaseStatus.Phase == RollingBack && s.releaseStatus.Cap > 0 && s.earlierBuild < 0
-	return s.releaseStatus.Build, s.releaseStatus.Valid && (s.releaseStatus.Phase == OnTrial || last)
+	lastResort := s.releaseStatus.Phase == RollingBack && s.releaseStatus.Cap > 0 && s.earlierBuild < 0
+	return s.releaseStatus.Build, s.releaseStatus.Valid && (s.releaseStatus.Phase == OnTrial || lastResort)
 }
 
 // slotOf is the two-build hash of the design page.
-func hashSlot(k Key, earlier, trial BuildID) int {
-	sum := md5.Sum([]byte(string(k) + "-" + strconv.Itoa(int(earlier)) + "-" + strconv.Itoa(int(trial))))
+func hashSlot(key Key, earlier, trial BuildID) int {
+	sum := md5.Sum([]byte(string(key) + "-" + strconv.Itoa(int(earlier)) + "-" + strconv.Itoa(int(trial))))
 	return int(binary.BigEndian.Uint64(sum[:8]) % 100)
 }
 
 // mayExpose is the window counter: one more hand-off to the trial keeps within free + cap x taken, by the
 // orders and by those before them whose window is not past. For keys new to it the cap is what its workers
 // can carry: a hot one makes few of them slow, which looks like a fault of the build.
-func (s *Sentry) withinExposureBound(t *transaction, met bool) bool {
-	o, most := &s.config, min(s.releaseStatus.Cap, max(oneIf(met), float64(s.trialSlots)/100))
-	over := func(b exposureBound) bool {
-		c, from := t.exposureCounters()[int(oneIf(b.byProfile))], s.now-b.window+s.config.TimerGranularity
-		sent, taken := countAfter(s.exposedTimes[c], from-3*s.config.TimerGranularity), countAfter(s.takenTimes[c], from)
-		return b.until > s.now && float64(sent+1) > b.free+most*float64(taken)
+func (s *Sentry) withinExposureBound(t *transaction, keyOnTrial bool) bool {
+	config, maxShare := &s.config, min(s.releaseStatus.Cap, max(oneIf(keyOnTrial), float64(s.trialSlots)/100))
+	exceeds := func(bound exposureBound) bool {
+		counter, windowStart := t.exposureCounters()[int(oneIf(bound.byProfile))], s.now-bound.window+s.config.TimerGranularity
+		exposed, taken := countAfter(s.exposedTimes[counter], windowStart-3*s.config.TimerGranularity), countAfter(s.takenTimes[counter], windowStart)
+		return bound.until > s.now && float64(exposed+1) > bound.free+maxShare*float64(taken)
 	}
-	now := exposureBound{o.FreeExposure, o.ExposureWindow, o.ExposureByProfile, s.now + 1}
-	return !over(now) && !slices.ContainsFunc(s.formerBounds, over)
+	current := exposureBound{config.FreeExposure, config.ExposureWindow, config.ExposureByProfile, s.now + 1}
+	return !exceeds(current) && !slices.ContainsFunc(s.formerBounds, exceeds)
 }
 
 // learnBuild books an ended hand-off with the builds: the trial's failures beyond the earlier's rate add up.
 func (s *Sentry) recordBuildOutcome(t *transaction, h *handOff) {
-	p := &s.profiles[t.Profile]
+	stats := &s.profiles[t.Profile]
 	_, onTrial := s.trialBuild()
-	newest := s.releaseStatus.Valid && (onTrial || s.releaseStatus.Phase == Released) && h.build == s.releaseStatus.Build
+	ofNewest := s.releaseStatus.Valid && (onTrial || s.releaseStatus.Phase == Released) && h.build == s.releaseStatus.Build
 	// What may have run may have been answered, unread, by either build that the list gave the worker meanwhile.
-	answered := h.mayHaveRun && h.end.Ending != Errored
-	if answered && onTrial && (newest || s.workers[h.worker].Build == s.releaseStatus.Build) {
+	mayBeAnswered := h.mayHaveRun && h.end.Ending != Errored
+	if mayBeAnswered && onTrial && (ofNewest || s.workers[h.worker].Build == s.releaseStatus.Build) {
 		s.trialKeys[t.Key] = s.releaseStatus.Build
 	}
-	took, failed, bar := float64(h.end.Duration), h.end.Ending == Errored, min(lateFactor*p.latencyThreshold, float64(p.DueTime))
-	seen := failed || h.end.Ending == Answered || h.end.Ending == TimedOut && !s.answerLost(h.worker, h.sentAt)
-	if !seen || !newest && h.build != s.earlierBuild {
+	duration, failed, lateThreshold := float64(h.end.Duration), h.end.Ending == Errored, min(lateFactor*stats.latencyThreshold, float64(stats.DueTime))
+	conclusive := failed || h.end.Ending == Answered || h.end.Ending == TimedOut && !s.answerLost(h.worker, h.sentAt)
+	if !conclusive || !ofNewest && h.build != s.earlierBuild {
 		return
 	}
 	age := s.now - s.workerStart(h.worker)
 	warm := !failed && !h.timingInvalid && age >= max(settleTime, s.config.WarmUp)
-	slow := !failed && (h.end.Ending == TimedOut || took > bar)
-	k, miss := missKind(oneIf(slow)), newest && (failed || slow)
-	weight := s.missWeight(h.worker, k, miss)
-	s.ownMisses[k][h.worker] += uint64(oneIf(miss))
-	if newest && h.end.Ending == Answered {
+	isLate := !failed && (h.end.Ending == TimedOut || duration > lateThreshold)
+	kind, miss := missKind(oneIf(isLate)), ofNewest && (failed || isLate)
+	weight := s.missWeight(h.worker, kind, miss)
+	s.ownMisses[kind][h.worker] += uint64(oneIf(miss))
+	if ofNewest && h.end.Ending == Answered {
 		s.wrongAnswerSum = max(0, s.wrongAnswerSum-complaintDecayPerAnswer)
 	}
 	if !s.platformCountsAreCurrent() {
 		if warm {
-			s.judgeFleetLatency(p, took)
+			s.judgeFleetLatency(stats, duration)
 		}
-		trial := h.build != s.earlierBuild || newest && s.judgedOutcomes > 0 // also just released
-		s.recordOutcome(t.Profile, errorMiss, trial, failed, weight)
+		ofTrial := h.build != s.earlierBuild || ofNewest && s.judgedOutcomes > 0 // also just released
+		s.recordOutcome(t.Profile, errorMiss, ofTrial, failed, weight)
 		if warm {
-			s.recordOutcome(t.Profile, lateMiss, h.build != s.earlierBuild, slow, weight)
+			s.recordOutcome(t.Profile, lateMiss, h.build != s.earlierBuild, isLate, weight)
 		}
 	}
 	if h.build != s.earlierBuild {
 		return
 	}
-	p.earlierOutcomes++
+	stats.earlierOutcomes++
 	if warm {
-		rate := max(rateSmoothing, 1/float64(p.earlierOutcomes)) // quick at first, for a trial may begin soon
-		if !s.isJudging() {                                      // paces are to what was usual before the trial
-			p.expectedDuration += rate * (took - p.expectedDuration)
+		smoothing := max(rateSmoothing, 1/float64(stats.earlierOutcomes)) // quick at first, for a trial may begin soon
+		if !s.isJudging() {                                               // paces are to what was usual before the trial
+			stats.expectedDuration += smoothing * (duration - stats.expectedDuration)
 		}
-		p.latencyThreshold += 4 * rate * (oneIf(took > p.latencyThreshold) - aboveThresholdShare) * p.expectedDuration
+		stats.latencyThreshold += 4 * smoothing * (oneIf(duration > stats.latencyThreshold) - aboveThresholdShare) * stats.expectedDuration
 	}
 }
 
 // observe books one outcome, judges it and keeps it for the sentries that collect.
-func (s *Sentry) recordOutcome(id ProfileID, k missKind, trial, hit bool, weight float64) {
-	s.countOutcome(countIndex(id, k, trial), hit)
-	s.judgeOutcomes(id, k, trial, 1, oneIf(hit)*weight)
+func (s *Sentry) recordOutcome(profileID ProfileID, kind missKind, ofTrial, missed bool, weight float64) {
+	s.countOutcome(countIndex(profileID, kind, ofTrial), missed)
+	s.judgeOutcomes(profileID, kind, ofTrial, 1, oneIf(missed)*weight)
 }
 
 // judge takes n outcomes of one build of which so many failed or were late. The earlier build's go into its
 // rate, the trial's excess over that adds up.
-func (s *Sentry) judgeOutcomes(id ProfileID, k missKind, trial bool, n, hits float64) {
-	own, all := &s.profiles[id], &s.allProfiles
-	if !trial {
+func (s *Sentry) judgeOutcomes(profileID ProfileID, kind missKind, ofTrial bool, outcomes, misses float64) {
+	stats, total := &s.profiles[profileID], &s.allProfiles
+	if !ofTrial {
 		s.earlierOutcomeAt = s.now
-		own.earlierMissRate[k] += (1 - math.Pow(1-rateSmoothing, n)) * (hits/n - own.earlierMissRate[k])
+		stats.earlierMissRate[kind] += (1 - math.Pow(1-rateSmoothing, outcomes)) * (misses/outcomes - stats.earlierMissRate[kind])
 		return
 	}
-	by := errorWeight * (hits - n*(own.earlierMissRate[errorMiss]+toleratedErrorShare))
-	if k == lateMiss {
-		if s.now-s.earlierOutcomeAt >= second || own.earlierMissRate[lateMiss] >= overloadLateRate {
+	excess := errorWeight * (misses - outcomes*(stats.earlierMissRate[errorMiss]+toleratedErrorShare))
+	if kind == lateMiss {
+		if s.now-s.earlierOutcomeAt >= second || stats.earlierMissRate[lateMiss] >= overloadLateRate {
 			return
 		}
 		load := max(1, s.fleetCapacity*s.trialShare()/max(s.capacity(s.releaseStatus.Build), 1e-9)) * s.relativeLoad()
-		by = lateWeight * (hits - n*(2*own.earlierMissRate[lateMiss]+toleratedLateShare*s.expectedSlowdown(load))) * s.lateMeter.addAndWeigh(s.now, n)
+		excess = lateWeight * (misses - outcomes*(2*stats.earlierMissRate[lateMiss]+toleratedLateShare*s.expectedSlowdown(load))) * s.lateMeter.addAndWeigh(s.now, outcomes)
 	} else {
-		s.judgedOutcomes += int(n)
+		s.judgedOutcomes += int(outcomes)
 	}
-	own.trialExcess[k], all.trialExcess[k] = max(0, own.trialExcess[k]+by), max(0, all.trialExcess[k]+by)
+	stats.trialExcess[kind], total.trialExcess[kind] = max(0, stats.trialExcess[kind]+excess), max(0, total.trialExcess[kind]+excess)
 }
 
 // judgeAll compares all workers, of either build, with what answers took before the trial began: a build may
 // slow the whole fleet. Nothing is held against it where the fleet bears clearly more than then (a burst,
 // workers lost), where a quarter of the workers (of many sentries' answers, half) is as quick as ever, or
 // long after the release. It can harm a build when all slow down for a reason that no load shows.
-func (s *Sentry) judgeFleetLatency(p *profileStats, took float64) {
-	if !s.isJudging() || p.baselineThreshold == 0 {
+func (s *Sentry) judgeFleetLatency(stats *profileStats, duration float64) {
+	if !s.isJudging() || stats.baselineThreshold == 0 {
 		return
 	}
-	slow := took > min(fleetSlowFactor*p.baselineThreshold, float64(p.DueTime)) &&
+	slow := duration > min(fleetSlowFactor*stats.baselineThreshold, float64(stats.DueTime)) &&
 		(s.cooperates() || s.lowerQuartileLatencyRatio() > fleetSlowLatencyRatio*s.expectedSlowdown(s.relativeLoad()))
 	s.countOutcome(len(s.outcomeCounts)-4, slow)
 	s.addFleetOutcomes(1, oneIf(slow))
 }
 
-func (s *Sentry) addFleetOutcomes(n, slow float64) {
-	slack := toleratedFleetSlowShare
+func (s *Sentry) addFleetOutcomes(outcomes, slowOutcomes float64) {
+	tolerated := toleratedFleetSlowShare
 	if s.cooperates() {
-		first := oneIf(s.releaseStatus.Stage == 0) // what is slow with next to no trial is no fault of it
-		s.firstStageOutcomes, s.firstStageSlow = s.firstStageOutcomes+first*n, s.firstStageSlow+first*slow
-		slack = max(minToleratedSlowShare, min(maxToleratedSlowShare, 0.8*minToleratedSlowShare+s.firstStageSlow/max(1, s.firstStageOutcomes)))
-		slack *= s.expectedSlowdown(s.relativeLoad())
+		inFirstStage := oneIf(s.releaseStatus.Stage == 0) // what is slow with next to no trial is no fault of it
+		s.firstStageOutcomes, s.firstStageSlow = s.firstStageOutcomes+inFirstStage*outcomes, s.firstStageSlow+inFirstStage*slowOutcomes
+		tolerated = max(minToleratedSlowShare, min(maxToleratedSlowShare, 0.8*minToleratedSlowShare+s.firstStageSlow/max(1, s.firstStageOutcomes)))
+		tolerated *= s.expectedSlowdown(s.relativeLoad())
 	}
-	s.fleetSlowExcess = max(0, s.fleetSlowExcess+(slow-n*slack)*s.fleetMeter.addAndWeigh(s.now, n))
+	s.fleetSlowExcess = max(0, s.fleetSlowExcess+(slowOutcomes-outcomes*tolerated)*s.fleetMeter.addAndWeigh(s.now, outcomes))
 }
 
 // part is how much n more outcomes count each: times of one second hang together in a jam.
-func (m *rateMeter) addAndWeigh(now Micros, n float64) float64 {
-	m.rate, m.at = m.rate*math.Exp(-float64(now-m.at)/float64(second))+n, now
-	return fullWeightPerSecond / max(m.rate, fullWeightPerSecond)
+func (meter *rateMeter) addAndWeigh(now Micros, outcomes float64) float64 {
+	meter.rate, meter.at = meter.rate*math.Exp(-float64(now-meter.at)/float64(second))+outcomes, now
+	return fullWeightPerSecond / max(meter.rate, fullWeightPerSecond)
 }
 
 // byLoad is how much slower than before the trial workers may be for this load alone.
@@ -883,54 +883,54 @@
 // watched says whether the newest build is on trial or freshly released; hundreds of sentries see what is
 // slow everywhere long before each has met the trial itself.
 func (s *Sentry) isJudging() bool {
-	on := s.releaseStatus.Phase == OnTrial
-	return (s.judgedOutcomes > 0 || on && s.cooperates()) && (on || s.now-s.statusSince <= 2*observationTime)
+	onTrial := s.releaseStatus.Phase == OnTrial
+	return (s.judgedOutcomes > 0 || onTrial && s.cooperates()) && (onTrial || s.now-s.statusSince <= 2*observationTime)
 }
 
 // quickPace is the pace that a quarter of the ready workers keeps or beats.
 func (s *Sentry) lowerQuartileLatencyRatio() float64 {
-	paces := []float64{1}
-	for b, r := range s.buildWorkers {
-		for _, w := range r.ready[:min(r.subsetSize, len(r.ready))] {
-			if (b == s.earlierBuild || b == s.releaseStatus.Build) && s.warmUpCapacity(w, s.now) == 1 && s.slowRecency(w) > 0 {
-				paces = append(paces, s.latencyRatio[w])
+	ratios := []float64{1}
+	for build, workers := range s.buildWorkers {
+		for _, w := range workers.ready[:min(workers.subsetSize, len(workers.ready))] {
+			if (build == s.earlierBuild || build == s.releaseStatus.Build) && s.warmUpCapacity(w, s.now) == 1 && s.slowRecency(w) > 0 {
+				ratios = append(ratios, s.latencyRatio[w])
 			}
 		}
 	}
-	slices.Sort(paces[1:])
-	return paces[min(len(paces)-1, (len(paces)+3)/4)]
+	slices.Sort(ratios[1:])
+	return ratios[min(len(ratios)-1, (len(ratios)+3)/4)]
 }
 
 // weigh counts a miss of a worker of the trial for less the more this worker has missed beyond its even part
 // of all. It guards against a machine's own trouble (failing fast, slow, shared with another program); it
 // costs time where a bad build has very few workers of which one gets most of the traffic.
-func (s *Sentry) missWeight(w int, k missKind, miss bool) float64 {
+func (s *Sentry) missWeight(w int, kind missKind, miss bool) float64 {
 	if !miss {
 		return 1
 	}
-	n := max(1, float64(s.readyCount(s.workers[w].Build)))
-	prior, part := n, min(1, manyTrialWorkers/n)
+	workers := max(1, float64(s.readyCount(s.workers[w].Build)))
+	prior, workerWeight := workers, min(1, manyTrialWorkers/workers)
 	if s.cooperates() { // so many misses a second that a few workers' first ones would do
-		prior, part = n*part, 1
+		prior, workerWeight = workers*workerWeight, 1
 	}
-	even := min(1, (s.totalTrialMisses[k]+prior)/(n*(s.trialMisses[k][w]+1)))
-	s.totalTrialMisses[k]++
-	s.trialMisses[k][w]++
-	return even * even * part
+	evenShare := min(1, (s.totalTrialMisses[kind]+prior)/(workers*(s.trialMisses[kind][w]+1)))
+	s.totalTrialMisses[kind]++
+	s.trialMisses[kind][w]++
+	return evenShare * evenShare * workerWeight
 }
 
 // Complained takes a client's word that an answer was wrong as an error of that build. Where each judges by
 // itself and no count shows it, one votes back for some answers, since many must do so at a time: false ones
 // are too few. One on the earlier build takes one away. It can harm a build where few votes send it back.
-func (s *Sentry) ComplaintReceived(now Micros, c Complaint) Result {
+func (s *Sentry) ComplaintReceived(now Micros, complaint Complaint) Result {
 	return s.handleEvent(now, func() {
-		if w, known := s.workerIndex[c.Worker]; known && c.Profile >= 0 && int(c.Profile) < len(s.profiles) {
-			newest := s.releaseStatus.Valid && s.workers[w].Build == s.releaseStatus.Build
+		if w, known := s.workerIndex[complaint.Worker]; known && complaint.Profile >= 0 && int(complaint.Profile) < len(s.profiles) {
+			ofNewest := s.releaseStatus.Valid && s.workers[w].Build == s.releaseStatus.Build
 			if s.judgesByPlatformCounts() { // they do not see it, and nobody else will tell
-				s.wrongAnswerSum = max(0, s.wrongAnswerSum+complaintWeight*(2*oneIf(newest && s.isJudging())-1))
+				s.wrongAnswerSum = max(0, s.wrongAnswerSum+complaintWeight*(2*oneIf(ofNewest && s.isJudging())-1))
 				return
 			}
-			s.recordOutcome(c.Profile, errorMiss, newest, true, s.missWeight(w, errorMiss, newest))
+			s.recordOutcome(complaint.Profile, errorMiss, ofNewest, true, s.missWeight(w, errorMiss, ofNewest))
 		}
 	})
 }
@@ -956,11 +956,11 @@
 func (s *Sentry) cooperates() bool { return s.config.MayMessage && s.config.Sentries >= manySentries }
 
 // collectorsAt names the sentries that collect in this trial, by position.
-func (s *Sentry) collectors() (at []SentryID) {
+func (s *Sentry) collectors() (positions []SentryID) {
 	for i := range collectorCount {
-		at = append(at, SentryID((int(s.releaseStatus.Build)+i*s.config.Sentries/collectorCount)%s.config.Sentries))
+		positions = append(positions, SentryID((int(s.releaseStatus.Build)+i*s.config.Sentries/collectorCount)%s.config.Sentries))
 	}
-	return at
+	return positions
 }
 
 func (s *Sentry) isCollector() bool { return slices.Contains(s.collectors(), s.config.Position) }
@@ -968,13 +968,13 @@
 // pool sends what this sentry has counted to the collectors, and what a collector makes of all to all. Counts
 // are sent whole each time, so that a lost message or a restart of either side loses nothing for long. It
 // guards against judging on very little; where messages are lost each judges by itself.
-func (s *Sentry) sendReports(v Verdict) {
+func (s *Sentry) sendReports(verdict Verdict) {
 	if !s.config.MayMessage || s.now < s.nextReportAt {
 		return
 	}
 	s.nextReportAt = s.now + second*3/4
 	if s.isCollector() {
-		body := encodeMessage(messageVerdict, []uint64{uint64(s.releaseStatus.Build), uint64(s.releaseStatus.Stage), uint64(v)})
+		body := encodeMessage(messageVerdict, []uint64{uint64(s.releaseStatus.Build), uint64(s.releaseStatus.Stage), uint64(verdict)})
 		s.result.Messages = append(s.result.Messages, Message{To: EverySentry, Body: body})
 	}
 	values := s.ownReport(maxReportedWorkers)
@@ -1000,8 +1000,8 @@
 
 // shares says whether this sentry is in a group with others.
 func (s *Sentry) inGroup() bool {
-	r := s.buildWorkers[s.earlierBuild]
-	return s.cooperates() && r != nil && r.groupWorkers >= minGroupWorkers
+	workers := s.buildWorkers[s.earlierBuild]
+	return s.cooperates() && workers != nil && workers.groupWorkers >= minGroupWorkers
 }
 
 // ours says whether a worker is one of this sentry's group.
@@ -1010,12 +1010,12 @@
 }
 
 // tellNear tells the others of the group what became of a hand-off to one of its workers.
-func (s *Sentry) notifyGroup(w int, what byte) {
+func (s *Sentry) notifyGroup(w int, kind byte) {
 	if !s.inGroup() || s.rank[w] >= otherGroupRank {
 		return
 	}
-	body, g := encodeMessage(what, []uint64{shortID(s.workers[w].ID)}), s.groupCount()
-	for i := int(s.config.Position) % g; i < s.config.Sentries; i += g {
+	body, groups := encodeMessage(kind, []uint64{shortID(s.workers[w].ID)}), s.groupCount()
+	for i := int(s.config.Position) % groups; i < s.config.Sentries; i += groups {
 		if SentryID(i) != s.config.Position {
 			s.result.Messages = append(s.result.Messages, Message{To: SentryID(i), Body: body})
 		}
@@ -1033,20 +1033,20 @@
 // PeerSaid takes a message. What does not hold together is dropped.
 func (s *Sentry) PeerMessageReceived(now Micros, from SentryID, body []byte) Result {
 	return s.handleEvent(now, func() {
-		what, values := decodeMessage(body)
-		known := from >= 0 && int(from) < s.config.Sentries && from != s.config.Position
+		kind, values := decodeMessage(body)
+		validSender := from >= 0 && int(from) < s.config.Sentries && from != s.config.Position
 		switch {
-		case known && (what == messageHandOff || what == messageHandOffEnded) && len(values) == 1:
-			if w, named := s.byShortID[values[0]]; named {
-				more := 1 - 2*oneIf(what == messageHandOffEnded)
-				s.groupOpen[w], s.groupOpenAt[w] = max(0, s.groupOpenNow(w)+more), s.now
+		case validSender && (kind == messageHandOff || kind == messageHandOffEnded) && len(values) == 1:
+			if w, known := s.byShortID[values[0]]; known {
+				change := 1 - 2*oneIf(kind == messageHandOffEnded)
+				s.groupOpen[w], s.groupOpenAt[w] = max(0, s.groupOpenNow(w)+change), s.now
 			}
-		case !known || len(values) == 0 || !s.releaseStatus.Valid || BuildID(values[0]) != s.releaseStatus.Build:
-		case what == messageVerdict && len(values) == 3 && values[2] <= uint64(RollBack):
-			if v := Verdict(values[2]); v >= s.collectorVerdict || s.now-s.collectorVerdictAt >= collectorVerdictLifetime {
-				s.collectorVerdict, s.collectorVerdictAt, s.collectorVerdictStage = v, s.now, int(values[1]) // the strongest heard lately
+		case !validSender || len(values) == 0 || !s.releaseStatus.Valid || BuildID(values[0]) != s.releaseStatus.Build:
+		case kind == messageVerdict && len(values) == 3 && values[2] <= uint64(RollBack):
+			if verdict := Verdict(values[2]); verdict >= s.collectorVerdict || s.now-s.collectorVerdictAt >= collectorVerdictLifetime {
+				s.collectorVerdict, s.collectorVerdictAt, s.collectorVerdictStage = verdict, s.now, int(values[1]) // the strongest heard lately
 			}
-		case what == messageReport && len(values) >= len(s.outcomeCounts)+3 && values[2] == uint64(len(s.outcomeCounts)) && s.isCollector():
+		case kind == messageReport && len(values) >= len(s.outcomeCounts)+3 && values[2] == uint64(len(s.outcomeCounts)) && s.isCollector():
 			s.mergeReport(from, report{values[1], values[3 : len(s.outcomeCounts)+3], values[len(s.outcomeCounts)+3:]})
 		}
 	})
@@ -1055,34 +1055,34 @@
 // Counted takes what the platform counted of a build. It stands in for messages: where its sample is more
 // than this sentry sees itself, the sums go by it and not by this sentry's own outcomes, so that none counts
 // twice. All sentries then err alike; own outcomes judge again when no counts have come for some periods.
-func (s *Sentry) CountsReceived(now Micros, c BuildCounts) Result {
+func (s *Sentry) CountsReceived(now Micros, counts BuildCounts) Result {
 	return s.handleEvent(now, func() {
-		if c.Profile < 0 || int(c.Profile) >= len(s.profiles) || c.HandOffs <= 0 || !s.judgesByPlatformCounts() {
+		if counts.Profile < 0 || int(counts.Profile) >= len(s.profiles) || counts.HandOffs <= 0 || !s.judgesByPlatformCounts() {
 			return
 		}
 		s.platformCountsAt = s.now
-		p, n, failed := &s.profiles[c.Profile], float64(c.HandOffs), float64(min(c.HandOffs, c.Failed))
-		newest := s.releaseStatus.Valid && c.Build == s.releaseStatus.Build && (c.Build != s.earlierBuild || s.judgedOutcomes > 0)
-		if !newest && c.Build != s.earlierBuild {
+		stats, handOffs, failed := &s.profiles[counts.Profile], float64(counts.HandOffs), float64(min(counts.HandOffs, counts.Failed))
+		ofNewest := s.releaseStatus.Valid && counts.Build == s.releaseStatus.Build && (counts.Build != s.earlierBuild || s.judgedOutcomes > 0)
+		if !ofNewest && counts.Build != s.earlierBuild {
 			return
 		}
-		if newest { // of any kind, a worker's death too; this sentry's own tell how many are errors
-			failed = max(0, failed*(s.ownErrors+1)/(s.ownFailures+1)-n*(toleratedFailureIncrease+max(p.earlierMissRate[errorMiss], p.earlierFailedShare)))
+		if ofNewest { // of any kind, a worker's death too; this sentry's own tell how many are errors
+			failed = max(0, failed*(s.ownErrors+1)/(s.ownFailures+1)-handOffs*(toleratedFailureIncrease+max(stats.earlierMissRate[errorMiss], stats.earlierFailedShare)))
 		} else {
-			p.earlierFailedShare = failed / n
+			stats.earlierFailedShare = failed / handOffs
 		}
-		if !newest || s.now-s.earlierOutcomeAt <= platformCountsValidPeriods*s.config.CountsPeriod { // else nothing tells what is usual now
-			s.judgeOutcomes(c.Profile, errorMiss, newest, n, failed)
+		if !ofNewest || s.now-s.earlierOutcomeAt <= platformCountsValidPeriods*s.config.CountsPeriod { // else nothing tells what is usual now
+			s.judgeOutcomes(counts.Profile, errorMiss, ofNewest, handOffs, failed)
 		}
-		at := s.now - c.Age - s.config.CountsPeriod/2
-		s.addPeriodMean(p, n-float64(c.Failed), float64(c.MeanDuration), newest, at)
+		periodMiddle := s.now - counts.Age - s.config.CountsPeriod/2
+		s.addPeriodMean(stats, handOffs-float64(counts.Failed), float64(counts.MeanDuration), ofNewest, periodMiddle)
 	})
 }
 
 // countsRule says whether the platform's counts drive the sums.
 func (s *Sentry) judgesByPlatformCounts() bool {
-	o := &s.config
-	return o.CountsPeriod > 0 && !o.MayMessage && o.CountsSampleShare*float64(o.Sentries) > 1
+	config := &s.config
+	return config.CountsPeriod > 0 && !config.MayMessage && config.CountsSampleShare*float64(config.Sentries) > 1
 }
 
 // counted says whether they do so now.
@@ -1092,18 +1092,18 @@
 
 // tellMeans adds a mean time to those of its period, over all profiles: of the trial, the warmth of its
 // workers then allowed for, and of all.
-func (s *Sentry) addPeriodMean(p *profileStats, n, mean float64, newest bool, at Micros) {
-	if n <= 0 || mean <= 0 {
+func (s *Sentry) addPeriodMean(stats *profileStats, answers, mean float64, ofNewest bool, at Micros) {
+	if answers <= 0 || mean <= 0 {
 		return
 	}
-	if newest {
+	if ofNewest {
 		mean *= s.buildWarmUpCapacity(s.releaseStatus.Build, at)
-	} else if p.earlierMean += max(meanSmoothing, oneIf(p.earlierMean == 0)) * (mean - p.earlierMean); !s.isJudging() {
-		p.baselineMean = p.earlierMean
+	} else if stats.earlierMean += max(meanSmoothing, oneIf(stats.earlierMean == 0)) * (mean - stats.earlierMean); !s.isJudging() {
+		stats.baselineMean = stats.earlierMean
 	}
-	for i := range s.periodMeans[:1+int(oneIf(newest))] {
-		if m := &s.periodMeans[i]; p.baselineMean > 0 {
-			m.answers, m.duration, m.baselineDuration, m.earlierDuration = m.answers+n, m.duration+n*mean, m.baselineDuration+n*p.baselineMean, m.earlierDuration+n*p.earlierMean
+	for i := range s.periodMeans[:1+int(oneIf(ofNewest))] {
+		if means := &s.periodMeans[i]; stats.baselineMean > 0 {
+			means.answers, means.duration, means.baselineDuration, means.earlierDuration = means.answers+answers, means.duration+answers*mean, means.baselineDuration+answers*stats.baselineMean, means.earlierDuration+answers*stats.earlierMean
 		}
 	}
 }
@@ -1121,14 +1121,14 @@
 	}
 	load := max(1, perSecond/max(s.baselinePlatformRate, 1e-9)) * max(1, s.baselineCapacity/max(s.fleetCapacity, 1e-9))
 	if all.answers > 0 {
-		slow := min(1, max(0, all.duration/all.baselineDuration/s.expectedSlowdown(load)-1))
-		s.fleetSlowExcess = max(0, s.fleetSlowExcess+lateWeight*all.answers*(slow-toleratedMeanIncrease)*s.fleetMeter.addAndWeigh(s.now, all.answers))
+		slowShare := min(1, max(0, all.duration/all.baselineDuration/s.expectedSlowdown(load)-1))
+		s.fleetSlowExcess = max(0, s.fleetSlowExcess+lateWeight*all.answers*(slowShare-toleratedMeanIncrease)*s.fleetMeter.addAndWeigh(s.now, all.answers))
 	}
 	if trial.answers > 0 {
 		load *= max(1, s.baselineCapacity*float64(s.trialSlots)/max(100*s.capacity(s.releaseStatus.Build), 1e-9))
-		longer := trial.duration / max(trial.earlierDuration, trial.baselineDuration*s.expectedSlowdown(load))
+		ratio := trial.duration / max(trial.earlierDuration, trial.baselineDuration*s.expectedSlowdown(load))
 		weight := lateWeight * trial.answers * s.lateMeter.addAndWeigh(s.now, trial.answers)
-		s.allProfiles.trialExcess[lateMiss] = max(0, s.allProfiles.trialExcess[lateMiss]+weight*(min(1, max(0, longer-1))-toleratedMeanIncrease))
+		s.allProfiles.trialExcess[lateMiss] = max(0, s.allProfiles.trialExcess[lateMiss]+weight*(min(1, max(0, ratio-1))-toleratedMeanIncrease))
 	}
 }
 
@@ -1152,48 +1152,48 @@
 		return
 	}
 	s.rampTrialSlots()
-	v := Vote{Build: s.releaseStatus.Build, Stage: s.releaseStatus.Stage, Verdict: s.decideVerdict()}
-	s.sendReports(v.Verdict)
-	if v.Verdict != NoVerdict && (v != s.lastVote || s.lastVoteAt == 0 || s.now-s.lastVoteAt >= s.config.VoteTTL*6/10) {
-		if v != s.lastVote && (s.isCollector() || s.config.Sentries < manySentries) {
-			s.logVote(v.Verdict)
+	vote := Vote{Build: s.releaseStatus.Build, Stage: s.releaseStatus.Stage, Verdict: s.decideVerdict()}
+	s.sendReports(vote.Verdict)
+	if vote.Verdict != NoVerdict && (vote != s.lastVote || s.lastVoteAt == 0 || s.now-s.lastVoteAt >= s.config.VoteTTL*6/10) {
+		if vote != s.lastVote && (s.isCollector() || s.config.Sentries < manySentries) {
+			s.logVote(vote.Verdict)
 		}
-		s.result.Votes = append(s.result.Votes, v)
-		s.lastVote, s.lastVoteAt = v, s.now
+		s.result.Votes = append(s.result.Votes, vote)
+		s.lastVote, s.lastVoteAt = vote, s.now
 	}
 }
 
 func (s *Sentry) decideVerdict() Verdict {
-	o, patience, limit, sums, collects := &s.config, observationTime, rollBackExcess, s.excessSums(), s.isCollector()
-	if !o.MayMessage || !collects { // the more may vote, the less a chance sum may decide
-		limit += math.Log(1 + float64(o.Sentries)/float64(10*max(1, o.RollBackVotes)))
-		sums = sums[int(oneIf(s.cooperates())):] // what is slow among all it does not see
+	config, minObservation, limit, excesses, isCollector := &s.config, observationTime, rollBackExcess, s.excessSums(), s.isCollector()
+	if !config.MayMessage || !isCollector { // the more may vote, the less a chance sum may decide
+		limit += math.Log(1 + float64(config.Sentries)/float64(10*max(1, config.RollBackVotes)))
+		excesses = excesses[int(oneIf(s.cooperates())):] // what is slow among all it does not see
 	}
 	limit *= 1 + releasedLimitIncrease*oneIf(s.releaseStatus.Phase == Released)
-	if s.collectorVerdictAt > s.now-collectorVerdictLifetime && !collects && (s.cooperates() || s.fleetSlowExcess <= limit) {
-		if max(o.AdvanceVotes, o.RollBackVotes, o.HoldVotes) <= collectorCount || s.collectorVerdictStage != s.releaseStatus.Stage {
+	if s.collectorVerdictAt > s.now-collectorVerdictLifetime && !isCollector && (s.cooperates() || s.fleetSlowExcess <= limit) {
+		if max(config.AdvanceVotes, config.RollBackVotes, config.HoldVotes) <= collectorCount || s.collectorVerdictStage != s.releaseStatus.Stage {
 			return NoVerdict // theirs are enough, or not yet of this stage
 		}
 		return s.collectorVerdict
 	}
-	sum := slices.Max(sums)
-	if s.rollBackDecided = s.rollBackDecided || sum > limit; s.rollBackDecided || s.wrongAnswerSum > limit {
+	maxExcess := slices.Max(excesses)
+	if s.rollBackDecided = s.rollBackDecided || maxExcess > limit; s.rollBackDecided || s.wrongAnswerSum > limit {
 		return RollBack
 	}
-	patience *= 1 + Micros(2*oneIf(o.MayMessage && !collects)) // others may know more
-	r := s.buildWorkers[s.releaseStatus.Build]
-	switch timer := o.Control == ControlTimer; {
-	case s.releaseStatus.Phase == Released || r == nil || len(r.ready) == 0:
+	minObservation *= 1 + Micros(2*oneIf(config.MayMessage && !isCollector)) // others may know more
+	workers := s.buildWorkers[s.releaseStatus.Build]
+	switch timerControl := config.Control == ControlTimer; {
+	case s.releaseStatus.Phase == Released || workers == nil || len(workers.ready) == 0:
 		return NoVerdict
-	case timer && sum > maxAdvanceExcess:
+	case timerControl && maxExcess > maxAdvanceExcess:
 		return Hold
-	case timer || sum >= maxAdvanceExcess:
+	case timerControl || maxExcess >= maxAdvanceExcess:
 		return NoVerdict
 	}
 	// The release takes the earlier workers away: before it, all is looked at under full load for a while.
-	last := o.EarlierWorkersStay && s.releaseStatus.Stage+1 >= len(o.StageCaps)
-	settled := s.now - max(s.statusSince, r.youngestStart) - Micros(oneIf(last))*o.WarmUp/lastStageWarmUpDivisor
-	if settled >= patience || settled >= settleTime && s.judgedOutcomes >= minSampleSize {
+	lastStage := config.EarlierWorkersStay && s.releaseStatus.Stage+1 >= len(config.StageCaps)
+	observed := s.now - max(s.statusSince, workers.youngestStart) - Micros(oneIf(lastStage))*config.WarmUp/lastStageWarmUpDivisor
+	if observed >= minObservation || observed >= settleTime && s.judgedOutcomes >= minSampleSize {
 		return Advance
 	}
 	return NoVerdict
--- a/logic/state.go
+++ b/logic/state.go
@@ -162,14 +162,14 @@
 }
 
 // New makes a sentry from its orders and the seed of its chance.
-func New(o Config, seed int64) *Sentry {
+func New(config Config, seed int64) *Sentry {
 	s := &Sentry{
 		random: rand.New(rand.NewSource(seed)), openTransactions: map[TransactionID]*transaction{}, workerIndex: map[WorkerID]int{},
 		byShortID: map[uint64]int{}, buildWorkers: map[BuildID]*buildWorkers{}, rolledBack: map[BuildID]bool{},
 		trialKeys: map[Key]BuildID{}, givenUp: map[Key]int{}, takenTimes: make([][]Micros, 1), exposedTimes: make([][]Micros, 1),
 	}
 	s.runID = uint64(s.random.Uint32())
-	s.applyConfig(o)
+	s.applyConfig(config)
 	s.startTrial()
 	return s
 }
@@ -191,16 +191,16 @@
 }
 
 // before is what the report r adds to, nothing after a restart of its sentry, and whether r can follow it.
-func (old report) previousFor(r report) (report, bool) {
-	if old.runID != r.runID || old.counts == nil {
-		old = report{counts: make([]uint64, len(r.counts))}
+func (previous report) previousFor(next report) (report, bool) {
+	if previous.runID != next.runID || previous.counts == nil {
+		previous = report{counts: make([]uint64, len(next.counts))}
 	}
-	for i := range r.counts {
-		if r.counts[i] < old.counts[i] || i%2 == 1 && r.counts[i] > r.counts[i-1] {
-			return old, false
+	for i := range next.counts {
+		if next.counts[i] < previous.counts[i] || i%2 == 1 && next.counts[i] > next.counts[i-1] {
+			return previous, false
 		}
 	}
-	return old, true
+	return previous, true
 }
 
 // miss is one failed or late outcome of a worker that a report tells, of so many new ones of its kind.
@@ -211,32 +211,32 @@
 }
 
 // newMisses lists the misses that a report tells and the one before it did not.
-func (s *Sentry) missesSince(old, r report) (at []miss) {
-	before, of := map[uint64]uint64{}, [missKinds]float64{}
-	for i := 0; i+1 < len(old.misses); i += 2 {
-		before[old.misses[i]] = old.misses[i+1]
-	}
-	for i := 0; i+1 < len(r.misses); i += 2 {
-		k := missKind(r.misses[i] % uint64(missKinds))
-		w, known := s.byShortID[r.misses[i]/uint64(missKinds)]
-		for n := before[r.misses[i]]; known && n < r.misses[i+1] && len(at) < 1000; n++ {
-			at = append(at, miss{worker: w, kind: k})
-			of[k]++
+func (s *Sentry) missesSince(previous, next report) (misses []miss) {
+	reported, ofKind := map[uint64]uint64{}, [missKinds]float64{}
+	for i := 0; i+1 < len(previous.misses); i += 2 {
+		reported[previous.misses[i]] = previous.misses[i+1]
+	}
+	for i := 0; i+1 < len(next.misses); i += 2 {
+		kind := missKind(next.misses[i] % uint64(missKinds))
+		worker, known := s.byShortID[next.misses[i]/uint64(missKinds)]
+		for n := reported[next.misses[i]]; known && n < next.misses[i+1] && len(misses) < 1000; n++ {
+			misses = append(misses, miss{worker: worker, kind: kind})
+			ofKind[kind]++
 		}
 	}
-	for i := range at {
-		at[i].newOfKind = of[at[i].kind]
+	for i := range misses {
+		misses[i].newOfKind = ofKind[misses[i].kind]
 	}
-	return at
+	return misses
 }
 
 // appendMisses appends the misses of the workers that have any, for a report.
-func (s *Sentry) appendMisses(values []uint64, most int) []uint64 {
-	for k := range missKinds {
-		for w, n := range s.ownMisses[k] {
-			if n > 0 && most > 0 {
-				values = append(values, shortID(s.workers[w].ID)*uint64(missKinds)+uint64(k), n)
-				most--
+func (s *Sentry) appendMisses(values []uint64, maxWorkers int) []uint64 {
+	for kind := range missKinds {
+		for w, count := range s.ownMisses[kind] {
+			if count > 0 && maxWorkers > 0 {
+				values = append(values, shortID(s.workers[w].ID)*uint64(missKinds)+uint64(kind), count)
+				maxWorkers--
 			}
 		}
 	}
@@ -270,14 +270,14 @@
 
 // addWorker gives a new worker a row, one of a worker long gone if there is one, and its place in this sentry's
 // order.
-func (s *Sentry) addWorker(in Worker, rank float64) int {
+func (s *Sentry) addWorker(line Worker, rank float64) int {
 	w := 0
 	for w < len(s.workers) && !(s.workers[w].State == Gone && s.openByWorker[w] == 0 && s.now-s.goneSince[w] > s.maxDeadline) {
 		w++
 	}
 	if w < len(s.workers) {
 		delete(s.workerIndex, s.workers[w].ID)
-		s.workerOrder = slices.DeleteFunc(s.workerOrder, func(v int) bool { return v == w })
+		s.workerOrder = slices.DeleteFunc(s.workerOrder, func(other int) bool { return other == w })
 	} else {
 		s.workers = append(s.workers, Worker{})
 		s.openByWorker, s.otherLoad = append(s.openByWorker, 0), append(s.otherLoad, 0)
@@ -286,8 +286,8 @@
 		s.consecutiveFailures, s.coldHandOffs = append(s.consecutiveFailures, 0), append(s.coldHandOffs, nil)
 		s.randomAllowance = append(s.randomAllowance, 0)
 		s.groupOpen, s.groupOpenAt = append(s.groupOpen, 0), append(s.groupOpenAt, 0)
-		for k := range missKinds {
-			s.trialMisses[k], s.ownMisses[k] = append(s.trialMisses[k], 0), append(s.ownMisses[k], 0)
+		for kind := range missKinds {
+			s.trialMisses[kind], s.ownMisses[kind] = append(s.trialMisses[kind], 0), append(s.ownMisses[kind], 0)
 		}
 		s.goneSince, s.workerLeases = append(s.goneSince, 0), append(s.workerLeases, workerLease{})
 		s.lastAnswerAt, s.nonLoadFailureRate = append(s.lastAnswerAt, 0), append(s.nonLoadFailureRate, 0)
@@ -296,10 +296,10 @@
 		s.rank = append(s.rank, 0)
 	}
 	s.workers[w] = Worker{Build: -1} // none: the line that renews the row clears it
-	s.workerIndex[in.ID], s.byShortID[shortID(in.ID)], s.rank[w] = w, w, rank
+	s.workerIndex[line.ID], s.byShortID[shortID(line.ID)], s.rank[w] = w, w, rank
 	s.seenAt[w], s.randomAllowanceUntil[w], s.answeredSentTimes[w], s.coldHandOffs[w] = 0, 0, [laterAnswersIfLost]Micros{}, nil
-	at, _ := slices.BinarySearchFunc(s.workerOrder, rank, func(v int, r float64) int { return cmp.Compare(s.rank[v], r) })
-	s.workerOrder = slices.Insert(s.workerOrder, at, w)
+	position, _ := slices.BinarySearchFunc(s.workerOrder, rank, func(other int, target float64) int { return cmp.Compare(s.rank[other], target) })
+	s.workerOrder = slices.Insert(s.workerOrder, position, w)
 	return w
 }
 
@@ -307,15 +307,15 @@
 const messageReport, messageVerdict, messageHandOff, messageHandOffEnded = 1, 2, 3, 4
 
 // pack makes a message of one kind of whole numbers; unpack gives none where it is not such a message.
-func encodeMessage(what byte, values []uint64) []byte {
-	body := []byte{what}
+func encodeMessage(kind byte, values []uint64) []byte {
+	body := []byte{kind}
 	for _, x := range values {
 		body = binary.AppendUvarint(body, x)
 	}
 	return body
 }
 
-func decodeMessage(body []byte) (what byte, values []uint64) {
+func decodeMessage(body []byte) (kind byte, values []uint64) {
 	if len(body) == 0 {
 		return 0, nil
 	}
@@ -331,27 +331,27 @@
 
 func (s *Sentry) wakeUp(at Micros, t *transaction) {
 	at = max(at, s.now+1)
-	later := func(a wakeUp, at Micros) int { return cmp.Compare(a.at, at) }
-	i, _ := slices.BinarySearchFunc(s.wakeUps, at+1, later)
-	s.wakeUps = slices.Insert(s.wakeUps, i, wakeUp{at, t})
+	compare := func(pending wakeUp, at Micros) int { return cmp.Compare(pending.at, at) }
+	position, _ := slices.BinarySearchFunc(s.wakeUps, at+1, compare)
+	s.wakeUps = slices.Insert(s.wakeUps, position, wakeUp{at, t})
 }
 
 func percent(share float64) int { return int(100*share + 1e-9) }
 
-func oneIf(hit bool) float64 {
-	if hit {
+func oneIf(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
 }
 
 // trim drops the times up to and including from; since counts those after it. Both want them in order.
-func dropUpTo(times []Micros, from Micros) []Micros {
-	n := 0
-	for n < len(times) && times[n] <= from { // each is passed once, mostly one at a time
-		n++
+func dropUpTo(times []Micros, until Micros) []Micros {
+	expired := 0
+	for expired < len(times) && times[expired] <= until { // each is passed once, mostly one at a time
+		expired++
 	}
-	return times[n:]
+	return times[expired:]
 }
 
 func countAfter(times []Micros, from Micros) int {
@@ -359,17 +359,17 @@
 	return len(times) - i
 }
 
-func (s *Sentry) readyCount(b BuildID) int {
-	if r := s.buildWorkers[b]; r != nil {
-		return len(r.ready)
+func (s *Sentry) readyCount(build BuildID) int {
+	if workers := s.buildWorkers[build]; workers != nil {
+		return len(workers.ready)
 	}
 	return 0
 }
 
 // capacity is what the ready workers of a build that are not known to be down can do by now.
-func (s *Sentry) capacity(b BuildID) float64 {
-	if r := s.buildWorkers[b]; r != nil {
-		return r.capacity
+func (s *Sentry) capacity(build BuildID) float64 {
+	if workers := s.buildWorkers[build]; workers != nil {
+		return workers.capacity
 	}
 	return 0
 }
@@ -383,17 +383,17 @@
 }
 
 // note says in the log what the judge's sums were.
-func (s *Sentry) logVote(v Verdict) {
-	what := [...]string{Advance: "voting on", Hold: "voting to hold", RollBack: "voting back"}[v]
+func (s *Sentry) logVote(verdict Verdict) {
+	text := [...]string{Advance: "voting on", Hold: "voting to hold", RollBack: "voting back"}[verdict]
 	s.result.LogLines = append(s.result.LogLines, fmt.Sprintf(
 		"%s build %d stage %d: of %d at load %.2f: all slower, then errors and late by profile and in all %.1f, wrong %.1f",
-		what, s.releaseStatus.Build, s.releaseStatus.Stage, s.judgedOutcomes, s.relativeLoad(), s.excessSums(), s.wrongAnswerSum))
+		text, s.releaseStatus.Build, s.releaseStatus.Stage, s.judgedOutcomes, s.relativeLoad(), s.excessSums(), s.wrongAnswerSum))
 }
 
 // place is where the outcomes of a kind are counted, and after it those that failed or were late. The last
 // four places are for all workers, and for what would have come and came with that.
-func countIndex(id ProfileID, k missKind, trial bool) int {
-	return ((int(id)*int(missKinds)+int(k))*2 + int(oneIf(trial))) * 2
+func countIndex(profileID ProfileID, kind missKind, ofTrial bool) int {
+	return ((int(profileID)*int(missKinds)+int(kind))*2 + int(oneIf(ofTrial))) * 2
 }
 
 // forget drops a transaction that is closed and has nothing out.
@@ -414,7 +414,7 @@
 )
 
 // nextWake is the earliest time still to come at which something is due.
-func (s *Sentry) nextWake() (wake Micros) {
+func (s *Sentry) nextWake() (wakeAt Micros) {
 	for len(s.wakeUps) > 0 && s.wakeUps[0].transaction.closed {
 		s.wakeUps = s.wakeUps[1:]
 	}
@@ -423,11 +423,11 @@
 		next = append(next, s.wakeUps[0].at)
 	}
 	for _, at := range next {
-		if at > s.now && (wake == 0 || at < wake) {
-			wake = at
+		if at > s.now && (wakeAt == 0 || at < wakeAt) {
+			wakeAt = at
 		}
 	}
-	return wake
+	return wakeAt
 }
 
 // counters are where a transaction counts for exposure: over all, and by its profile.
@@ -437,37 +437,37 @@
 func (s *Sentry) countsLen() int { return countIndex(ProfileID(len(s.profiles)), errorMiss, false) + 4 }
 
 // usualTime is what answers of the earlier build usually take, over all profiles.
-func (s *Sentry) usualDuration() (usual float64) {
+func (s *Sentry) usualDuration() (mean float64) {
 	for i := range s.profiles {
-		usual += s.profiles[i].expectedDuration / float64(len(s.profiles))
+		mean += s.profiles[i].expectedDuration / float64(len(s.profiles))
 	}
-	return usual
+	return mean
 }
 
 // load is what this sentry takes for what the fleet can do.
 func (s *Sentry) ownLoad() float64 { return float64(len(s.arrivalTimes)) / max(s.fleetCapacity, 1e-9) }
 
 // placed is what is counted at a place, of so many.
-func decodeCountIndex(i, of int) (id ProfileID, k missKind, trial, all bool) {
-	return ProfileID(i / 4 / int(missKinds)), missKind(i / 4 % int(missKinds)), i/2%2 == 1, i == of-4
+func decodeCountIndex(index, length int) (profileID ProfileID, kind missKind, ofTrial, ofFleet bool) {
+	return ProfileID(index / 4 / int(missKinds)), missKind(index / 4 % int(missKinds)), index/2%2 == 1, index == length-4
 }
 
 // renew takes over a line of the list, and forgets what was known of a worker that has started anew.
-func (s *Sentry) updateWorker(w int, in Worker) {
-	if in.State == Gone {
+func (s *Sentry) updateWorker(w int, line Worker) {
+	if line.State == Gone {
 		s.goneSince[w] = s.now
 	}
-	if old := s.workers[w]; old.Build != in.Build || old.Started != in.Started {
-		for k := range missKinds {
-			s.totalTrialMisses[k] -= s.trialMisses[k][w]
-			s.trialMisses[k][w], s.ownMisses[k][w] = 0, 0
+	if old := s.workers[w]; old.Build != line.Build || old.Started != line.Started {
+		for kind := range missKinds {
+			s.totalTrialMisses[kind] -= s.trialMisses[kind][w]
+			s.trialMisses[kind][w], s.ownMisses[kind][w] = 0, 0
 		}
 		s.otherLoad[w], s.latencyRatio[w], s.failureRate[w], s.groupOpen[w] = 0, 1, 0, 0
 		s.ejectedUntil[w], s.recoveredAt[w], s.consecutiveFailures[w], s.lastAnswerAt[w] = 0, 0, 0, 0
 		s.nonLoadFailureRate[w], s.answeredSentTimes[w] = 0, [laterAnswersIfLost]Micros{}
 		s.workerLeases[w] = workerLease{}
 	}
-	s.workers[w] = in
+	s.workers[w] = line
 }
 
 // clearTrial forgets what was counted of the last trial.
@@ -486,9 +486,9 @@
 		s.exposedTimes[i] = nil
 	}
 	clear(s.trialKeys)
-	for k := range missKinds {
-		clear(s.trialMisses[k])
-		clear(s.ownMisses[k])
+	for kind := range missKinds {
+		clear(s.trialMisses[kind])
+		clear(s.ownMisses[kind])
 	}
 	s.outcomeCounts = make([]uint64, s.countsLen())
 	s.reports, s.collectorVerdict, s.collectorVerdictAt = map[SentryID]report{}, NoVerdict, 0
@@ -504,12 +504,12 @@
 	if s.now-s.givenUpRotatedAt > 4*s.maxDeadline { // who has not come again by then will not
 		s.givenUp, s.olderGivenUp, s.givenUpRotatedAt = map[Key]int{}, s.givenUp, s.now
 	}
-	for _, m := range []map[Key]int{s.givenUp, s.olderGivenUp} {
-		if n := m[t.Key]; n > 1 {
-			m[t.Key] = n - 1
+	for _, counts := range []map[Key]int{s.givenUp, s.olderGivenUp} {
+		if n := counts[t.Key]; n > 1 {
+			counts[t.Key] = n - 1
 			return true
 		} else if n == 1 {
-			delete(m, t.Key)
+			delete(counts, t.Key)
 			return true
 		}
 	}
@@ -526,14 +526,14 @@
 }
 
 // mark counts one outcome at a place.
-func (s *Sentry) countOutcome(at int, hit bool) {
-	s.outcomeCounts[at]++
-	s.outcomeCounts[at+1] += uint64(oneIf(hit))
+func (s *Sentry) countOutcome(index int, missed bool) {
+	s.outcomeCounts[index]++
+	s.outcomeCounts[index+1] += uint64(oneIf(missed))
 }
 
-func (s *Sentry) runFilters(t *transaction, from int) {
-	for _, st := range filterChain[from:] {
-		if !st.onTransaction(s, t) {
+func (s *Sentry) runFilters(t *transaction, first int) {
+	for _, f := range filterChain[first:] {
+		if !f.onTransaction(s, t) {
 			return
 		}
 	}
@@ -547,13 +547,13 @@
 }
 
 // HandOffEnded takes the end of one hand-off back through the chain.
-func (s *Sentry) HandOffEnded(now Micros, e HandOffEnd) Result {
+func (s *Sentry) HandOffEnded(now Micros, end HandOffEnd) Result {
 	return s.handleEvent(now, func() {
-		t := s.openTransactions[e.Transaction]
-		if t != nil && e.HandOffNumber >= 0 && e.HandOffNumber < len(t.handOffs) && !t.handOffs[e.HandOffNumber].ended {
-			h := &t.handOffs[e.HandOffNumber]
-			h.end, h.timingInvalid = e, h.timingInvalid || h.sentAt < s.stalledAt
-			t.closed = t.closed || e.TransactionClosed
+		t := s.openTransactions[end.Transaction]
+		if t != nil && end.HandOffNumber >= 0 && end.HandOffNumber < len(t.handOffs) && !t.handOffs[end.HandOffNumber].ended {
+			h := &t.handOffs[end.HandOffNumber]
+			h.end, h.timingInvalid = end, h.timingInvalid || h.sentAt < s.stalledAt
+			t.closed = t.closed || end.TransactionClosed
 			for i := len(filterChain) - 1; i >= 0; i-- {
 				filterChain[i].onHandOffEnd(s, t, h)
 			}
@@ -577,25 +577,25 @@
 }
 
 // gather judges what a peer has counted since its last report.
-func (s *Sentry) mergeReport(from SentryID, r report) {
-	old, holds := s.reports[from].previousFor(r)
-	if !holds {
+func (s *Sentry) mergeReport(from SentryID, next report) {
+	previous, consistent := s.reports[from].previousFor(next)
+	if !consistent {
 		return
 	}
-	s.reports[from] = r
-	weight, misses := [missKinds]float64{1, 1}, s.missesSince(old, r) // their mean counts for all hits
-	for _, m := range misses {
-		weight[m.kind] += (s.missWeight(m.worker, m.kind, true) - 1) / m.newOfKind
-	}
-	for i := 0; i < len(r.counts); i += 2 {
-		n, hits := float64(r.counts[i]-old.counts[i]), float64(r.counts[i+1]-old.counts[i+1])
-		if id, k, trial, all := decodeCountIndex(i, len(r.counts)); i == len(r.counts)-2 {
-			s.arrivalMeter.addAndWeigh(s.now, hits)
-			s.baselineArrivalMeter.addAndWeigh(s.now, n-hits)
-		} else if n > 0 && all && s.cooperates() { // few sentries see it each by itself, and sooner
-			s.addFleetOutcomes(n, hits)
-		} else if n > 0 && !all {
-			s.judgeOutcomes(id, k, trial, n, hits*(1-oneIf(trial)*(1-weight[k])))
+	s.reports[from] = next
+	weights, newMisses := [missKinds]float64{1, 1}, s.missesSince(previous, next) // their mean counts for all hits
+	for _, m := range newMisses {
+		weights[m.kind] += (s.missWeight(m.worker, m.kind, true) - 1) / m.newOfKind
+	}
+	for i := 0; i < len(next.counts); i += 2 {
+		outcomes, misses := float64(next.counts[i]-previous.counts[i]), float64(next.counts[i+1]-previous.counts[i+1])
+		if profileID, kind, ofTrial, ofFleet := decodeCountIndex(i, len(next.counts)); i == len(next.counts)-2 {
+			s.arrivalMeter.addAndWeigh(s.now, misses)
+			s.baselineArrivalMeter.addAndWeigh(s.now, outcomes-misses)
+		} else if outcomes > 0 && ofFleet && s.cooperates() { // few sentries see it each by itself, and sooner
+			s.addFleetOutcomes(outcomes, misses)
+		} else if outcomes > 0 && !ofFleet {
+			s.judgeOutcomes(profileID, kind, ofTrial, outcomes, misses*(1-oneIf(ofTrial)*(1-weights[kind])))
 		}
 	}
 }
@@ -617,13 +617,13 @@
 		if kind != ListDelta {
 			s.markAllGone()
 		}
-		for _, in := range list {
-			in.Size = max(in.Size, 1e-3)
-			w, known := s.workerIndex[in.ID]
+		for _, line := range list {
+			line.Size = max(line.Size, 1e-3)
+			w, known := s.workerIndex[line.ID]
 			if !known {
-				w = s.addWorker(in, s.drawRank(in))
+				w = s.addWorker(line, s.drawRank(line))
 			}
-			s.updateWorker(w, in)
+			s.updateWorker(w, line)
 		}
 		s.refreshBuilds()
 	})
@@ -644,14 +644,14 @@
 }
 
 // warmthOf is the same for all ready workers of a build that ran then.
-func (s *Sentry) buildWarmUpCapacity(b BuildID, at Micros) float64 {
-	can, size := 0.0, 0.0
+func (s *Sentry) buildWarmUpCapacity(build BuildID, at Micros) float64 {
+	capacity, size := 0.0, 0.0
 	for _, w := range s.workerOrder {
-		if in := &s.workers[w]; in.Build == b && in.State == Ready && s.workerStart(w) < at {
-			can, size = can+in.Size*s.warmUpCapacity(w, at), size+in.Size
+		if line := &s.workers[w]; line.Build == build && line.State == Ready && s.workerStart(w) < at {
+			capacity, size = capacity+line.Size*s.warmUpCapacity(w, at), size+line.Size
 		}
 	}
-	return can / max(size, 1e-9)
+	return capacity / max(size, 1e-9)
 }
 
 // regroup puts the workers in order again after the groups have changed.
@@ -663,21 +663,21 @@
 }
 
 // report is what a message to the collectors tells: all counts since the trial began, and the misses of some workers.
-func (s *Sentry) ownReport(most int) []uint64 {
+func (s *Sentry) ownReport(maxWorkers int) []uint64 {
 	if s.baselineArrivalRate > 0 {
-		due := uint64(s.baselineArrivalRate * float64(s.now-s.baselineAt))
-		s.outcomeCounts[len(s.outcomeCounts)-2], s.outcomeCounts[len(s.outcomeCounts)-1] = due+s.newArrivals, s.newArrivals
+		expected := uint64(s.baselineArrivalRate * float64(s.now-s.baselineAt))
+		s.outcomeCounts[len(s.outcomeCounts)-2], s.outcomeCounts[len(s.outcomeCounts)-1] = expected+s.newArrivals, s.newArrivals
 	}
 	values := append([]uint64{uint64(s.releaseStatus.Build), s.runID, uint64(len(s.outcomeCounts))}, s.outcomeCounts...)
-	return s.appendMisses(values, most)
+	return s.appendMisses(values, maxWorkers)
 }
 
 // leftOut counts the workers that are shunned.
-func (s *Sentry) ejectedCount() (n int) {
+func (s *Sentry) ejectedCount() (count int) {
 	for w := range s.workers {
-		n += int(oneIf(s.ejectedUntil[w] > s.now && s.workers[w].State == Ready))
+		count += int(oneIf(s.ejectedUntil[w] > s.now && s.workers[w].State == Ready))
 	}
-	return n
+	return count
 }
 
 // trialShare is the part of what comes that goes to the trial: by the slots, or by what went there in the last second if
@@ -690,31 +690,31 @@
 // survey brings the rosters up to date: after a change of the list, and each quarter second for the cold and
 // the shunned, which stand last.
 func (s *Sentry) refreshReadyWorkers() {
-	for b, r := range s.buildWorkers {
-		if len(r.ready) == 0 {
-			delete(s.buildWorkers, b)
+	for build, workers := range s.buildWorkers {
+		if len(workers.ready) == 0 {
+			delete(s.buildWorkers, build)
 		}
-		r.ready, r.capacity, r.warmCapacity, r.youngestStart, r.groupWorkers = r.ready[:0], 0, 0, 0, 0
+		workers.ready, workers.capacity, workers.warmCapacity, workers.youngestStart, workers.groupWorkers = workers.ready[:0], 0, 0, 0, 0
 	}
 	s.fleetCapacity = 0
-	for _, shunned := range []bool{false, true} {
+	for _, ejected := range []bool{false, true} {
 		for _, w := range s.workerOrder {
-			in := &s.workers[w]
-			if in.State != Ready || s.ejectedUntil[w] > s.now != shunned {
+			line := &s.workers[w]
+			if line.State != Ready || s.ejectedUntil[w] > s.now != ejected {
 				continue
 			}
-			r := s.buildWorkers[in.Build]
-			if r == nil {
-				r = &buildWorkers{subsetSize: initialSubsetSize}
-				s.buildWorkers[in.Build] = r
+			workers := s.buildWorkers[line.Build]
+			if workers == nil {
+				workers = &buildWorkers{subsetSize: initialSubsetSize}
+				s.buildWorkers[line.Build] = workers
 			}
-			r.ready = append(r.ready, w)
-			r.youngestStart = max(r.youngestStart, in.Started)
-			r.groupWorkers += int(oneIf(!shunned && s.rank[w] < otherGroupRank))
+			workers.ready = append(workers.ready, w)
+			workers.youngestStart = max(workers.youngestStart, line.Started)
+			workers.groupWorkers += int(oneIf(!ejected && s.rank[w] < otherGroupRank))
 			if s.consecutiveFailures[w] == 0 {
-				r.capacity += in.Size * s.warmUpCapacity(w, s.now)
-				r.warmCapacity += in.Size * s.warmUpProgress(w, s.now)
-				s.fleetCapacity += in.Size * s.warmUpCapacity(w, s.now)
+				workers.capacity += line.Size * s.warmUpCapacity(w, s.now)
+				workers.warmCapacity += line.Size * s.warmUpProgress(w, s.now)
+				s.fleetCapacity += line.Size * s.warmUpCapacity(w, s.now)
 			}
 		}
 	}
