--- a/logic/exposure_test.go
+++ b/logic/exposure_test.go
@@ -66,7 +66,7 @@
 		b.record(b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: w, TransactionClosed: true, Duration: 1, Load: NoLoad}))
 		return isTrialWorker(w)
 	}
-	o.FreeExposure, b.sentry.releaseStatus.Cap = 2, 0.01
+	o.FreeExposure, b.sentry.release.Cap = 2, 0.01
 	b.now += 2 * o.ExposureWindow
 	if !send() || !send() || send() {
 		t.Fatal("expected two to the trial, and no third")
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,10 +1,28 @@
-// Package logic holds every decision of a sentry: which build and worker a transaction goes to, what happens
-// when a hand-off fails, and how the sentry votes on the build on trial.
+// Package logic makes every decision of a sentry, which passes transactions from clients on to workers: which build
+// and worker a transaction goes to, what happens when a hand-off fails, and how the sentry votes on the build on
+// trial. It does no I/O and reads no clock.
 //
-// How to call it: make one Sentry with New, from its StandingOrders and a seed, then make one call for each
-// thing that happens (Arrive, HandOffEnded, Listed, Told, ...), each with the caller's time. Every call
-// returns a Result; carry it out in order and call Wake when its WakeAt comes. Nothing else is kept or
-// shared. The types are in port.go. Read the chain first (admit, assign, pick, hand off), the judge last.
+// To use it, make one Sentry with New, from a Config and a seed. Then make one call for each event
+// (TransactionArrived, HandOffEnded, ListReceived, ReleaseUpdated, ...), each with the caller's time. Each call
+// returns a Result. Carry out its Actions in order, and call Wake at its WakeAt. A Sentry shares no state with other
+// instances.
+//
+// A transaction passes through a chain of four filters: admit, assignBuild, pickWorker and handOff. The end of each
+// hand-off passes back through the chain in reverse order: recordHandOffEnd, recordWorkerOutcome, recordBuildOutcome
+// and closeOrRetry.
+//
+// The mechanisms are usual ones of load balancing and release control:
+//
+//   - an adaptive concurrency limit with additive increase and decrease (adjustConcurrencyLimit);
+//   - a retry budget for retries and hedges (closeOrRetry, Wake);
+//   - subsetting, and the least loaded of a few sampled workers (chooseWorker, leastLoaded);
+//   - outlier ejection (recordWorkerOutcome, ejectOverdue) and slow start of cold workers (atColdLimit);
+//   - an exposure bound over a sliding window for the build on trial (withinExposureBound);
+//   - cumulative sums of failed and late hand-offs beyond the earlier build's rates, which decide the votes
+//     (judgeOutcomes, judgeFleetLatency, decideVerdict).
+//
+// The types of inputs and outputs are in port.go, a sentry's state and its helpers in state.go, the decisions in
+// logic.go, the rules on stale worker lists in lease.go, and the schedule of a planned stop in drain.go.
 package logic
 
 import (
@@ -19,65 +37,78 @@
 const (
 	second = Micros(1_000_000)
 
-	// From the design page.
-	rollBackExcess   = 4.0        // a sum above it votes back
-	maxAdvanceExcess = 2.0        // a sum under it may vote on
-	minSampleSize    = 20         // outcomes before a vote on
-	settleTime       = 3 * second // a worker this young is not judged on time
-	observationTime  = 5 * second
-	initialMissRate  = 0.05 // assumed before anything was seen
-
-	// Open on the design page.
-	releasedLimitIncrease   = 0.5  // more to vote back what is released: it has passed, and to go back costs all
-	lastStageWarmUpDivisor  = 2    // part of the warm-up for which the trial carries all before the last vote
-	refusedShareSmoothing   = 0.1  // of how many new connections are refused
-	newConnectionPenalty    = 20.0 // with which a worker is taken where all are
+	// Limits of the design page.
+	rollBackExcess   = 4.0        // a higher excess sum leads to a vote to roll back
+	maxAdvanceExcess = 2.0        // a lower excess sum allows a vote to advance
+	minSampleSize    = 20         // outcomes to judge before a vote to advance
+	settleTime       = 3 * second // a younger worker's durations are not judged
+	// After this time, a vote to advance needs no minimum of outcomes.
+	observationTime = 5 * second
+	initialMissRate = 0.05 // assumed until outcomes have been seen
+
+	// Further limits, weights and smoothing factors. A smoothing factor is the weight of a new value in an
+	// exponentially weighted moving average.
+
+	// A released build needs a limit higher by this share for a vote to roll back: it has passed its trial, and
+	// rolling back affects all traffic.
+	releasedLimitIncrease = 0.5
+	// Before the last vote to advance, the trial carries all traffic for the warm-up time divided by this.
+	lastStageWarmUpDivisor = 2
+	refusedShareSmoothing  = 0.1 // a higher share of refused connections also leads to a comparison of all candidates
+	// Load factor, per share of refused connections, of a worker that needs a new connection.
+	newConnectionPenalty    = 20.0
 	zoneLatencySmoothing    = 0.25
 	maxZoneLatencyRatio     = 10.0
-	toleratedZoneRatio      = 2.0  // times the own zone's, up to which a way is taken for chance
-	trialShareFactor        = 1.2  // share sent to the trial build, to its share of what the fleet can do
-	overloadLateRate        = 0.2  // the earlier build's rate of late ones from which lateness tells of load alone
-	fleetSlowFactor         = 1.6  // a hand-off this many bars of before the trial long counts as late for all
-	toleratedFleetSlowShare = 0.2  // excess of these that is let pass
-	fleetSlowLatencyRatio   = 1.2  // pace of the quicker workers from which all are slower
-	fullWeightPerSecond     = 20.0 // times in a second that count in full
-	slowdownPerLoad         = 2.5  // how much the pace rises with load for no fault of a build
-	toleratedErrorShare     = 0.01 // excess of errors that is let pass
-	errorWeight             = 1.5  // three errors close together reach voteBackAt
-	manyTrialWorkers        = 8.0  // from so many of the trial on, a miss at any one says less
-	aboveThresholdShare     = 0.2  // share of the earlier build's answers that take longer than the bar
-	lateFactor              = 2.5  // a hand-off this many bars long counts as late
-	toleratedLateShare      = 0.2  // excess of late ones over twice that rate that is let pass
-	lateWeight              = 0.6  // times are noisy: seven late ones close together reach voteBackAt
+	toleratedZoneRatio      = 2.0  // zone latency relative to the own zone's, up to which it counts as chance
+	trialShareFactor        = 1.2  // the trial's share of traffic, relative to its share of the fleet's capacity
+	overloadLateRate        = 0.2  // from this late rate of the earlier build on, lateness only shows load
+	fleetSlowFactor         = 1.6  // a hand-off this many baseline latency thresholds long is slow for the fleet
+	toleratedFleetSlowShare = 0.2  // share of slow hand-offs in the fleet that is tolerated
+	fleetSlowLatencyRatio   = 1.2  // lower-quartile latency ratio above which the whole fleet counts as slow
+	fullWeightPerSecond     = 20.0 // outcomes in a second up to which each counts in full
+	slowdownPerLoad         = 2.5  // slowdown per unit of load above the baseline that is no fault of a build
+	toleratedErrorShare     = 0.01 // tolerated beyond the earlier build's error rate
+	errorWeight             = 1.5  // three errors close together reach rollBackExcess
+	manyTrialWorkers        = 8.0  // with more trial workers than this, a miss of a single one weighs less
+	aboveThresholdShare     = 0.2  // share of the earlier build's answers that take longer than latencyThreshold
+	lateFactor              = 2.5  // a hand-off this many latency thresholds long counts as late
+	toleratedLateShare      = 0.2  // tolerated beyond twice the earlier build's late rate
+	lateWeight              = 0.6  // durations are noisy: seven late hand-offs close together reach rollBackExcess
 	rateSmoothing           = 0.02
 	latencyRatioSmoothing   = 0.12
 	failureRateSmoothing    = 0.25
 	otherLoadSmoothing      = 0.4
-	downAfterFailures       = 3 // failed tries to reach a worker, seconds apart, after which it has been down
+	downAfterFailures       = 3 // failures to reach a worker, seconds apart, after which it counts as having been down
 	ejectFailureRate        = 0.5
-	nonLoadFailureWeight    = 6.0        // of failures that no load explains, on the load of their worker
-	loadTTL                 = 3 * second // for how long what is heard of a worker counts
-	slowTTLTransactions     = 20.0       // transactions for which a slow worker is remembered at the least
-	toleratedLatencyRatio   = 1.5        // a pace up to it is taken for chance
-	initialSubsetSize       = 2          // a working set starts with
-	otherZoneRankPenalty    = 1.0        // a worker of another zone joins a working set so much later
-	sampledWorkers          = 4          // of the set, to this sentry's share: more would run after the same news
-	fewEjectedDivisor       = 4          // one of so many workers
-	laterAnswersIfLost      = 4          // so many later ones answered first mean that one is lost
-	idleLoad                = 0.5        // up to this load workers are alike, and chance decides
-	freeColdHandOffs        = 0.375      // hand-offs to a cold worker that few sentries may send, a second and multiple
-	usualLoadSmoothing      = 0.02       // for each quarter second
-	coldLoadShare           = 0.5        // of the stated multiple, what a cold worker may get
+	nonLoadFailureWeight    = 6.0        // factor of the rate of failures that no load explains, on the load score
+	loadTTL                 = 3 * second // how long a worker's reported load counts
+	slowTTLTransactions     = 20.0       // a slow worker is remembered for at least this many transactions
+	toleratedLatencyRatio   = 1.5        // latency ratio up to which a worker's slowness counts as chance
+	initialSubsetSize       = 2
+	// The random rank of a worker in another zone is higher by this share, so that it joins the subset later.
+	otherZoneRankPenalty = 1.0
+	// Random candidates to compare for a hand-off, scaled with the candidates per sentry. With more, all sentries
+	// would send to the same worker after the same load report.
+	sampledWorkers     = 4
+	fewEjectedDivisor  = 4   // few workers are ejected if fewer than one ready worker in this many is
+	laterAnswersIfLost = 4   // a hand-off counts as lost after this many later ones were answered first
+	idleLoad           = 0.5 // up to this load workers count as equal, and chance decides
+	// Hand-offs per second, and per unit of ColdLoadMultiple, that all sentries together may send to a cold worker
+	// beyond its share. They matter where sentries are few.
+	freeColdHandOffs   = 0.375
+	usualLoadSmoothing = 0.02 // applied each quarter second
+	coldLoadShare      = 0.5  // share of ColdLoadMultiple that a cold worker may get
 )
 
-// follow takes over orders. A profile's row is found by its place; what was learnt of it stays.
+// applyConfig takes over a configuration. The statistics of a profile are found by its index, and are kept.
 func (s *Sentry) applyConfig(config Config) {
 	config.Sentries = max(1, config.Sentries)
 	s.config, s.maxDueTime = config, 0
 	for i, profile := range config.Profiles {
 		if dueTime := float64(profile.DueTime); i >= len(s.profiles) {
 			s.profiles = append(s.profiles, profileStats{
-				expectedDuration: dueTime / 6, latencyThreshold: dueTime / 4, earlierMissRate: [missKinds]float64{initialMissRate, initialMissRate}})
+				expectedDuration: dueTime / 6, latencyThreshold: dueTime / 4,
+				earlierMissRate: [missKinds]float64{initialMissRate, initialMissRate}})
 			s.takenTimes, s.exposedTimes = append(s.takenTimes, nil), append(s.exposedTimes, nil)
 		}
 		s.profiles[i].Profile = &profile
@@ -87,8 +118,9 @@
 	s.maxRuleWindow = max(s.maxRuleWindow, s.arrivalWindow)
 }
 
-// Ordered takes other orders while transactions are open and a build is on trial. What is open keeps its
-// profile, what rules count goes on, the bound on exposure so far holds beside the new one for its window.
+// Reconfigure takes over another configuration while transactions are open and a build is on trial. Open transactions
+// keep their profile, and what the rules count is kept. The former exposure bound stays in force beside the new one
+// until its window has passed.
 func (s *Sentry) Reconfigure(now Micros, config Config) Result {
 	return s.handleEvent(now, func() {
 		oldConfig, oldWindow := s.config, float64(s.arrivalWindow)
@@ -99,8 +131,10 @@
 		oldBound.until = s.now + oldConfig.ExposureWindow + 4*oldConfig.TimerGranularity
 		s.formerBounds = append(s.formerBounds, oldBound)
 		s.applyConfig(config)
-		s.usualLoad, s.baselineLoad = s.usualLoad*float64(s.arrivalWindow)/oldWindow, s.baselineLoad*float64(s.arrivalWindow)/oldWindow
-		if len(s.outcomeCounts) != s.countsLen() { // counts by other places: they start anew under another name
+		s.usualLoad, s.baselineLoad =
+			s.usualLoad*float64(s.arrivalWindow)/oldWindow, s.baselineLoad*float64(s.arrivalWindow)/oldWindow
+		// The counts have another layout, so they start anew under another run ID.
+		if len(s.outcomeCounts) != s.countsLen() {
 			s.outcomeCounts, s.runID = make([]uint64, s.countsLen()), (s.runID+1)%math.MaxUint32
 		}
 		s.rerankWorkers()
@@ -108,9 +142,9 @@
 	})
 }
 
-// call frames every call.
+// handleEvent surrounds the handling of each event with what all events need.
 func (s *Sentry) handleEvent(now Micros, apply func()) Result {
-	if s.firstCallAt > 0 && now > s.now+second { // it wakes more often than that: it has stood still
+	if s.firstCallAt > 0 && now > s.now+second { // stalled: calls come more often otherwise
 		s.stalledAt = now
 	}
 	s.now, s.result = max(s.now, now), Result{}
@@ -124,6 +158,7 @@
 	return s.result
 }
 
+// filterChain lists the filters in the order in which a transaction passes through them.
 var filterChain []filter
 
 func init() {
@@ -135,7 +170,7 @@
 	}
 }
 
-// Wake does what has come due.
+// Wake handles the wake-ups that are due.
 func (s *Sentry) Wake(now Micros) Result {
 	return s.handleEvent(now, func() {
 		for len(s.wakeUps) > 0 && s.wakeUps[0].at <= s.now {
@@ -148,7 +183,7 @@
 			case s.retryBudget < 1:
 			case !s.config.MayHedge:
 				s.cancelIfLost(t)
-			case len(t.handOffs) == 1 && s.mayRetry(t): // suspiciously long: a second copy
+			case len(t.handOffs) == 1 && s.mayRetry(t): // takes suspiciously long: hedge
 				s.retryBudget--
 				s.runFilters(t, 1)
 			}
@@ -156,10 +191,12 @@
 	})
 }
 
+// admit takes in a new transaction. It passes it on if the concurrency limit allows, and queues it or gives it up
+// otherwise.
 func (s *Sentry) admit(t *transaction) bool {
 	t.slot = s.random.Intn(100)
 	s.arrivalTimes = dropUpTo(append(s.arrivalTimes, s.now), s.now-s.arrivalWindow)
-	s.newArrivals += uint64(oneIf(!s.isRetry(t))) // what comes again is no more load
+	s.newArrivals += uint64(oneIf(!s.isRetry(t))) // a retry adds no load
 	t.profile = s.profiles[t.Profile].Profile
 	for _, c := range t.exposureCounters() {
 		s.takenTimes[c] = dropUpTo(append(s.takenTimes[c], s.now), s.now-s.maxRuleWindow)
@@ -169,11 +206,13 @@
 	return s.underConcurrencyLimit(t) || s.queueOrGiveUp(t)
 }
 
-// hasRoom says whether one more may be open. A repeat, or a try of a client in a hurry, wants half of the
-// room free: such clients would leave nothing to others. Else an idle worker of the group makes room.
+// underConcurrencyLimit reports whether one more transaction may have an open hand-off. A retry, or a transaction
+// with a deadline before its due time, must leave half of the limit free, since the clients that send these would
+// leave nothing to others. Other transactions may exceed the limit if a worker of the sentry's group is idle.
 func (s *Sentry) underConcurrencyLimit(t *transaction) bool {
-	yields := t.IsRetry || t.Deadline-t.arrivedAt < t.profile.DueTime
-	if fits := float64(s.openHandOffs-s.lostHandOffs) < s.concurrencyLimit*(1-retryReservedShare*oneIf(yields)); fits || yields || !s.inGroup() {
+	lowPriority := t.IsRetry || t.Deadline-t.arrivedAt < t.profile.DueTime
+	if fits := float64(s.openHandOffs-s.lostHandOffs) <
+		s.concurrencyLimit*(1-retryReservedShare*oneIf(lowPriority)); fits || lowPriority || !s.inGroup() {
 		return fits
 	}
 	workers := s.buildWorkers[s.earlierBuild]
@@ -182,25 +221,36 @@
 }
 
 const (
-	retryBudgetShare = 0.05 // further hand-offs and copies, to transactions taken
+	retryBudgetShare = 0.05 // retries and hedges allowed per transaction taken
 	maxRetryBudget   = 10
 
-	minConcurrencyPerWorker                  = 2.0 // open hand-offs to ready workers at the start; the least, to this sentry's share
-	maxConcurrencyPerWorker                  = 8.0
-	maxIdleGroupOpen                         = 1.0      // hand-offs at a worker of the group under which it takes more
-	retryReservedShare                       = 0.5      // of the room that repeats leave free
-	minOwnTrafficLimit                       = 9.0      // that any sentry may have open
-	concurrencyIncrease, concurrencyDecrease = 0.1, 1.0 // for each answer in time while the room is used, and for each failure
+	// Open hand-offs per ready worker: the limit at the start, and its lower bound for this sentry's part of the
+	// workers.
+	minConcurrencyPerWorker = 2.0
+	// Open hand-offs per ready worker: the upper bound of the limit.
+	maxConcurrencyPerWorker = 8.0
+	// The limit may be exceeded while the group has fewer open hand-offs than this at a worker.
+	maxIdleGroupOpen   = 1.0
+	retryReservedShare = 0.5 // share of the limit that retries leave free
+	// Open hand-offs that the bound by a sentry's own traffic always allows.
+	minOwnTrafficLimit = 9.0
+	// Change of the limit for each answer in time while the limit is used, and for each failure from overload.
+	concurrencyIncrease, concurrencyDecrease = 0.1, 1.0
 )
 
-// learnRoom bounds the open hand-offs by how answers come, and by what this sentry's own traffic fills in the
-// longest due time, since hundreds with a little too much each jam a fleet that none of them has seen late.
-// It guards against overload of any cause; it can do harm where failures are quick, hence its floor.
+// adjustConcurrencyLimit adapts the limit on open hand-offs to how answers come: it rises with answers in time and
+// falls with signs of overload. It also bounds the limit by what this sentry's own traffic fills in the longest due
+// time: hundreds of sentries that each send a little too much congest the fleet before any of them has seen late
+// answers. The limit guards against overload of any cause. It can do harm where failures are quick, hence its lower
+// bound.
 func (s *Sentry) adjustConcurrencyLimit(stats *profileStats, w int, end HandOffEnd) {
-	readyWorkers := float64(max(1, s.readyCount(s.earlierBuild), s.readyCount(s.releaseStatus.Build))) // news come later than lists
+	// The release status arrives later than lists, so either build may have gone from the list already.
+	readyWorkers := float64(max(1, s.readyCount(s.earlierBuild), s.readyCount(s.release.Build)))
 	switch {
-	case s.consecutiveFailures[w] > 0 || s.failureRate[w] > ejectFailureRate || s.zoneSlowdown(s.workers[w].Zone) > 1: // not the load
-	case end.Ending == TimedOut && (end.Duration < stats.DueTime || s.answerLost(w, s.now-end.Duration)): // a hurry, or lost
+	case s.consecutiveFailures[w] > 0 || s.failureRate[w] > ejectFailureRate || s.zoneSlowdown(s.workers[w].Zone) > 1:
+		// The worker or its zone explains the outcome, not the load.
+	case end.Ending == TimedOut && (end.Duration < stats.DueTime || s.answerLost(w, s.now-end.Duration)):
+		// The client's deadline was early, or the answer was lost.
 	case end.Ending == TurnedAway || end.Ending == TimedOut || end.Ending == Answered && end.Duration > stats.DueTime:
 		s.concurrencyLimit -= min(concurrencyDecrease, s.concurrencyLimit/4)
 	case end.Ending == Answered && float64(s.openHandOffs) >= 0.7*s.concurrencyLimit:
@@ -208,12 +258,18 @@
 	}
 	observed := min(s.arrivalWindow, max(second, s.now-s.firstCallAt))
 	ownTrafficLimit := max(minOwnTrafficLimit, float64(s.maxDueTime)*float64(len(s.arrivalTimes))/float64(observed))
-	// Open at a time by this sentry's usual traffic, in no jam.
+	// Hand-offs that this sentry's usual traffic has open at a time without congestion.
 	usualOpen := s.usualLoad * s.fleetCapacity / float64(s.arrivalWindow) * min(s.usualDuration(), float64(s.maxDueTime)/8)
-	s.concurrencyLimit = min(max(s.concurrencyLimit, minConcurrencyPerWorker*max(readyWorkers/float64(s.config.Sentries), usualOpen), 1), maxConcurrencyPerWorker*readyWorkers, ownTrafficLimit)
+	s.concurrencyLimit = min(
+		max(s.concurrencyLimit, minConcurrencyPerWorker*max(readyWorkers/float64(s.config.Sentries), usualOpen), 1),
+		maxConcurrencyPerWorker*readyWorkers, ownTrafficLimit)
 }
 
-// assign chooses the build: the two-build hash, under the counter, with keys going forward only.
+// assignBuild chooses the build. A transaction goes to the trial if its slot, by the two-build hash of its key or at
+// random without a key, is one of the trial's and the exposure bound allows it. A transaction whose last hand-off went
+// to the trial does not go there again, and in guarded stages only idempotent transactions do. With ForwardOnly, a key
+// that has been on the trial stays there: if the trial cannot take it, the transaction is given up. All others go to
+// the earlier build, which pickWorker uses where no worker is chosen here.
 func (s *Sentry) assignBuild(t *transaction) bool {
 	trial, onTrial := s.trialBuild()
 	keyOnTrial := s.config.ForwardOnly && onTrial && t.Key != "" && s.trialKeys[t.Key] == trial
@@ -222,9 +278,9 @@
 		if t.Key != "" {
 			t.slot = hashSlot(t.Key, s.earlierBuild, trial)
 		}
-		failedOnTrial := len(t.handOffs) > 0 && t.handOffs[len(t.handOffs)-1].build == trial
-		guarded := s.releaseStatus.Stage < s.config.GuardedStages && t.profile.Repeatability != Idempotent
-		if keyOnTrial || t.slot < s.trialSlots && !guarded && !failedOnTrial {
+		lastOnTrial := len(t.handOffs) > 0 && t.handOffs[len(t.handOffs)-1].build == trial
+		guarded := s.release.Stage < s.config.GuardedStages && t.profile.Repeatability != Idempotent
+		if keyOnTrial || t.slot < s.trialSlots && !guarded && !lastOnTrial {
 			if !guarded && s.withinExposureBound(t, keyOnTrial) {
 				t.worker = s.chooseWorker(t, trial)
 			}
@@ -234,11 +290,11 @@
 	return true
 }
 
-// holdBack keeps a transaction while no worker of its build is ready, until an answer in time is unlikely.
+// queueOrGiveUp queues a transaction while no worker can take it, and gives it up once an answer in time is unlikely.
 func (s *Sentry) queueOrGiveUp(t *transaction) bool {
 	deadline := s.queueDeadline(t)
 	switch {
-	case t.hasOpenHandOff(): // a copy that finds no worker is let go
+	case t.hasOpenHandOff(): // a hedge that finds no worker is dropped
 	case s.now >= deadline:
 		return s.giveUp(t)
 	case !t.queued:
@@ -249,12 +305,13 @@
 	return false
 }
 
-// patience is how long a transaction is held: until an answer in time is no longer likely.
+// queueDeadline returns the time until which a transaction stays queued: then an answer in time is unlikely.
 func (s *Sentry) queueDeadline(t *transaction) Micros {
 	return min(t.arrivedAt+t.profile.DueTime/4, t.Deadline-s.config.TimerGranularity)
 }
 
-// release runs what was held again, when the workers or the news have changed.
+// runQueued hands off queued transactions, highest value per work first, after an event that may have made room for
+// them.
 func (s *Sentry) runQueued() {
 	queued := s.queue
 	s.queue = nil
@@ -275,12 +332,14 @@
 	}
 }
 
-// giveUp answers at once: a deferral where a retry is harmless, else a write-off.
+// giveUp answers a transaction at once: it is deferred if a retry by the client is harmless, and written off
+// otherwise.
 func (s *Sentry) giveUp(t *transaction) bool {
 	profile := t.profile
 	mayHaveRun := slices.ContainsFunc(t.handOffs, func(h handOff) bool { return h.mayHaveRun })
 	action := Action{Kind: WriteOff, Transaction: t.ID}
-	if !mayHaveRun || profile.Repeatability == Idempotent || profile.Repeatability == Deduplicated && profile.DedupScope == ScopeAll {
+	if !mayHaveRun || profile.Repeatability == Idempotent ||
+		profile.Repeatability == Deduplicated && profile.DedupScope == ScopeAll {
 		action.Kind = Defer
 		if s.config.MayNameRetryAfter {
 			action.RetryAfter = min(profile.DueTime/2, s.config.MaxRetryAfter)
@@ -288,7 +347,8 @@
 	}
 	s.result.Actions = append(s.result.Actions, action)
 	s.givenUp[t.Key]++
-	if len(t.handOffs) == 0 && s.releaseStatus.Phase == OnTrial && !s.platformCountsAreCurrent() { // under the bound, slowness shows in these
+	// Under the concurrency limit, slowness of the fleet shows in transactions that no worker gets.
+	if len(t.handOffs) == 0 && s.release.Phase == OnTrial && !s.platformCountsAreCurrent() {
 		s.judgeFleetLatency(&s.profiles[t.Profile], float64(profile.MaxDeadline))
 	}
 	t.closed = true
@@ -296,6 +356,7 @@
 	return false
 }
 
+// pickWorker chooses a worker of the earlier build unless assignBuild has chosen one of the trial.
 func (s *Sentry) pickWorker(t *transaction) bool {
 	if t.worker < 0 {
 		t.worker = s.chooseWorker(t, s.earlierBuild)
@@ -303,16 +364,20 @@
 	return t.worker >= 0 || s.queueOrGiveUp(t)
 }
 
-// choose takes the least loaded of the working set: the first few ready workers in this sentry's own order,
-// one more whenever all are busy. The orders are drawn by size, so that hundreds with little to do spread
-// over the fleet; it can harm where the few happen to be shared with busy sentries and nothing tells so.
+// chooseWorker returns the least loaded worker of the subset, or -1. The subset is the first ready workers in this
+// sentry's own order, and grows by one whenever all its workers are busy. The orders are drawn at random, weighted by
+// worker size, so that hundreds of sentries with little traffic spread over the fleet. It can do harm where the
+// subset happens to be shared with busy sentries and no load report shows that.
 func (s *Sentry) chooseWorker(t *transaction, build BuildID) int {
 	workers := s.buildWorkers[build]
 	if workers == nil {
 		return -1
 	}
-	best := s.leastLoaded(workers.ready[:min(max(workers.subsetSize, workers.groupWorkers), len(workers.ready))], t, build)
-	groupHasRoom := workers.groupWorkers >= minGroupWorkers && best >= 0 && s.loadScore(best) < maxGroupWorkerLoad/s.workers[best].Size
+	best := s.leastLoaded(
+		workers.ready[:min(max(workers.subsetSize, workers.groupWorkers), len(workers.ready))], t, build)
+	groupHasRoom := workers.groupWorkers >= minGroupWorkers && best >= 0 &&
+		s.loadScore(best) < maxGroupWorkerLoad/s.workers[best].Size
+	// Where most new connections are refused, a busy worker with an open connection is good enough.
 	subsetHasRoom := best >= 0 && (!s.isOccupied(best) || s.likelyConnected(best) && s.refusedShare > ejectFailureRate)
 	if groupHasRoom || subsetHasRoom || workers.subsetSize >= len(workers.ready) {
 		return best
@@ -326,10 +391,13 @@
 	return best
 }
 
+// leastLoaded returns the eligible candidate with the lowest load score, or -1. It compares a random sample if the
+// candidates are many.
 func (s *Sentry) leastLoaded(candidates []int, t *transaction, build BuildID) int {
 	best, lowest := -1, 0.0
 	samples := max(sampledWorkers, sampledWorkers*len(candidates)/s.config.Sentries)
-	if s.refusedShare > refusedShareSmoothing || s.maxZoneSlowdown > 1 || s.inGroup() { // few will do, or all are known
+	// Few candidates may be usable, or the load of all is known from the group: compare all.
+	if s.refusedShare > refusedShareSmoothing || s.maxZoneSlowdown > 1 || s.inGroup() {
 		samples = len(candidates)
 	}
 	for i, w := range candidates {
@@ -343,7 +411,8 @@
 			continue
 		}
 		load := s.loadScore(w) * (1 + nonLoadFailureWeight*s.nonLoadFailureRate[w]*s.slowRecency(w))
-		if len(t.handOffs)+1 >= s.config.MaxHandOffs { // the last one wants a worker that does not fail
+		// The last allowed hand-off prefers a worker that does not fail.
+		if len(t.handOffs)+1 >= s.config.MaxHandOffs {
 			load *= 1 + 20*s.nonLoadFailureRate[w]
 		}
 		if best < 0 || load < lowest {
@@ -353,17 +422,18 @@
 	return best
 }
 
-// occupied says whether a worker of the set has as much to do as it should get.
+// isOccupied reports whether a worker of the subset has as much work as it should get.
 func (s *Sentry) isOccupied(w int) bool {
 	slow := s.slowRecency(w)*s.latencyRatio[w] > toleratedLatencyRatio
 	return slow || s.openByWorker[w] > 0 || s.ejectedUntil[w] > s.now || s.recency(w)*s.otherLoad[w] > s.usualWorkerLoad
 }
 
-// fresh is how much of what is known of a worker's load still counts: one that was full once is tried again.
+// recency returns how much of what is known of a worker's load still counts, from 1 down to 0. It falls with time, so
+// that a worker that was full once is tried again.
 func (s *Sentry) recency(w int) float64 { return max(0, 1-float64(s.now-s.seenAt[w])/float64(loadTTL)) }
 
-// learnWay books how long answers take by zone: the way to one may be slow or lose what is sent, though each
-// of its workers is met too seldom to tell.
+// recordZoneLatency tracks how long answers take by zone. The network to a zone may be slow or lose messages although
+// each of its workers is used too rarely to show it.
 func (s *Sentry) recordZoneLatency(w int, stats *profileStats, h *handOff) {
 	zone, ratio := s.workers[w].Zone, float64(h.end.Duration)/stats.expectedDuration
 	switch {
@@ -382,7 +452,7 @@
 	}
 }
 
-// farther is how much slower than the own zone another one is, beyond chance, 1 at the least.
+// zoneSlowdown returns how much slower a zone is than the own zone, beyond chance. It is at least 1.
 func (s *Sentry) zoneSlowdown(zone ZoneID) float64 {
 	ownZone := s.config.Zone
 	if zone == ownZone || int(zone) >= len(s.zoneLatencyRatio) || int(ownZone) >= len(s.zoneLatencyRatio) {
@@ -392,14 +462,16 @@
 	return 1 + recency*max(0, s.zoneLatencyRatio[zone]/max(1, s.zoneLatencyRatio[ownZone])/toleratedZoneRatio-1)
 }
 
-// recalled is the same for how slow it was, which a sentry with little to do remembers longer.
+// slowRecency returns how much of what is known of a worker's latency still counts, from 1 down to 0.
 func (s *Sentry) slowRecency(w int) float64 { return max(0, 1-float64(s.now-s.seenAt[w])/s.slowTTL()) }
 
+// slowTTL returns how long a slow worker is remembered: longer for a sentry with little traffic.
 func (s *Sentry) slowTTL() float64 {
 	return max(float64(loadTTL), slowTTLTransactions*float64(s.arrivalWindow)/float64(1+len(s.arrivalTimes)))
 }
 
-// score is the load of a worker for its size: the lowest wins. Among equals chance decides, by size.
+// loadScore returns a worker's load relative to its size. The worker with the lowest score is chosen. Among workers
+// with next to no load, chance decides, weighted by size.
 func (s *Sentry) loadScore(w int) float64 {
 	recency, capacity := s.recency(w), s.workers[w].Size*s.warmUpCapacity(w, s.now)
 	load := float64(s.openByWorker[w]) + max(recency*s.otherLoad[w], s.groupOpenNow(w))
@@ -408,7 +480,7 @@
 	}
 	load = (load + 1) / capacity
 	slowdown := 1 + s.slowRecency(w)*max(0, s.latencyRatio[w]/toleratedLatencyRatio-1)
-	load *= math.Pow(slowdown, 1+oneIf(s.usualWorkerLoad == 0)) // where no load is reported, slowness stands for it too
+	load *= math.Pow(slowdown, 1+oneIf(s.usualWorkerLoad == 0)) // where no load is reported, latency stands in for it
 	if zone := s.workers[w].Zone; zone != s.config.Zone {
 		load *= (1 + 8*s.config.CrossZonePrice) * math.Pow(s.zoneSlowdown(zone), 2)
 	}
@@ -421,7 +493,12 @@
 	return load
 }
 
-// ready says whether a worker of the build may get this transaction now.
+// isEligible reports whether a worker of the build may get this transaction now.
+//
+// It must be ready and listed recently enough, and must not have reached its limit as a cold worker. A worker that
+// had the transaction before gets it again only after that hand-off has ended and there were as many hand-offs as ready
+// workers. If a deduplicated
+// transaction may have run before, only workers in the same deduplication scope are eligible.
 func (s *Sentry) isEligible(w int, build BuildID, t *transaction) bool {
 	if s.workers[w].Build != build || s.workers[w].State != Ready || !s.hasLease(w) || s.atColdLimit(w) {
 		return false
@@ -436,16 +513,20 @@
 			continue
 		}
 		earlier, candidate := &s.workers[h.worker], &s.workers[w]
-		if profile.DedupScope == ScopeZone && earlier.Zone != candidate.Zone || profile.DedupScope == ScopeCell && earlier.Cell != candidate.Cell {
+		if profile.DedupScope == ScopeZone && earlier.Zone != candidate.Zone ||
+			profile.DedupScope == ScopeCell && earlier.Cell != candidate.Cell {
 			return false
 		}
 	}
 	return true
 }
 
+// handOff sends the transaction to the chosen worker, and asks for the wake-up at which a late answer leads to a
+// hedge or a cancellation.
 func (s *Sentry) handOff(t *transaction) bool {
 	w, profile := t.worker, t.profile
-	h := handOff{worker: w, build: s.workers[w].Build, sentAt: s.now, mayHaveRun: true, newConnection: !s.likelyConnected(w)}
+	h := handOff{worker: w, build: s.workers[w].Build, sentAt: s.now, mayHaveRun: true,
+		newConnection: !s.likelyConnected(w)}
 	h.timingInvalid = h.newConnection
 	t.handOffs = append(t.handOffs, h)
 	s.openByWorker[w]++
@@ -457,20 +538,23 @@
 		}
 	}
 	s.notifyGroup(w, messageHandOff)
-	action := Action{Kind: HandOff, Transaction: t.ID, Worker: s.workers[w].ID, Deadline: t.Deadline, SendBy: s.sendBy(w)}
+	action := Action{Kind: HandOff, Transaction: t.ID, Worker: s.workers[w].ID, Deadline: t.Deadline,
+		SendBy: s.sendBy(w)}
 	s.result.Actions = append(s.result.Actions, action)
-	if o := &s.config; o.MayHedge && len(t.handOffs) == 1 || !o.MayHedge && o.MayCancel && profile.Repeatability != NonIdempotent {
+	if o := &s.config; o.MayHedge && len(t.handOffs) == 1 ||
+		!o.MayHedge && o.MayCancel && profile.Repeatability != NonIdempotent {
 		s.wakeUp(s.now+profile.DueTime/2, t)
 	}
 	return false
 }
 
-// silent says that a worker has answered several that were sent after a hand-off: the answer to that, or its
-// connection, is lost, and tells nothing of load or health. (Few may pass a long one; reports come too late.)
+// answerLost reports whether a worker has answered several hand-offs that were sent after the given time. The answer
+// to a hand-off of that time, or its connection, is then lost, which says nothing about load or health. The number is
+// small because few hand-offs overtake one that merely takes long, and load reports come too late to tell.
 func (s *Sentry) answerLost(w int, sentAt Micros) bool { return s.answeredSentTimes[w][0] > sentAt }
 
-// endSilent gives up a hand-off that takes suspiciously long and seems lost, where it may be sent again. It
-// does harm where one is only very long: it runs twice.
+// cancelIfLost cancels a hand-off that takes suspiciously long and seems lost, if the transaction may be sent again.
+// It does harm if the hand-off merely takes very long: the transaction then runs twice.
 func (s *Sentry) cancelIfLost(t *transaction) {
 	number := len(t.handOffs) - 1
 	switch h := &t.handOffs[number]; {
@@ -482,7 +566,8 @@
 	}
 }
 
-// mayRepeat is rule 2 and the limits on hand-offs, where none is out or copies are allowed.
+// mayRetry reports whether rule 2 (nothing runs twice that must not) and the limits on hand-offs allow one more. The
+// caller makes sure that no other hand-off is open, or that hedging is allowed.
 func (s *Sentry) mayRetry(t *transaction) bool {
 	if len(t.handOffs) >= s.config.MaxHandOffs || t.Deadline-s.now < s.config.TimerGranularity {
 		return false
@@ -497,6 +582,7 @@
 	return true
 }
 
+// recordHandOffEnd frees what the hand-off occupied, and updates the worker's lease and the concurrency limit.
 func (s *Sentry) recordHandOffEnd(t *transaction, h *handOff) {
 	h.ended = true
 	h.mayHaveRun = h.end.Ending != TurnedAway && h.end.Ending != Unconnected && h.end.Ending != Unsent
@@ -507,7 +593,8 @@
 	s.adjustConcurrencyLimit(&s.profiles[t.Profile], h.worker, h.end)
 }
 
-// settle closes the transaction or sends it again.
+// closeOrRetry closes the transaction or hands it off again. A retry costs retry budget unless the hand-off failed at
+// once.
 func (s *Sentry) closeOrRetry(t *transaction, h *handOff) {
 	switch {
 	case t.closed:
@@ -521,7 +608,7 @@
 	}
 }
 
-// letGo ends the hand-offs of a closed transaction, no longer wanted: a copy, or all where its client left.
+// cancelOpenHandOffs cancels the hand-offs of a closed transaction: a hedge, or all if its client left.
 func (s *Sentry) cancelOpenHandOffs(t *transaction) {
 	for n := range t.handOffs {
 		if !t.handOffs[n].ended && s.config.MayCancel {
@@ -531,16 +618,17 @@
 	s.removeTransaction(t)
 }
 
-// quick says that a hand-off was broken or refused at once, which costs next to nothing, or that its answer
-// was spoilt, which no load explains.
+// failedFast reports whether a hand-off was broken or refused at once, which costs next to nothing, or its answer was
+// unreadable, which no load explains.
 func (s *Sentry) failedFast(h *handOff) bool {
 	ending, atOnce := h.end.Ending, h.end.Duration < s.config.ConnectTimeout/8
 	return ending == Unreadable || atOnce && (ending == Broken || ending == Unconnected)
 }
 
-// tooCold keeps this sentry's part of what all may send a cold worker: half the stated multiple of what one
-// of its size usually gets of this sentry's traffic, chance standing in for what is less than one. It guards
-// against bursts, retries and fleets that start anew falling on a few, however many sentries there are.
+// atColdLimit reports whether a cold worker has got this sentry's part of what all sentries together may send it.
+// That is half of ColdLoadMultiple times what a worker of its size usually gets of this sentry's traffic. A random
+// allowance stands in for fractions of a hand-off. It guards against bursts, retries and newly started fleets that
+// hit a few workers, however many sentries there are.
 func (s *Sentry) atColdLimit(w int) bool {
 	capacity := s.warmUpCapacity(w, s.now)
 	if capacity >= 1 {
@@ -552,7 +640,8 @@
 		s.randomAllowance[w], s.randomAllowanceUntil[w] = s.random.Float64(), s.now+s.config.ColdLoadWindow
 	}
 	fairShare := s.workers[w].Size * s.usualLoad * float64(s.config.ColdLoadWindow) / float64(s.arrivalWindow)
-	if workers := s.buildWorkers[s.workers[w].Build]; workers != nil && workers.subsetSize < len(workers.ready) { // the rest is for other sentries
+	// Other sentries use the workers outside the subset.
+	if workers := s.buildWorkers[s.workers[w].Build]; workers != nil && workers.subsetSize < len(workers.ready) {
 		fairShare *= float64(len(workers.ready)) / float64(workers.subsetSize)
 	}
 	freeHandOffs := freeColdHandOffs * s.config.ColdLoadMultiple * float64(s.config.ColdLoadWindow) / float64(second)
@@ -561,8 +650,9 @@
 	return sent+1 > allowance+coldLoadShare*s.config.ColdLoadMultiple*capacity*fairShare
 }
 
-// holds is how many transactions a worker has by its report, below 0 if that can't be told. What is not told
-// follows from what is served in a second and the time of one, as long as some share of its cores is busy.
+// reportedInFlight returns how many transactions a worker has in flight by its report, or less than 0 if that is
+// unknown. If the worker reports its throughput only, the number is throughput times duration, which holds as long as
+// some share of its cores is busy.
 func (s *Sentry) reportedInFlight(w int, h *handOff) float64 {
 	load := h.end.Load
 	if load.InFlight >= 0 || load.ServedPerSecond < 0 {
@@ -571,7 +661,7 @@
 	return load.ServedPerSecond * s.latencyRatio[w] * s.usualDuration() / float64(second)
 }
 
-// learnWorker books what an ended hand-off says of its worker.
+// recordWorkerOutcome updates what is known of the worker's load, latency and failures, and ejects it if it fails.
 func (s *Sentry) recordWorkerOutcome(t *transaction, h *handOff) {
 	w, stats := h.worker, &s.profiles[t.Profile]
 	lost := h.end.Ending == TimedOut && s.answerLost(w, h.sentAt)
@@ -588,10 +678,12 @@
 		s.ownErrors += ownFailureSmoothing * (oneIf(h.end.Ending == Errored)*ownFailureWindow - s.ownErrors)
 		s.ownFailures += ownFailureSmoothing * (ownFailureWindow - s.ownFailures)
 	}
-	hurried := h.end.Ending == TimedOut && h.end.Duration < stats.DueTime // the client's patience, not the worker
-	s.failureRate[w] += failureRateSmoothing * (oneIf(h.end.Ending != Answered && !hurried) - s.failureRate[w])
+	// The client's deadline was early, which is not the worker's fault.
+	earlyDeadline := h.end.Ending == TimedOut && h.end.Duration < stats.DueTime
+	s.failureRate[w] += failureRateSmoothing * (oneIf(h.end.Ending != Answered && !earlyDeadline) - s.failureRate[w])
 	overloaded := h.end.Ending == TurnedAway || h.end.Ending == TimedOut
-	s.nonLoadFailureRate[w] += failureRateSmoothing * (oneIf(h.end.Ending != Answered && !overloaded) - s.nonLoadFailureRate[w])
+	s.nonLoadFailureRate[w] += failureRateSmoothing *
+		(oneIf(h.end.Ending != Answered && !overloaded) - s.nonLoadFailureRate[w])
 	if h.end.Ending == Answered && !h.timingInvalid || h.end.Ending == TimedOut {
 		ratio := min(10, float64(h.end.Duration)/stats.expectedDuration)
 		s.latencyRatio[w] += smoothing * (ratio - s.latencyRatio[w])
@@ -601,9 +693,11 @@
 	}
 	s.recordZoneLatency(w, stats, h)
 	switch h.end.Ending {
-	case Unconnected, Broken: // one that still answers some is not dead: only this sentry's way to it is bad
+	case Unconnected, Broken:
+		// A worker that still answers some hand-offs is not down: only this sentry's connection to it is bad.
 		if s.now >= s.ejectedUntil[w] && !(s.failedFast(h) && s.now-s.lastAnswerAt[w] < loadTTL) {
-			s.lastAnswerAt[w], s.consecutiveFailures[w] = 0, min(s.consecutiveFailures[w]+1, 4) // tried after growing waits
+			// The ejection lasts longer after each failure, from 1 s up to 8 s.
+			s.lastAnswerAt[w], s.consecutiveFailures[w] = 0, min(s.consecutiveFailures[w]+1, 4)
 			s.ejectedUntil[w] = s.now + second/2<<s.consecutiveFailures[w]
 		}
 	case Answered:
@@ -621,12 +715,14 @@
 	}
 }
 
+// eject keeps a worker from being chosen for at least a second, or longer for a sentry with little traffic.
 func (s *Sentry) eject(w int) {
 	s.ejectedUntil[w] = max(s.ejectedUntil[w], s.now+max(second, Micros(s.slowTTL()/4)))
 }
 
-// shunOverdue leaves out workers that take work and do not answer, which a time-out would tell much later,
-// and counts lost hand-offs: they are no load. Once many are out, one that answered what came later stays.
+// ejectOverdue ejects workers that take work and do not answer, which a time-out would show much later. It counts
+// lost hand-offs, which are no load. Once many workers are ejected, a worker that has answered since the overdue
+// hand-off was sent stays in use.
 func (s *Sentry) ejectOverdue() {
 	s.lostHandOffs = 0
 	fewEjected := s.ejectedCount()*fewEjectedDivisor < s.readyCount(s.earlierBuild)
@@ -643,14 +739,16 @@
 	}
 }
 
-// rankOf draws a worker's place in this sentry's order: its group's first, by size, the own zone's sooner.
+// drawRank draws a worker's random rank in this sentry's order. Workers of the sentry's group come first. Large
+// workers and those of the own zone tend to come early.
 func (s *Sentry) drawRank(worker Worker) float64 {
-	return s.random.ExpFloat64()/worker.Size*(1+otherZoneRankPenalty*oneIf(worker.Zone != s.config.Zone)) + otherGroupRank*oneIf(!s.inOwnGroup(worker.ID))
+	return s.random.ExpFloat64()/worker.Size*(1+otherZoneRankPenalty*oneIf(worker.Zone != s.config.Zone)) +
+		otherGroupRank*oneIf(!s.inOwnGroup(worker.ID))
 }
 
 // ---- The build on trial ----
 
-// Told takes the platform's news and the answer to a vote.
+// ReleaseUpdated takes the release status from the platform, and the result of a vote.
 func (s *Sentry) ReleaseUpdated(now Micros, status ReleaseStatus) Result {
 	return s.handleEvent(now, func() {
 		if status.VoteResult == VoteRefused || status.VoteResult == VoteTimedOut {
@@ -658,22 +756,23 @@
 			s.nextVoteAt = s.now + second/4 + Micros(s.random.Int63n(int64(second)/2))
 		}
 		if status.Valid {
-			if status.Build != s.releaseStatus.Build || !s.releaseStatus.Valid {
+			if status.Build != s.release.Build || !s.release.Valid {
 				s.startTrial()
 			}
-			if status.Build != s.releaseStatus.Build || status.Stage != s.releaseStatus.Stage || status.Phase != s.releaseStatus.Phase {
+			if status.Build != s.release.Build || status.Stage != s.release.Stage || status.Phase != s.release.Phase {
 				s.statusSince = s.now - status.Age
 			}
-			if status.Phase != OnTrial { // sent back, or no earlier build is used any more
+			if status.Phase != OnTrial { // rolling back or withdrawn; or released, and no earlier build is used
 				s.rolledBack[status.Build] = status.Phase != Released
 				clear(s.trialKeys)
 			}
-			s.releaseStatus = status
+			s.release = status
 			s.refreshBuilds()
 		}
 	})
 }
 
+// startTrial resets the counts of the last trial and records the load and latency before this one as its baseline.
 func (s *Sentry) startTrial() {
 	s.resetTrial()
 	if len(s.arrivalTimes) >= minSampleSize {
@@ -689,7 +788,7 @@
 	}
 }
 
-// lookAround finds the earlier build and how far the trial reaches, after news or a list.
+// refreshBuilds finds the earlier build and updates the trial's share, after a release status or a list.
 func (s *Sentry) refreshBuilds() {
 	s.refreshReadyWorkers()
 	s.earlierBuild = s.findEarlierBuild()
@@ -698,14 +797,15 @@
 	s.runQueued()
 }
 
-// findBase is the released build, or else the build below the trial that most of the ready workers run.
+// findEarlierBuild returns the released build, or else the older build, not rolled back, whose ready workers have the
+// most capacity, or -1 if there is none.
 func (s *Sentry) findEarlierBuild() BuildID {
-	if s.releaseStatus.Valid && s.releaseStatus.Phase == Released {
-		return s.releaseStatus.Build
+	if s.release.Valid && s.release.Phase == Released {
+		return s.release.Build
 	}
 	best, maxCapacity := BuildID(-1), 0.0
 	for build, workers := range s.buildWorkers {
-		if s.releaseStatus.Valid && build >= s.releaseStatus.Build || s.rolledBack[build] {
+		if s.release.Valid && build >= s.release.Build || s.rolledBack[build] {
 			continue
 		}
 		if workers.capacity > maxCapacity || workers.capacity == maxCapacity && workers.capacity > 0 && build > best {
@@ -715,8 +815,8 @@
 	return best
 }
 
-// ramp raises the trial's slots with what its workers can do by now, up to the cap, and never lowers them
-// while the cap stands: a key that was sent to the trial stays there.
+// rampTrialSlots raises the number of slots that go to the trial with the capacity of its workers, up to the cap. It
+// never lowers it while the cap stands, so that a key that was sent to the trial stays there.
 func (s *Sentry) rampTrialSlots() {
 	trial, onTrial := s.trialBuild()
 	if !onTrial {
@@ -727,50 +827,57 @@
 	if workers := s.buildWorkers[trial]; workers != nil {
 		trialCapacity = workers.warmCapacity
 	}
-	// Where the earlier workers all stay, they have little to do: the trial's would carry far more than they.
+	// Where the earlier workers all stay, they have little to do, and the trial's workers would carry far more than
+	// they do. Only a third of the trial's capacity then adds to the total.
 	totalCapacity += trialCapacity * (1 - oneIf(s.config.EarlierWorkersStay && totalCapacity > 0)*2/3)
 	share := trialShareFactor * trialCapacity / max(totalCapacity, 1e-9)
-	s.trialSlots = min(max(s.trialSlots, percent(share)), percent(s.releaseStatus.Cap))
+	s.trialSlots = min(max(s.trialSlots, percent(share)), percent(s.release.Cap))
 }
 
-// trial is the build on trial, if there is one that may be sent to: also one that goes back, until its cap is
-// down or an earlier worker is ready.
+// trialBuild returns the newest build and whether hand-offs may go to it as the trial: while it is on trial, and
+// while it rolls back as long as its cap is above 0 and no earlier worker is ready.
 func (s *Sentry) trialBuild() (BuildID, bool) {
-	lastResort := s.releaseStatus.Phase == RollingBack && s.releaseStatus.Cap > 0 && s.earlierBuild < 0
-	return s.releaseStatus.Build, s.releaseStatus.Valid && (s.releaseStatus.Phase == OnTrial || lastResort)
+	lastResort := s.release.Phase == RollingBack && s.release.Cap > 0 && s.earlierBuild < 0
+	return s.release.Build, s.release.Valid && (s.release.Phase == OnTrial || lastResort)
 }
 
-// slotOf is the two-build hash of the design page.
+// hashSlot is the two-build hash of the design page. It returns a slot from 0 to 99.
 func hashSlot(key Key, earlier, trial BuildID) int {
 	sum := md5.Sum([]byte(string(key) + "-" + strconv.Itoa(int(earlier)) + "-" + strconv.Itoa(int(trial))))
 	return int(binary.BigEndian.Uint64(sum[:8]) % 100)
 }
 
-// mayExpose is the window counter: one more hand-off to the trial keeps within free + cap x taken, by the
-// orders and by those before them whose window is not past. For keys new to it the cap is what its workers
-// can carry: a hot one makes few of them slow, which looks like a fault of the build.
+// withinExposureBound reports whether one more hand-off to the trial keeps within free + cap x taken over the sliding
+// window, by the configuration and by the former ones whose window has not passed. For keys that are new to the
+// trial, the cap is at most what its workers can carry: a hot key would slow the few workers, which looks like a
+// fault of the build.
 func (s *Sentry) withinExposureBound(t *transaction, keyOnTrial bool) bool {
-	config, maxShare := &s.config, min(s.releaseStatus.Cap, max(oneIf(keyOnTrial), float64(s.trialSlots)/100))
+	config, maxShare := &s.config, min(s.release.Cap, max(oneIf(keyOnTrial), float64(s.trialSlots)/100))
 	exceeds := func(bound exposureBound) bool {
-		counter, windowStart := t.exposureCounters()[int(oneIf(bound.byProfile))], s.now-bound.window+s.config.TimerGranularity
-		exposed, taken := countAfter(s.exposedTimes[counter], windowStart-3*s.config.TimerGranularity), countAfter(s.takenTimes[counter], windowStart)
+		counter, windowStart := t.exposureCounters()[int(oneIf(bound.byProfile))],
+			s.now-bound.window+s.config.TimerGranularity
+		exposed, taken := countAfter(s.exposedTimes[counter], windowStart-3*s.config.TimerGranularity),
+			countAfter(s.takenTimes[counter], windowStart)
 		return bound.until > s.now && float64(exposed+1) > bound.free+maxShare*float64(taken)
 	}
 	current := exposureBound{config.FreeExposure, config.ExposureWindow, config.ExposureByProfile, s.now + 1}
 	return !exceeds(current) && !slices.ContainsFunc(s.formerBounds, exceeds)
 }
 
-// learnBuild books an ended hand-off with the builds: the trial's failures beyond the earlier's rate add up.
+// recordBuildOutcome counts an ended hand-off for its build. The trial's misses beyond the earlier build's rate are
+// added up.
 func (s *Sentry) recordBuildOutcome(t *transaction, h *handOff) {
 	stats := &s.profiles[t.Profile]
 	_, onTrial := s.trialBuild()
-	ofNewest := s.releaseStatus.Valid && (onTrial || s.releaseStatus.Phase == Released) && h.build == s.releaseStatus.Build
-	// What may have run may have been answered, unread, by either build that the list gave the worker meanwhile.
+	ofNewest := s.release.Valid && (onTrial || s.release.Phase == Released) && h.build == s.release.Build
+	// A hand-off that may have run may have been answered although no answer was read. If the list has changed the
+	// worker's build meanwhile, either build may have answered.
 	mayBeAnswered := h.mayHaveRun && h.end.Ending != Errored
-	if mayBeAnswered && onTrial && (ofNewest || s.workers[h.worker].Build == s.releaseStatus.Build) {
-		s.trialKeys[t.Key] = s.releaseStatus.Build
+	if mayBeAnswered && onTrial && (ofNewest || s.workers[h.worker].Build == s.release.Build) {
+		s.trialKeys[t.Key] = s.release.Build
 	}
-	duration, failed, lateThreshold := float64(h.end.Duration), h.end.Ending == Errored, min(lateFactor*stats.latencyThreshold, float64(stats.DueTime))
+	duration, failed, lateThreshold := float64(h.end.Duration), h.end.Ending == Errored,
+		min(lateFactor*stats.latencyThreshold, float64(stats.DueTime))
 	conclusive := failed || h.end.Ending == Answered || h.end.Ending == TimedOut && !s.answerLost(h.worker, h.sentAt)
 	if !conclusive || !ofNewest && h.build != s.earlierBuild {
 		return
@@ -788,7 +895,8 @@
 		if warm {
 			s.judgeFleetLatency(stats, duration)
 		}
-		ofTrial := h.build != s.earlierBuild || ofNewest && s.judgedOutcomes > 0 // also just released
+		// Also for a build that was released just now and is itself the earlier build.
+		ofTrial := h.build != s.earlierBuild || ofNewest && s.judgedOutcomes > 0
 		s.recordOutcome(t.Profile, errorMiss, ofTrial, failed, weight)
 		if warm {
 			s.recordOutcome(t.Profile, lateMiss, h.build != s.earlierBuild, isLate, weight)
@@ -799,27 +907,31 @@
 	}
 	stats.earlierOutcomes++
 	if warm {
-		smoothing := max(rateSmoothing, 1/float64(stats.earlierOutcomes)) // quick at first, for a trial may begin soon
-		if !s.isJudging() {                                               // paces are to what was usual before the trial
+		// Fast at first, since a trial may begin soon.
+		smoothing := max(rateSmoothing, 1/float64(stats.earlierOutcomes))
+		// During a trial, latency ratios stay relative to the duration that was usual before it.
+		if !s.isJudging() {
 			stats.expectedDuration += smoothing * (duration - stats.expectedDuration)
 		}
-		stats.latencyThreshold += 4 * smoothing * (oneIf(duration > stats.latencyThreshold) - aboveThresholdShare) * stats.expectedDuration
+		stats.latencyThreshold += 4 * smoothing *
+			(oneIf(duration > stats.latencyThreshold) - aboveThresholdShare) * stats.expectedDuration
 	}
 }
 
-// observe books one outcome, judges it and keeps it for the sentries that collect.
+// recordOutcome counts one outcome for the collectors' report and judges it.
 func (s *Sentry) recordOutcome(profileID ProfileID, kind missKind, ofTrial, missed bool, weight float64) {
 	s.countOutcome(countIndex(profileID, kind, ofTrial), missed)
 	s.judgeOutcomes(profileID, kind, ofTrial, 1, oneIf(missed)*weight)
 }
 
-// judge takes n outcomes of one build of which so many failed or were late. The earlier build's go into its
-// rate, the trial's excess over that adds up.
+// judgeOutcomes takes outcomes of one build, of which misses failed or were late. Those of the earlier build update
+// its miss rate. The trial's excess over that rate is added to the excess sums, which do not fall below 0.
 func (s *Sentry) judgeOutcomes(profileID ProfileID, kind missKind, ofTrial bool, outcomes, misses float64) {
 	stats, total := &s.profiles[profileID], &s.allProfiles
 	if !ofTrial {
 		s.earlierOutcomeAt = s.now
-		stats.earlierMissRate[kind] += (1 - math.Pow(1-rateSmoothing, outcomes)) * (misses/outcomes - stats.earlierMissRate[kind])
+		stats.earlierMissRate[kind] += (1 - math.Pow(1-rateSmoothing, outcomes)) *
+			(misses/outcomes - stats.earlierMissRate[kind])
 		return
 	}
 	excess := errorWeight * (misses - outcomes*(stats.earlierMissRate[errorMiss]+toleratedErrorShare))
@@ -827,18 +939,21 @@
 		if s.now-s.earlierOutcomeAt >= second || stats.earlierMissRate[lateMiss] >= overloadLateRate {
 			return
 		}
-		load := max(1, s.fleetCapacity*s.trialShare()/max(s.capacity(s.releaseStatus.Build), 1e-9)) * s.relativeLoad()
-		excess = lateWeight * (misses - outcomes*(2*stats.earlierMissRate[lateMiss]+toleratedLateShare*s.expectedSlowdown(load))) * s.lateMeter.addAndWeigh(s.now, outcomes)
+		load := max(1, s.fleetCapacity*s.trialShare()/max(s.capacity(s.release.Build), 1e-9)) * s.relativeLoad()
+		excess = lateWeight *
+			(misses - outcomes*(2*stats.earlierMissRate[lateMiss]+toleratedLateShare*s.expectedSlowdown(load))) *
+			s.lateMeter.addAndWeigh(s.now, outcomes)
 	} else {
 		s.judgedOutcomes += int(outcomes)
 	}
-	stats.trialExcess[kind], total.trialExcess[kind] = max(0, stats.trialExcess[kind]+excess), max(0, total.trialExcess[kind]+excess)
+	stats.trialExcess[kind], total.trialExcess[kind] =
+		max(0, stats.trialExcess[kind]+excess), max(0, total.trialExcess[kind]+excess)
 }
 
-// judgeAll compares all workers, of either build, with what answers took before the trial began: a build may
-// slow the whole fleet. Nothing is held against it where the fleet bears clearly more than then (a burst,
-// workers lost), where a quarter of the workers (of many sentries' answers, half) is as quick as ever, or
-// long after the release. It can harm a build when all slow down for a reason that no load shows.
+// judgeFleetLatency compares all workers, of either build, with what answers took before the trial began: a build may
+// slow the whole fleet. The build is not blamed where the fleet clearly carries more load than then (a burst, or lost
+// workers), where a quarter of the workers (or, of many sentries' answers, half) is as fast as before, or long after
+// the release. It can do harm to a build when all workers slow down for a reason that no load shows.
 func (s *Sentry) judgeFleetLatency(stats *profileStats, duration float64) {
 	if !s.isJudging() || stats.baselineThreshold == 0 {
 		return
@@ -849,27 +964,33 @@
 	s.addFleetOutcomes(1, oneIf(slow))
 }
 
+// addFleetOutcomes adds outcomes of all workers, of which slowOutcomes were slow, to the fleet's excess sum.
 func (s *Sentry) addFleetOutcomes(outcomes, slowOutcomes float64) {
 	tolerated := toleratedFleetSlowShare
 	if s.cooperates() {
-		inFirstStage := oneIf(s.releaseStatus.Stage == 0) // what is slow with next to no trial is no fault of it
-		s.firstStageOutcomes, s.firstStageSlow = s.firstStageOutcomes+inFirstStage*outcomes, s.firstStageSlow+inFirstStage*slowOutcomes
-		tolerated = max(minToleratedSlowShare, min(maxToleratedSlowShare, 0.8*minToleratedSlowShare+s.firstStageSlow/max(1, s.firstStageOutcomes)))
+		// What is slow in the first stage, with next to no trial traffic, is not the build's fault.
+		inFirstStage := oneIf(s.release.Stage == 0)
+		s.firstStageOutcomes, s.firstStageSlow =
+			s.firstStageOutcomes+inFirstStage*outcomes, s.firstStageSlow+inFirstStage*slowOutcomes
+		tolerated = max(minToleratedSlowShare, min(maxToleratedSlowShare,
+			0.8*minToleratedSlowShare+s.firstStageSlow/max(1, s.firstStageOutcomes)))
 		tolerated *= s.expectedSlowdown(s.relativeLoad())
 	}
-	s.fleetSlowExcess = max(0, s.fleetSlowExcess+(slowOutcomes-outcomes*tolerated)*s.fleetMeter.addAndWeigh(s.now, outcomes))
+	s.fleetSlowExcess = max(0, s.fleetSlowExcess+
+		(slowOutcomes-outcomes*tolerated)*s.fleetMeter.addAndWeigh(s.now, outcomes))
 }
 
-// part is how much n more outcomes count each: times of one second hang together in a jam.
+// addAndWeigh adds outcomes to the rate and returns how much each of them counts: less the more there are in a
+// second, since durations of the same second are correlated under congestion.
 func (meter *rateMeter) addAndWeigh(now Micros, outcomes float64) float64 {
 	meter.rate, meter.at = meter.rate*math.Exp(-float64(now-meter.at)/float64(second))+outcomes, now
 	return fullWeightPerSecond / max(meter.rate, fullWeightPerSecond)
 }
 
-// byLoad is how much slower than before the trial workers may be for this load alone.
+// expectedSlowdown returns how much slower than before the trial workers may be because of this relative load alone.
 func (s *Sentry) expectedSlowdown(load float64) float64 { return 1 + slowdownPerLoad*max(0, load-1) }
 
-// loadNow is the load to that before the trial, taken for no other where too little was seen then.
+// relativeLoad returns the load relative to the load before the trial, or 1 if too little was seen then.
 func (s *Sentry) relativeLoad() float64 {
 	if s.cooperates() && s.baselineArrivalMeter.rate > 0 {
 		return s.arrivalMeter.rate / s.baselineArrivalMeter.rate * max(1, s.baselineCapacity/max(s.fleetCapacity, 1e-9))
@@ -880,19 +1001,21 @@
 	return s.ownLoad() / s.baselineLoad
 }
 
-// watched says whether the newest build is on trial or freshly released; hundreds of sentries see what is
-// slow everywhere long before each has met the trial itself.
+// isJudging reports whether the newest build is on trial, or was released recently, and there is something to judge.
+// Hundreds of sentries together see what is slow in the fleet long before each of them has seen the trial itself.
 func (s *Sentry) isJudging() bool {
-	onTrial := s.releaseStatus.Phase == OnTrial
+	onTrial := s.release.Phase == OnTrial
 	return (s.judgedOutcomes > 0 || onTrial && s.cooperates()) && (onTrial || s.now-s.statusSince <= 2*observationTime)
 }
 
-// quickPace is the pace that a quarter of the ready workers keeps or beats.
+// lowerQuartileLatencyRatio returns the latency ratio that a quarter of the ready workers in the subsets keeps or
+// beats.
 func (s *Sentry) lowerQuartileLatencyRatio() float64 {
 	ratios := []float64{1}
 	for build, workers := range s.buildWorkers {
 		for _, w := range workers.ready[:min(workers.subsetSize, len(workers.ready))] {
-			if (build == s.earlierBuild || build == s.releaseStatus.Build) && s.warmUpCapacity(w, s.now) == 1 && s.slowRecency(w) > 0 {
+			if (build == s.earlierBuild || build == s.release.Build) &&
+				s.warmUpCapacity(w, s.now) == 1 && s.slowRecency(w) > 0 {
 				ratios = append(ratios, s.latencyRatio[w])
 			}
 		}
@@ -901,16 +1024,18 @@
 	return ratios[min(len(ratios)-1, (len(ratios)+3)/4)]
 }
 
-// weigh counts a miss of a worker of the trial for less the more this worker has missed beyond its even part
-// of all. It guards against a machine's own trouble (failing fast, slow, shared with another program); it
-// costs time where a bad build has very few workers of which one gets most of the traffic.
+// missWeight returns the weight of one outcome. A miss of a trial worker weighs less the more this worker has missed
+// beyond its even share of all misses. It guards against a machine's own trouble (fast failures, slowness, a machine
+// shared with another program). It costs time where a bad build has very few workers and one of them gets most of the
+// traffic.
 func (s *Sentry) missWeight(w int, kind missKind, miss bool) float64 {
 	if !miss {
 		return 1
 	}
 	workers := max(1, float64(s.readyCount(s.workers[w].Build)))
 	prior, workerWeight := workers, min(1, manyTrialWorkers/workers)
-	if s.cooperates() { // so many misses a second that a few workers' first ones would do
+	// With so many sentries, misses are so frequent that the first ones of a few workers would be enough for a vote.
+	if s.cooperates() {
 		prior, workerWeight = workers*workerWeight, 1
 	}
 	evenShare := min(1, (s.totalTrialMisses[kind]+prior)/(workers*(s.trialMisses[kind][w]+1)))
@@ -919,14 +1044,17 @@
 	return evenShare * evenShare * workerWeight
 }
 
-// Complained takes a client's word that an answer was wrong as an error of that build. Where each judges by
-// itself and no count shows it, one votes back for some answers, since many must do so at a time: false ones
-// are too few. One on the earlier build takes one away. It can harm a build where few votes send it back.
+// ComplaintReceived takes a client's report that an answer was wrong, and counts it as an error of the worker's build.
+// The platform's counts do not show wrong answers. Where sentries judge by these, each sentry votes to roll back after
+// a few complaints: many sentries must do so at a time, and false complaints are too few for that. A complaint about
+// the earlier build cancels one about the trial. It can do harm to a build where few votes are enough to roll it back.
 func (s *Sentry) ComplaintReceived(now Micros, complaint Complaint) Result {
 	return s.handleEvent(now, func() {
-		if w, known := s.workerIndex[complaint.Worker]; known && complaint.Profile >= 0 && int(complaint.Profile) < len(s.profiles) {
-			ofNewest := s.releaseStatus.Valid && s.workers[w].Build == s.releaseStatus.Build
-			if s.judgesByPlatformCounts() { // they do not see it, and nobody else will tell
+		if w, known := s.workerIndex[complaint.Worker]; known &&
+			complaint.Profile >= 0 && int(complaint.Profile) < len(s.profiles) {
+			ofNewest := s.release.Valid && s.workers[w].Build == s.release.Build
+			// The counts do not show it, and no other sentry reports it.
+			if s.judgesByPlatformCounts() {
 				s.wrongAnswerSum = max(0, s.wrongAnswerSum+complaintWeight*(2*oneIf(ofNewest && s.isJudging())-1))
 				return
 			}
@@ -936,45 +1064,50 @@
 }
 
 const (
-	ownFailureSmoothing, ownFailureWindow = 0.1, 10.0 // of a sentry's own failures, about so many count
-	platformCountsValidPeriods            = 4         // periods for which the platform's counts hold
-	meanSmoothing                         = 0.2       // for each of its periods
-	toleratedMeanIncrease                 = 0.5       // share by which a mean may be longer
-	toleratedFailureIncrease              = 0.1       // and of failures, beyond twice the earlier build's
+	ownFailureSmoothing, ownFailureWindow = 0.1, 10.0 // window: recent failures that ownErrors and ownFailures cover
+	platformCountsValidPeriods            = 4         // periods for which the platform's counts stay valid
+	meanSmoothing                         = 0.2       // for each period of the counts
+	toleratedMeanIncrease                 = 0.5       // share by which a mean duration may be longer
+	toleratedFailureIncrease              = 0.1       // tolerated share of failures beyond twice the earlier build's
 
 	complaintWeight         = 2 * rollBackExcess
 	complaintDecayPerAnswer = rollBackExcess / 30 // for each answer of the trial
 
-	manySentries                                 = 20
-	minToleratedSlowShare, maxToleratedSlowShare = 0.45, 0.9  // share of slow answers let pass there: at the least and the most
-	collectorCount                               = 3          // sentries that judge what all have seen
-	maxReportedWorkers                           = 20         // workers that a report names with their misses
-	collectorVerdictLifetime                     = 3 * second // for how long what a collector says counts
+	manySentries = 20
+	// Bounds of the share of slow answers that is tolerated where sentries cooperate.
+	minToleratedSlowShare, maxToleratedSlowShare = 0.45, 0.9
+	collectorCount                               = 3          // sentries that judge the counts of all
+	maxReportedWorkers                           = 20         // workers in a report, with their misses
+	collectorVerdictLifetime                     = 3 * second // how long a collector's verdict counts
 )
 
-// together says whether so many judge that only all of them see enough.
+// cooperates reports whether the sentries judge together and share load in groups: there are so many that only all of
+// them together see enough.
 func (s *Sentry) cooperates() bool { return s.config.MayMessage && s.config.Sentries >= manySentries }
 
-// collectorsAt names the sentries that collect in this trial, by position.
+// collectors returns the positions of the sentries that collect the reports in this trial.
 func (s *Sentry) collectors() (positions []SentryID) {
 	for i := range collectorCount {
-		positions = append(positions, SentryID((int(s.releaseStatus.Build)+i*s.config.Sentries/collectorCount)%s.config.Sentries))
+		positions = append(positions,
+			SentryID((int(s.release.Build)+i*s.config.Sentries/collectorCount)%s.config.Sentries))
 	}
 	return positions
 }
 
+// isCollector reports whether this sentry is one of the collectors.
 func (s *Sentry) isCollector() bool { return slices.Contains(s.collectors(), s.config.Position) }
 
-// pool sends what this sentry has counted to the collectors, and what a collector makes of all to all. Counts
-// are sent whole each time, so that a lost message or a restart of either side loses nothing for long. It
-// guards against judging on very little; where messages are lost each judges by itself.
+// sendReports sends this sentry's counts to the collectors, and a collector's verdict to all. A report holds all
+// counts of the trial each time, so that a lost message or a restart of either side loses nothing for long. It guards
+// against judging on very little. Where messages are lost, each sentry judges by itself.
 func (s *Sentry) sendReports(verdict Verdict) {
 	if !s.config.MayMessage || s.now < s.nextReportAt {
 		return
 	}
 	s.nextReportAt = s.now + second*3/4
 	if s.isCollector() {
-		body := encodeMessage(messageVerdict, []uint64{uint64(s.releaseStatus.Build), uint64(s.releaseStatus.Stage), uint64(verdict)})
+		body := encodeMessage(messageVerdict,
+			[]uint64{uint64(s.release.Build), uint64(s.release.Stage), uint64(verdict)})
 		s.result.Messages = append(s.result.Messages, Message{To: EverySentry, Body: body})
 	}
 	values := s.ownReport(maxReportedWorkers)
@@ -985,31 +1118,35 @@
 	}
 }
 
-// Neighbours. Where sentries are about as many as workers, each learns of a worker's load once in seconds:
-// most go to busy workers while others idle. Some sentries then share some workers, which all prefer, and
-// tell each other of every hand-off to these, in three bytes.
+// Groups of sentries and workers. Where there are about as many sentries as workers, each sentry hears of a worker's
+// load only every few seconds, so that most go to busy workers while others are idle. Therefore the sentries of a
+// group prefer the same workers, and tell each other of every hand-off to these, in three bytes.
 const (
-	sentriesPerGroup   = 8
-	minGroupWorkers    = 6   // workers in a group, else there is none
-	maxGroupWorkerLoad = 3.0 // load from which others are tried, who do not hear of it
-	otherGroupRank     = 1e6
-	groupOpenTTL       = 20.0 // usual times for which a hand-off counts whose end was not heard of
+	sentriesPerGroup = 8
+	minGroupWorkers  = 6 // with fewer workers there is no group
+	// Load from which workers outside the group are tried too, whose sentries do not hear of it.
+	maxGroupWorkerLoad = 3.0
+	// Added to the rank of workers of other groups, so that they come last.
+	otherGroupRank = 1e6
+	// Usual durations for which a hand-off counts if no message tells of its end.
+	groupOpenTTL = 20.0
 )
 
+// groupCount returns the number of groups.
 func (s *Sentry) groupCount() int { return max(1, s.config.Sentries/sentriesPerGroup) }
 
-// shares says whether this sentry is in a group with others.
+// inGroup reports whether this sentry is in a group with enough workers.
 func (s *Sentry) inGroup() bool {
 	workers := s.buildWorkers[s.earlierBuild]
 	return s.cooperates() && workers != nil && workers.groupWorkers >= minGroupWorkers
 }
 
-// ours says whether a worker is one of this sentry's group.
+// inOwnGroup reports whether a worker belongs to this sentry's group.
 func (s *Sentry) inOwnGroup(id WorkerID) bool {
 	return s.cooperates() && int(shortID(id))%s.groupCount() == int(s.config.Position)%s.groupCount()
 }
 
-// tellNear tells the others of the group what became of a hand-off to one of its workers.
+// notifyGroup tells the other sentries of the group of the start or end of a hand-off to one of its workers.
 func (s *Sentry) notifyGroup(w int, kind byte) {
 	if !s.inGroup() || s.rank[w] >= otherGroupRank {
 		return
@@ -1022,7 +1159,8 @@
 	}
 }
 
-// nearNow is how much of what the neighbours handed to a worker it still has.
+// groupOpenNow returns how many hand-offs of the other sentries of the group a worker still has. Hand-offs whose end
+// was not reported count less with time.
 func (s *Sentry) groupOpenNow(w int) float64 {
 	if s.groupOpen[w] == 0 {
 		return 0
@@ -1030,7 +1168,8 @@
 	return max(0, s.groupOpen[w]-float64(s.now-s.groupOpenAt[w])/max(1, groupOpenTTL*s.usualDuration()))
 }
 
-// PeerSaid takes a message. What does not hold together is dropped.
+// PeerMessageReceived takes a message from another sentry. It ignores messages that are malformed or of another
+// trial.
 func (s *Sentry) PeerMessageReceived(now Micros, from SentryID, body []byte) Result {
 	return s.handleEvent(now, func() {
 		kind, values := decodeMessage(body)
@@ -1041,37 +1180,48 @@
 				change := 1 - 2*oneIf(kind == messageHandOffEnded)
 				s.groupOpen[w], s.groupOpenAt[w] = max(0, s.groupOpenNow(w)+change), s.now
 			}
-		case !validSender || len(values) == 0 || !s.releaseStatus.Valid || BuildID(values[0]) != s.releaseStatus.Build:
+		case !validSender || len(values) == 0 || !s.release.Valid || BuildID(values[0]) != s.release.Build:
 		case kind == messageVerdict && len(values) == 3 && values[2] <= uint64(RollBack):
-			if verdict := Verdict(values[2]); verdict >= s.collectorVerdict || s.now-s.collectorVerdictAt >= collectorVerdictLifetime {
-				s.collectorVerdict, s.collectorVerdictAt, s.collectorVerdictStage = verdict, s.now, int(values[1]) // the strongest heard lately
+			if verdict := Verdict(values[2]); verdict >= s.collectorVerdict ||
+				s.now-s.collectorVerdictAt >= collectorVerdictLifetime {
+				// Keep the strongest verdict received lately.
+				s.collectorVerdict, s.collectorVerdictAt, s.collectorVerdictStage = verdict, s.now, int(values[1])
 			}
-		case kind == messageReport && len(values) >= len(s.outcomeCounts)+3 && values[2] == uint64(len(s.outcomeCounts)) && s.isCollector():
+		case kind == messageReport && len(values) >= len(s.outcomeCounts)+3 &&
+			values[2] == uint64(len(s.outcomeCounts)) && s.isCollector():
 			s.mergeReport(from, report{values[1], values[3 : len(s.outcomeCounts)+3], values[len(s.outcomeCounts)+3:]})
 		}
 	})
 }
 
-// Counted takes what the platform counted of a build. It stands in for messages: where its sample is more
-// than this sentry sees itself, the sums go by it and not by this sentry's own outcomes, so that none counts
-// twice. All sentries then err alike; own outcomes judge again when no counts have come for some periods.
+// CountsReceived takes what the platform counted of a build. The counts replace messages between sentries: where
+// their sample is larger than what this sentry sees itself, they drive the excess sums instead of its own outcomes,
+// so that nothing counts twice. All sentries then make the same errors. Own outcomes are judged again when no counts
+// have come for some periods.
 func (s *Sentry) CountsReceived(now Micros, counts BuildCounts) Result {
 	return s.handleEvent(now, func() {
-		if counts.Profile < 0 || int(counts.Profile) >= len(s.profiles) || counts.HandOffs <= 0 || !s.judgesByPlatformCounts() {
+		if counts.Profile < 0 || int(counts.Profile) >= len(s.profiles) || counts.HandOffs <= 0 ||
+			!s.judgesByPlatformCounts() {
 			return
 		}
 		s.platformCountsAt = s.now
-		stats, handOffs, failed := &s.profiles[counts.Profile], float64(counts.HandOffs), float64(min(counts.HandOffs, counts.Failed))
-		ofNewest := s.releaseStatus.Valid && counts.Build == s.releaseStatus.Build && (counts.Build != s.earlierBuild || s.judgedOutcomes > 0)
+		stats, handOffs, failed := &s.profiles[counts.Profile], float64(counts.HandOffs),
+			float64(min(counts.HandOffs, counts.Failed))
+		ofNewest := s.release.Valid && counts.Build == s.release.Build &&
+			(counts.Build != s.earlierBuild || s.judgedOutcomes > 0)
 		if !ofNewest && counts.Build != s.earlierBuild {
 			return
 		}
-		if ofNewest { // of any kind, a worker's death too; this sentry's own tell how many are errors
-			failed = max(0, failed*(s.ownErrors+1)/(s.ownFailures+1)-handOffs*(toleratedFailureIncrease+max(stats.earlierMissRate[errorMiss], stats.earlierFailedShare)))
+		// The counts hold failures of any kind, also a worker's death. This sentry's own failures show which share of
+		// them are errors.
+		if ofNewest {
+			failed = max(0, failed*(s.ownErrors+1)/(s.ownFailures+1)-
+				handOffs*(toleratedFailureIncrease+max(stats.earlierMissRate[errorMiss], stats.earlierFailedShare)))
 		} else {
 			stats.earlierFailedShare = failed / handOffs
 		}
-		if !ofNewest || s.now-s.earlierOutcomeAt <= platformCountsValidPeriods*s.config.CountsPeriod { // else nothing tells what is usual now
+		// Otherwise nothing shows what is usual now.
+		if !ofNewest || s.now-s.earlierOutcomeAt <= platformCountsValidPeriods*s.config.CountsPeriod {
 			s.judgeOutcomes(counts.Profile, errorMiss, ofNewest, handOffs, failed)
 		}
 		periodMiddle := s.now - counts.Age - s.config.CountsPeriod/2
@@ -1079,60 +1229,68 @@
 	})
 }
 
-// countsRule says whether the platform's counts drive the sums.
+// judgesByPlatformCounts reports whether this sentry uses the platform's counts to judge.
 func (s *Sentry) judgesByPlatformCounts() bool {
 	config := &s.config
 	return config.CountsPeriod > 0 && !config.MayMessage && config.CountsSampleShare*float64(config.Sentries) > 1
 }
 
-// counted says whether they do so now.
+// platformCountsAreCurrent reports whether it does so now, because counts came recently.
 func (s *Sentry) platformCountsAreCurrent() bool {
-	return s.judgesByPlatformCounts() && s.platformCountsAt > 0 && s.now-s.platformCountsAt < platformCountsValidPeriods*s.config.CountsPeriod
+	return s.judgesByPlatformCounts() && s.platformCountsAt > 0 &&
+		s.now-s.platformCountsAt < platformCountsValidPeriods*s.config.CountsPeriod
 }
 
-// tellMeans adds a mean time to those of its period, over all profiles: of the trial, the warmth of its
-// workers then allowed for, and of all.
+// addPeriodMean adds a mean duration to the means of its period over all profiles: of the trial, corrected for the
+// warm-up of its workers, and of all builds.
 func (s *Sentry) addPeriodMean(stats *profileStats, answers, mean float64, ofNewest bool, at Micros) {
 	if answers <= 0 || mean <= 0 {
 		return
 	}
 	if ofNewest {
-		mean *= s.buildWarmUpCapacity(s.releaseStatus.Build, at)
-	} else if stats.earlierMean += max(meanSmoothing, oneIf(stats.earlierMean == 0)) * (mean - stats.earlierMean); !s.isJudging() {
+		mean *= s.buildWarmUpCapacity(s.release.Build, at)
+	} else if stats.earlierMean += max(meanSmoothing, oneIf(stats.earlierMean == 0)) *
+		(mean - stats.earlierMean); !s.isJudging() {
 		stats.baselineMean = stats.earlierMean
 	}
 	for i := range s.periodMeans[:1+int(oneIf(ofNewest))] {
 		if means := &s.periodMeans[i]; stats.baselineMean > 0 {
-			means.answers, means.duration, means.baselineDuration, means.earlierDuration = means.answers+answers, means.duration+answers*mean, means.baselineDuration+answers*stats.baselineMean, means.earlierDuration+answers*stats.earlierMean
+			means.answers, means.duration, means.baselineDuration, means.earlierDuration =
+				means.answers+answers, means.duration+answers*mean,
+				means.baselineDuration+answers*stats.baselineMean, means.earlierDuration+answers*stats.earlierMean
 		}
 	}
 }
 
-// judgeMeans judges what came of a period. A mean that is so many times as long counts as so many late ones:
-// the trial's beside the earlier build's or the time before, whichever is longer, those of both beside the
-// time before, in both cases by more than the load explains.
+// judgePeriodMeans judges the mean durations of a period. A mean that is longer by some share counts as that share of
+// late hand-offs. The trial's mean is compared with the earlier build's or the baseline, whichever is longer, and
+// that of both builds with the baseline, in both cases beyond what the load explains.
 func (s *Sentry) judgePeriodMeans() {
 	all, trial := s.periodMeans[0], s.periodMeans[1]
 	s.periodMeans = [2]latencyMeans{}
 	perSecond := all.answers * float64(second) / float64(s.config.CountsPeriod)
 	if !s.isJudging() {
-		s.baselinePlatformRate += max(meanSmoothing, oneIf(s.baselinePlatformRate == 0)) * (perSecond - s.baselinePlatformRate)
+		s.baselinePlatformRate += max(meanSmoothing, oneIf(s.baselinePlatformRate == 0)) *
+			(perSecond - s.baselinePlatformRate)
 		return
 	}
 	load := max(1, perSecond/max(s.baselinePlatformRate, 1e-9)) * max(1, s.baselineCapacity/max(s.fleetCapacity, 1e-9))
 	if all.answers > 0 {
 		slowShare := min(1, max(0, all.duration/all.baselineDuration/s.expectedSlowdown(load)-1))
-		s.fleetSlowExcess = max(0, s.fleetSlowExcess+lateWeight*all.answers*(slowShare-toleratedMeanIncrease)*s.fleetMeter.addAndWeigh(s.now, all.answers))
+		s.fleetSlowExcess = max(0, s.fleetSlowExcess+
+			lateWeight*all.answers*(slowShare-toleratedMeanIncrease)*s.fleetMeter.addAndWeigh(s.now, all.answers))
 	}
 	if trial.answers > 0 {
-		load *= max(1, s.baselineCapacity*float64(s.trialSlots)/max(100*s.capacity(s.releaseStatus.Build), 1e-9))
+		load *= max(1, s.baselineCapacity*float64(s.trialSlots)/max(100*s.capacity(s.release.Build), 1e-9))
 		ratio := trial.duration / max(trial.earlierDuration, trial.baselineDuration*s.expectedSlowdown(load))
 		weight := lateWeight * trial.answers * s.lateMeter.addAndWeigh(s.now, trial.answers)
-		s.allProfiles.trialExcess[lateMiss] = max(0, s.allProfiles.trialExcess[lateMiss]+weight*(min(1, max(0, ratio-1))-toleratedMeanIncrease))
+		s.allProfiles.trialExcess[lateMiss] = max(0, s.allProfiles.trialExcess[lateMiss]+
+			weight*(min(1, max(0, ratio-1))-toleratedMeanIncrease))
 	}
 }
 
-// vote forms this sentry's verdict and sends it when it has changed or is about to lapse.
+// updateVote forms this sentry's verdict, and votes when it has changed or is about to expire. It runs each quarter
+// second.
 func (s *Sentry) updateVote() {
 	if s.now < s.nextVoteAt {
 		return
@@ -1144,17 +1302,20 @@
 	if s.periodMeans[0].answers > 0 && s.now > s.platformCountsAt {
 		s.judgePeriodMeans()
 	}
-	if s.usualLoad == 0 || s.releaseStatus.Phase != RollingBack {
-		s.handOffTimes = dropUpTo(s.handOffTimes, s.now-s.arrivalWindow) // not what comes: under overload that is more than workers bear
-		s.usualLoad += max(usualLoadSmoothing, oneIf(s.usualLoad == 0)) * (float64(len(s.handOffTimes))/max(s.fleetCapacity, 1e-9) - s.usualLoad)
+	if s.usualLoad == 0 || s.release.Phase != RollingBack {
+		// Hand-offs are counted, not arrivals: under overload more arrives than workers can take.
+		s.handOffTimes = dropUpTo(s.handOffTimes, s.now-s.arrivalWindow)
+		s.usualLoad += max(usualLoadSmoothing, oneIf(s.usualLoad == 0)) *
+			(float64(len(s.handOffTimes))/max(s.fleetCapacity, 1e-9) - s.usualLoad)
 	}
-	if !s.releaseStatus.Valid || s.releaseStatus.Phase != OnTrial && s.releaseStatus.Phase != Released {
+	if !s.release.Valid || s.release.Phase != OnTrial && s.release.Phase != Released {
 		return
 	}
 	s.rampTrialSlots()
-	vote := Vote{Build: s.releaseStatus.Build, Stage: s.releaseStatus.Stage, Verdict: s.decideVerdict()}
+	vote := Vote{Build: s.release.Build, Stage: s.release.Stage, Verdict: s.decideVerdict()}
 	s.sendReports(vote.Verdict)
-	if vote.Verdict != NoVerdict && (vote != s.lastVote || s.lastVoteAt == 0 || s.now-s.lastVoteAt >= s.config.VoteTTL*6/10) {
+	if vote.Verdict != NoVerdict &&
+		(vote != s.lastVote || s.lastVoteAt == 0 || s.now-s.lastVoteAt >= s.config.VoteTTL*6/10) {
 		if vote != s.lastVote && (s.isCollector() || s.config.Sentries < manySentries) {
 			s.logVote(vote.Verdict)
 		}
@@ -1163,16 +1324,28 @@
 	}
 }
 
+// decideVerdict returns what this sentry votes for:
+//
+//   - the collectors' verdict if one came recently, or nothing if the collectors' own votes are enough;
+//   - RollBack once an excess sum has passed the limit, and then until the next trial, or after enough complaints;
+//   - with ControlTimer, Hold while an excess sum is too high to advance;
+//   - without it, Advance if the excess sums are low and the trial has been observed for long enough;
+//   - NoVerdict otherwise.
 func (s *Sentry) decideVerdict() Verdict {
-	config, minObservation, limit, excesses, isCollector := &s.config, observationTime, rollBackExcess, s.excessSums(), s.isCollector()
-	if !config.MayMessage || !isCollector { // the more may vote, the less a chance sum may decide
+	config, minObservation, limit, excesses, isCollector :=
+		&s.config, observationTime, rollBackExcess, s.excessSums(), s.isCollector()
+	// The more sentries may vote, the less a sum that is high by chance may decide.
+	if !config.MayMessage || !isCollector {
 		limit += math.Log(1 + float64(config.Sentries)/float64(10*max(1, config.RollBackVotes)))
-		excesses = excesses[int(oneIf(s.cooperates())):] // what is slow among all it does not see
-	}
-	limit *= 1 + releasedLimitIncrease*oneIf(s.releaseStatus.Phase == Released)
-	if s.collectorVerdictAt > s.now-collectorVerdictLifetime && !isCollector && (s.cooperates() || s.fleetSlowExcess <= limit) {
-		if max(config.AdvanceVotes, config.RollBackVotes, config.HoldVotes) <= collectorCount || s.collectorVerdictStage != s.releaseStatus.Stage {
-			return NoVerdict // theirs are enough, or not yet of this stage
+		// A single sentry of many does not see what is slow in the whole fleet.
+		excesses = excesses[int(oneIf(s.cooperates())):]
+	}
+	limit *= 1 + releasedLimitIncrease*oneIf(s.release.Phase == Released)
+	if s.collectorVerdictAt > s.now-collectorVerdictLifetime && !isCollector &&
+		(s.cooperates() || s.fleetSlowExcess <= limit) {
+		if max(config.AdvanceVotes, config.RollBackVotes, config.HoldVotes) <= collectorCount ||
+			s.collectorVerdictStage != s.release.Stage {
+			return NoVerdict // the collectors' votes are enough, or their verdict is of another stage
 		}
 		return s.collectorVerdict
 	}
@@ -1180,19 +1353,20 @@
 	if s.rollBackDecided = s.rollBackDecided || maxExcess > limit; s.rollBackDecided || s.wrongAnswerSum > limit {
 		return RollBack
 	}
-	minObservation *= 1 + Micros(2*oneIf(config.MayMessage && !isCollector)) // others may know more
-	workers := s.buildWorkers[s.releaseStatus.Build]
+	minObservation *= 1 + Micros(2*oneIf(config.MayMessage && !isCollector)) // other sentries may know more
+	workers := s.buildWorkers[s.release.Build]
 	switch timerControl := config.Control == ControlTimer; {
-	case s.releaseStatus.Phase == Released || workers == nil || len(workers.ready) == 0:
+	case s.release.Phase == Released || workers == nil || len(workers.ready) == 0:
 		return NoVerdict
 	case timerControl && maxExcess > maxAdvanceExcess:
 		return Hold
 	case timerControl || maxExcess >= maxAdvanceExcess:
 		return NoVerdict
 	}
-	// The release takes the earlier workers away: before it, all is looked at under full load for a while.
-	lastStage := config.EarlierWorkersStay && s.releaseStatus.Stage+1 >= len(config.StageCaps)
-	observed := s.now - max(s.statusSince, workers.youngestStart) - Micros(oneIf(lastStage))*config.WarmUp/lastStageWarmUpDivisor
+	// The release removes the earlier workers. Before it, the trial is observed under full load for a while.
+	lastStage := config.EarlierWorkersStay && s.release.Stage+1 >= len(config.StageCaps)
+	observed := s.now - max(s.statusSince, workers.youngestStart) -
+		Micros(oneIf(lastStage))*config.WarmUp/lastStageWarmUpDivisor
 	if observed >= minObservation || observed >= settleTime && s.judgedOutcomes >= minSampleSize {
 		return Advance
 	}
--- a/logic/state.go
+++ b/logic/state.go
@@ -1,6 +1,6 @@
 package logic
 
-// What a sentry keeps, and helpers that decide nothing.
+// This file holds the state of a sentry, the entry points that decide nothing themselves, and helpers.
 
 import (
 	"cmp"
@@ -12,55 +12,61 @@
 	"slices"
 )
 
+// handOff is one hand-off of a transaction to a worker.
 type handOff struct {
 	worker        int
 	build         BuildID
 	sentAt        Micros
 	ended         bool
-	newConnection bool // no connection was open, as far as is known
-	timingInvalid bool // its time says nothing: a connection had to be opened, or this sentry stood still
-	mayHaveRun    bool // not proven not to have run
+	newConnection bool // as far as is known, no connection to the worker was open
+	timingInvalid bool // the duration says nothing: a connection had to be opened, or the process was stalled
+	mayHaveRun    bool // it is not proven that it has not run
 	end           HandOffEnd
 }
 
+// transaction is a transaction with what the sentry decided on it.
 type transaction struct {
 	Transaction
-	profile        *Profile // as the orders had it when this came
+	profile        *Profile // as configured when the transaction arrived
 	arrivedAt      Micros
-	slot           int // 0 to 99, by the two-build hash
-	worker         int // chosen, or -1
+	slot           int // 0 to 99, by the two-build hash, or at random without a key
+	worker         int // index of the chosen worker, or -1
 	handOffs       []handOff
 	closed, queued bool
 }
 
-// out says whether a hand-off is still open.
+// hasOpenHandOff reports whether a hand-off of the transaction has not ended.
 func (t *transaction) hasOpenHandOff() bool {
 	return slices.ContainsFunc(t.handOffs, func(h handOff) bool { return !h.ended })
 }
 
-// profileRow is what differs by profile.
+// profileStats is what a sentry knows of the transactions of one profile. The earlier build and the trial are
+// measured separately. A miss is a failed or late outcome.
 type profileStats struct {
-	*Profile                              // other orders bring another one
-	expectedDuration   float64            // usual time of an answer of the earlier build
-	latencyThreshold   float64            // barShare of these take longer
-	earlierMissRate    [missKinds]float64 // the earlier build's rates of errors, and of hand-offs that take slowTimes the bar
-	trialExcess        [missKinds]float64 // sums of the trial's excess
-	baselineThreshold  float64            // the bar before the trial, 0 if it was not learnt
-	earlierOutcomes    int                // outcomes of the earlier build
-	earlierMean        float64            // mean time of the earlier build's by the platform's counts, 0 if none came
-	baselineMean       float64            // the same before the trial
-	earlierFailedShare float64            // share of its hand-offs that failed in the last period
-}
-
-// worth is the value for the work.
+	*Profile                 // replaced by a new configuration
+	expectedDuration float64 // usual duration of an answer of the earlier build
+	latencyThreshold float64 // aboveThresholdShare of the earlier build's answers take longer
+	// The earlier build's rates of errors and of late hand-offs, which take longer than lateFactor x latencyThreshold.
+	earlierMissRate   [missKinds]float64
+	trialExcess       [missKinds]float64 // cumulative sums of the trial's misses beyond the earlier build's rate
+	baselineThreshold float64            // latencyThreshold before the trial, 0 if too little was seen
+	earlierOutcomes   int                // outcomes of the earlier build
+	earlierMean       float64            // mean duration of the earlier build by the platform's counts, 0 if none came
+	baselineMean      float64            // earlierMean before the trial
+	// Share of the earlier build's hand-offs that failed in the last period of the platform's counts.
+	earlierFailedShare float64
+}
+
+// valuePerWork returns the value of a transaction relative to its expected duration.
 func (p *profileStats) valuePerWork() float64 { return p.Value / p.expectedDuration }
 
+// wakeUp is a time at which a transaction has something due.
 type wakeUp struct {
 	at          Micros
 	transaction *transaction
 }
 
-// Sentry is one instance. Its calls must not overlap.
+// Sentry is one instance of the decision logic. Its calls must not overlap.
 type Sentry struct {
 	config                     Config
 	random                     *rand.Rand
@@ -69,104 +75,113 @@
 	openTransactions           map[TransactionID]*transaction
 	wakeUps                    []wakeUp // the earliest first
 	queue                      []*transaction
-	profiles                   []profileStats  // by place
-	allProfiles                profileStats    // of all profiles together: its sums
-	formerBounds               []exposureBound // of orders before these
-	maxRuleWindow              Micros          // the longest window of a rule so far
-	maxDueTime                 Micros          // due time
-	maxDeadline                Micros          // limit of any transaction
-	arrivalWindow              Micros          // how long arrivals are kept
+	profiles                   []profileStats  // by ProfileID
+	allProfiles                profileStats    // only its trialExcess is used, for all profiles together
+	formerBounds               []exposureBound // bounds of former configurations that are still in force
+	maxRuleWindow              Micros          // the longest window of a rule in any configuration so far
+	maxDueTime                 Micros          // the longest due time of the profiles
+	maxDeadline                Micros          // the longest deadline of any transaction
+	arrivalWindow              Micros          // how long arrivalTimes and handOffTimes go back
 	arrivalTimes               []Micros
-	handOffTimes               []Micros // hand-offs, as long
-	retryBudget                float64  // further hand-offs that the budget still bears
-	openHandOffs, lostHandOffs int      // own open hand-offs, and of these whose answers are lost
-	concurrencyLimit           float64  // and how many there may be
+	handOffTimes               []Micros
+	retryBudget                float64 // retries and hedges that the budget allows now
+	openHandOffs, lostHandOffs int     // this sentry's, and how many of them have lost their answer
+	concurrencyLimit           float64 // how many may be open
 
-	// Workers, under a dense index.
+	// Workers. Each has an index, called w in the code. Most slices below are indexed by it.
 	workerIndex          map[WorkerID]int
 	workers              []Worker
-	workerOrder          []int // all of them in an order of this sentry's own, by rank
+	workerOrder          []int // indexes of all workers in this sentry's own order, by rank
 	rank                 []float64
-	byShortID            map[uint64]int      // by short name
-	ownMisses            [missKinds][]uint64 // of these misses, what this sentry saw itself
-	openByWorker         []int               // own open hand-offs
-	otherLoad            []float64           // reported load beyond these
-	groupOpen            []float64           // hand-offs of the neighbours that it still has
+	byShortID            map[uint64]int      // index by shortID
+	ownMisses            [missKinds][]uint64 // those of trialMisses that this sentry saw itself
+	openByWorker         []int               // this sentry's open hand-offs
+	otherLoad            []float64           // reported load beyond this sentry's open hand-offs
+	groupOpen            []float64           // open hand-offs of the other sentries of the group
 	groupOpenAt          []Micros
-	latencyRatio         []float64  // time of answers to what is expected
+	latencyRatio         []float64  // duration of answers to expected duration
 	failureRate          []float64  // smoothed share of failures
-	nonLoadFailureRate   []float64  // of failures that no load explains
-	seenAt               []Micros   // last end of a hand-off
-	ejectedUntil         []Micros   // not before then
-	recoveredAt          []Micros   // answered then, after it had been down
-	consecutiveFailures  []int      // failed tries to reach it since it last answered
-	coldHandOffs         [][]Micros // hand-offs while cold
+	nonLoadFailureRate   []float64  // smoothed share of failures that no load explains
+	seenAt               []Micros   // time of the last end of a hand-off
+	ejectedUntil         []Micros   // not to be used before
+	recoveredAt          []Micros   // when it answered after it had been down, 0 if it has not been
+	consecutiveFailures  []int      // failures to reach it since its last answer
+	coldHandOffs         [][]Micros // times of hand-offs while it is cold
 	randomAllowanceUntil []Micros
-	lastAnswerAt         []Micros                     // last
-	answeredSentTimes    [][laterAnswersIfLost]Micros // when the latest that were answered had been sent, the earliest first
-	goneSince            []Micros                     // since when, if it is
-	randomAllowance      []float64                    // what chance adds to their bound
-	trialMisses          [missKinds][]float64         // what the judge counted against it in this trial
-
-	zoneLatencyRatio []float64 // time of answers to what is expected, by zone
-	zoneUpdatedAt    []Micros  // last
-	maxZoneSlowdown  float64   // of the ways to other zones, beside the own, 1 if none is slow
-	refusedShare     float64   // share of new connections that are refused
-
-	usualLoad       float64 // load of the fleet by this sentry's traffic, as it was lately
+	lastAnswerAt         []Micros // 0 if there is none, or a connection has failed since
+	// When the latest hand-offs that were answered had been sent, the earliest first.
+	answeredSentTimes [][laterAnswersIfLost]Micros
+	goneSince         []Micros             // valid if it is Gone
+	randomAllowance   []float64            // random part of what it may get while it is cold
+	trialMisses       [missKinds][]float64 // misses counted against it in this trial
+
+	zoneLatencyRatio []float64 // duration of answers to expected duration, by zone
+	zoneUpdatedAt    []Micros  // time of the last update, by zone
+	maxZoneSlowdown  float64   // the largest zoneSlowdown of another zone, 1 if none is slow
+	refusedShare     float64   // smoothed share of new connections that are refused
+
+	usualLoad       float64 // smoothed: this sentry's hand-offs in arrivalWindow per unit of fleet capacity
 	buildWorkers    map[BuildID]*buildWorkers
-	fleetCapacity   float64 // what all ready workers can do by now
-	usualWorkerLoad float64 // usual reported load of a worker
+	fleetCapacity   float64 // what all ready workers can do now, cold ones less
+	usualWorkerLoad float64 // smoothed number of transactions that a worker reports
 
-	// The list.
+	// The worker list.
 	lease             lease
 	workerLeases      []workerLease
 	nextListRequestAt Micros
 
 	// The build on trial.
-	releaseStatus                         ReleaseStatus
-	statusSince                           Micros
-	earlierBuild                          BuildID
-	rolledBack                            map[BuildID]bool
-	trialSlots, judgedOutcomes            int // slots under reach go to the trial, outcomes judged
-	trialKeys                             map[Key]BuildID
-	takenTimes                            [][]Micros         // transactions: all in the first, then by profile
-	exposedTimes                          [][]Micros         // hand-offs to the trial, likewise
-	periodMeans                           [2]latencyMeans    // of the period in hand: of all, of the trial
-	baselinePlatformRate                  float64            // counted in a second before the trial
-	ownErrors, ownFailures                float64            // own hand-offs of late that a worker failed, and that failed for any reason
-	wrongAnswerSum                        float64            // sum of reports of wrong answers, where each judges by itself
-	platformCountsAt                      Micros             // the platform's last count
-	earlierOutcomeAt                      Micros             // last outcome of the earlier build
-	totalTrialMisses                      [missKinds]float64 // all misses of the trial's workers
-	outcomeCounts                         []uint64           // outcomes counted
-	runID                                 uint64             // tells this run of the sentry from others
-	reports                               map[SentryID]report
-	collectorVerdict                      Verdict // of the collectors
-	collectorVerdictAt                    Micros
-	collectorVerdictStage                 int // stage
-	nextReportAt                          Micros
-	fleetMeter, lateMeter                 rateMeter
-	arrivalMeter, baselineArrivalMeter    rateMeter   // transactions that came to all, and that would have as before the trial
-	givenUp, olderGivenUp                 map[Key]int // given up, and not come again yet: lately, and some time ago
-	givenUpRotatedAt                      Micros      // when the older ones were set apart
+	release      ReleaseStatus
+	statusSince  Micros
+	earlierBuild BuildID
+	rolledBack   map[BuildID]bool
+	// Slots below trialSlots go to the trial. judgedOutcomes counts the trial's outcomes judged for errors.
+	trialSlots, judgedOutcomes int
+	trialKeys                  map[Key]BuildID
+	takenTimes                 [][]Micros // transactions taken: all at index 0, then by profile
+	exposedTimes               [][]Micros // hand-offs to the trial, with the same indexes
+	// Of the current period of the platform's counts: of all builds, and of the trial.
+	periodMeans          [2]latencyMeans
+	baselinePlatformRate float64 // answers in a second by the platform's counts before the trial
+	// This sentry's recent hand-offs that ended with an error, and that failed for any reason.
+	ownErrors, ownFailures float64
+	wrongAnswerSum         float64            // sum of complaints, where each sentry judges by itself
+	platformCountsAt       Micros             // time of the platform's last counts
+	earlierOutcomeAt       Micros             // time of the last judged outcome of the earlier build
+	totalTrialMisses       [missKinds]float64 // misses of all workers of the trial
+	outcomeCounts          []uint64           // outcomes counted in this trial, by countIndex
+	runID                  uint64             // tells this run of the sentry from others
+	reports                map[SentryID]report
+	collectorVerdict       Verdict // the strongest verdict received lately
+	collectorVerdictAt     Micros
+	collectorVerdictStage  int
+	nextReportAt           Micros
+	fleetMeter, lateMeter  rateMeter
+	// Transactions that all sentries together get, and that they would get as before the trial.
+	arrivalMeter, baselineArrivalMeter rateMeter
+	// By key, transactions given up that have not come again yet: recent ones and older ones.
+	givenUp, olderGivenUp                 map[Key]int
+	givenUpRotatedAt                      Micros // when the older ones were set apart
 	newArrivals                           uint64
 	firstCallAt, baselineAt               Micros
-	stalledAt                             Micros  // when it last found that it had stood still
-	firstStageOutcomes, firstStageSlow    float64 // answers in the first stage
+	stalledAt                             Micros  // when the process was last found to have been stalled
+	firstStageOutcomes, firstStageSlow    float64 // outcomes in the trial's first stage, and slow ones of these
 	baselineArrivalRate, baselineCapacity float64
-	fleetSlowExcess, baselineLoad         float64 // excess of slow ones everywhere, and load before the trial
-	lastVote                              Vote
-	rollBackDecided                       bool
-	lastVoteAt, nextVoteAt                Micros
+	// Cumulative sum of slow outcomes of the whole fleet, and ownLoad before the trial.
+	fleetSlowExcess, baselineLoad float64
+	lastVote                      Vote
+	rollBackDecided               bool
+	lastVoteAt, nextVoteAt        Micros
 }
 
-// New makes a sentry from its orders and the seed of its chance.
+// New makes a sentry from its configuration and the seed of its random numbers.
 func New(config Config, seed int64) *Sentry {
 	s := &Sentry{
-		random: rand.New(rand.NewSource(seed)), openTransactions: map[TransactionID]*transaction{}, workerIndex: map[WorkerID]int{},
-		byShortID: map[uint64]int{}, buildWorkers: map[BuildID]*buildWorkers{}, rolledBack: map[BuildID]bool{},
-		trialKeys: map[Key]BuildID{}, givenUp: map[Key]int{}, takenTimes: make([][]Micros, 1), exposedTimes: make([][]Micros, 1),
+		random: rand.New(rand.NewSource(seed)), openTransactions: map[TransactionID]*transaction{},
+		workerIndex: map[WorkerID]int{}, byShortID: map[uint64]int{},
+		buildWorkers: map[BuildID]*buildWorkers{}, rolledBack: map[BuildID]bool{},
+		trialKeys: map[Key]BuildID{}, givenUp: map[Key]int{},
+		takenTimes: make([][]Micros, 1), exposedTimes: make([][]Micros, 1),
 	}
 	s.runID = uint64(s.random.Uint32())
 	s.applyConfig(config)
@@ -174,23 +189,26 @@
 	return s
 }
 
-// roster is the ready workers of a build, and the few of them that this sentry uses.
+// buildWorkers is the ready workers of a build, and the subset of them that this sentry uses.
 type buildWorkers struct {
-	ready         []int   // in this sentry's order, the shunned last
-	subsetSize    int     // so many of them are its working set
-	capacity      float64 // what they can do by now
-	warmCapacity  float64 // what a trial may count on of it: the cold are mostly closed, and the warm would bear their part
-	groupWorkers  int     // how many of the first are this sentry's group's
-	youngestStart Micros  // start of the youngest
+	ready      []int   // in this sentry's order, ejected workers last
+	subsetSize int     // the subset is the first so many
+	capacity   float64 // what the workers can do now, cold ones less
+	// What the trial's share of traffic may rely on: cold workers count only by their progress, since most of their
+	// limit is closed and the warm ones would carry their part.
+	warmCapacity  float64
+	groupWorkers  int    // how many of the first belong to this sentry's group
+	youngestStart Micros // start time of the youngest
 }
 
-// report is what one sentry has counted since the trial began, and the run of that sentry.
+// report is what one sentry has counted since the trial began.
 type report struct {
 	runID          uint64
-	counts, misses []uint64 // misses: short names of workers, each followed by how many
+	counts, misses []uint64 // misses: pairs of a worker's short ID with the kind of miss, and the number
 }
 
-// before is what the report r adds to, nothing after a restart of its sentry, and whether r can follow it.
+// previousFor returns the report that next adds to, which is empty after a restart of the reporting sentry, and
+// whether next is consistent with it.
 func (previous report) previousFor(next report) (report, bool) {
 	if previous.runID != next.runID || previous.counts == nil {
 		previous = report{counts: make([]uint64, len(next.counts))}
@@ -203,14 +221,14 @@
 	return previous, true
 }
 
-// miss is one failed or late outcome of a worker that a report tells, of so many new ones of its kind.
+// miss is one miss of a worker that a report adds. newOfKind is how many misses of its kind the report adds.
 type miss struct {
 	worker    int
 	kind      missKind
 	newOfKind float64
 }
 
-// newMisses lists the misses that a report tells and the one before it did not.
+// missesSince lists the misses that a report adds to the previous one.
 func (s *Sentry) missesSince(previous, next report) (misses []miss) {
 	reported, ofKind := map[uint64]uint64{}, [missKinds]float64{}
 	for i := 0; i+1 < len(previous.misses); i += 2 {
@@ -230,7 +248,7 @@
 	return misses
 }
 
-// appendMisses appends the misses of the workers that have any, for a report.
+// appendMisses appends this sentry's misses to a report, for as many workers as allowed.
 func (s *Sentry) appendMisses(values []uint64, maxWorkers int) []uint64 {
 	for kind := range missKinds {
 		for w, count := range s.ownMisses[kind] {
@@ -243,18 +261,18 @@
 	return values
 }
 
-// shortName tells workers from each other, in all but a few cases, in two bytes of a message.
+// shortID tells workers apart, in all but a few cases, in two bytes of a message.
 func shortID(id WorkerID) uint64 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return uint64(h.Sum32() % (1 << 14))
 }
 
-// means are mean times by the platform's counts: the answers, and the sums of what they took, of what as many
-// of their profiles took before the trial, and of what they take at the earlier build now.
+// latencyMeans sums durations by the platform's counts: the number of answers, what they took, what as many answers
+// of their profiles took before the trial, and what they take at the earlier build now.
 type latencyMeans struct{ answers, duration, baselineDuration, earlierDuration float64 }
 
-// exposure is a bound on hand-offs to the trial, and until when it holds.
+// exposureBound is a bound on hand-offs to the trial, and the time until which it is in force.
 type exposureBound struct {
 	free      float64
 	window    Micros
@@ -262,17 +280,18 @@
 	until     Micros
 }
 
-// meter follows how many outcomes come in a second.
+// rateMeter measures how many outcomes come in a second.
 type rateMeter struct {
 	rate float64
 	at   Micros
 }
 
-// addWorker gives a new worker a row, one of a worker long gone if there is one, and its place in this sentry's
-// order.
-func (s *Sentry) addWorker(line Worker, rank float64) int {
+// addWorker gives a new worker an index, one of a worker gone for long if there is one, and its place in this
+// sentry's order.
+func (s *Sentry) addWorker(listed Worker, rank float64) int {
 	w := 0
-	for w < len(s.workers) && !(s.workers[w].State == Gone && s.openByWorker[w] == 0 && s.now-s.goneSince[w] > s.maxDeadline) {
+	for w < len(s.workers) &&
+		!(s.workers[w].State == Gone && s.openByWorker[w] == 0 && s.now-s.goneSince[w] > s.maxDeadline) {
 		w++
 	}
 	if w < len(s.workers) {
@@ -295,18 +314,20 @@
 		s.seenAt, s.randomAllowanceUntil = append(s.seenAt, 0), append(s.randomAllowanceUntil, 0)
 		s.rank = append(s.rank, 0)
 	}
-	s.workers[w] = Worker{Build: -1} // none: the line that renews the row clears it
-	s.workerIndex[line.ID], s.byShortID[shortID(line.ID)], s.rank[w] = w, w, rank
-	s.seenAt[w], s.randomAllowanceUntil[w], s.answeredSentTimes[w], s.coldHandOffs[w] = 0, 0, [laterAnswersIfLost]Micros{}, nil
-	position, _ := slices.BinarySearchFunc(s.workerOrder, rank, func(other int, target float64) int { return cmp.Compare(s.rank[other], target) })
+	s.workers[w] = Worker{Build: -1} // no build: updateWorker then clears what the index held
+	s.workerIndex[listed.ID], s.byShortID[shortID(listed.ID)], s.rank[w] = w, w, rank
+	s.seenAt[w], s.randomAllowanceUntil[w], s.answeredSentTimes[w], s.coldHandOffs[w] =
+		0, 0, [laterAnswersIfLost]Micros{}, nil
+	position, _ := slices.BinarySearchFunc(s.workerOrder, rank,
+		func(other int, target float64) int { return cmp.Compare(s.rank[other], target) })
 	s.workerOrder = slices.Insert(s.workerOrder, position, w)
 	return w
 }
 
-// First byte of a message.
+// The first byte of a message says its kind.
 const messageReport, messageVerdict, messageHandOff, messageHandOffEnded = 1, 2, 3, 4
 
-// pack makes a message of one kind of whole numbers; unpack gives none where it is not such a message.
+// encodeMessage returns a message: its kind and whole numbers.
 func encodeMessage(kind byte, values []uint64) []byte {
 	body := []byte{kind}
 	for _, x := range values {
@@ -315,6 +336,7 @@
 	return body
 }
 
+// decodeMessage returns what encodeMessage took, or no values if the body is no such message.
 func decodeMessage(body []byte) (kind byte, values []uint64) {
 	if len(body) == 0 {
 		return 0, nil
@@ -329,6 +351,7 @@
 	return body[0], values
 }
 
+// wakeUp asks for a wake-up for a transaction.
 func (s *Sentry) wakeUp(at Micros, t *transaction) {
 	at = max(at, s.now+1)
 	compare := func(pending wakeUp, at Micros) int { return cmp.Compare(pending.at, at) }
@@ -336,8 +359,10 @@
 	s.wakeUps = slices.Insert(s.wakeUps, position, wakeUp{at, t})
 }
 
+// percent converts a share to whole percent, rounded down.
 func percent(share float64) int { return int(100*share + 1e-9) }
 
+// oneIf returns 1 if the condition holds, else 0.
 func oneIf(condition bool) float64 {
 	if condition {
 		return 1
@@ -345,20 +370,22 @@
 	return 0
 }
 
-// trim drops the times up to and including from; since counts those after it. Both want them in order.
+// dropUpTo drops the times up to and including until. The times must be in ascending order.
 func dropUpTo(times []Micros, until Micros) []Micros {
 	expired := 0
-	for expired < len(times) && times[expired] <= until { // each is passed once, mostly one at a time
+	for expired < len(times) && times[expired] <= until { // cheap: each time is passed once, mostly one per call
 		expired++
 	}
 	return times[expired:]
 }
 
-func countAfter(times []Micros, from Micros) int {
-	i, _ := slices.BinarySearchFunc(times, from+1, cmp.Compare[Micros])
-	return len(times) - i
+// countAfter counts the times after start. The times must be in ascending order.
+func countAfter(times []Micros, start Micros) int {
+	position, _ := slices.BinarySearchFunc(times, start+1, cmp.Compare[Micros])
+	return len(times) - position
 }
 
+// readyCount returns how many workers of a build are ready.
 func (s *Sentry) readyCount(build BuildID) int {
 	if workers := s.buildWorkers[build]; workers != nil {
 		return len(workers.ready)
@@ -366,7 +393,7 @@
 	return 0
 }
 
-// capacity is what the ready workers of a build that are not known to be down can do by now.
+// capacity returns what the ready workers of a build that are not known to be down can do now.
 func (s *Sentry) capacity(build BuildID) float64 {
 	if workers := s.buildWorkers[build]; workers != nil {
 		return workers.capacity
@@ -374,6 +401,8 @@
 	return 0
 }
 
+// excessSums returns the cumulative sums that decide a vote: of slow outcomes in the whole fleet, then of errors and of
+// late outcomes for each profile, then of both for all profiles.
 func (s *Sentry) excessSums() []float64 {
 	sums := []float64{s.fleetSlowExcess}
 	for i := range s.profiles {
@@ -382,29 +411,32 @@
 	return append(sums, s.allProfiles.trialExcess[:]...)
 }
 
-// note says in the log what the judge's sums were.
+// logVote logs a vote with the sums behind it, in the order of excessSums.
 func (s *Sentry) logVote(verdict Verdict) {
-	text := [...]string{Advance: "voting on", Hold: "voting to hold", RollBack: "voting back"}[verdict]
+	text := [...]string{Advance: "voting to advance", Hold: "voting to hold", RollBack: "voting to roll back"}[verdict]
 	s.result.LogLines = append(s.result.LogLines, fmt.Sprintf(
-		"%s build %d stage %d: of %d at load %.2f: all slower, then errors and late by profile and in all %.1f, wrong %.1f",
-		text, s.releaseStatus.Build, s.releaseStatus.Stage, s.judgedOutcomes, s.relativeLoad(), s.excessSums(), s.wrongAnswerSum))
+		"%s build %d, stage %d: %d outcomes, relative load %.2f, excess sums %.1f (fleet, profiles, total), complaints %.1f",
+		text, s.release.Build, s.release.Stage, s.judgedOutcomes, s.relativeLoad(), s.excessSums(), s.wrongAnswerSum))
 }
 
-// place is where the outcomes of a kind are counted, and after it those that failed or were late. The last
-// four places are for all workers, and for what would have come and came with that.
+// countIndex returns where the outcomes of a kind are counted. The next index counts the misses among them. The last
+// four indexes hold the outcomes of all workers, the slow ones of these, the sum of expected and actual arrivals of
+// transactions, and the actual arrivals.
 func countIndex(profileID ProfileID, kind missKind, ofTrial bool) int {
 	return ((int(profileID)*int(missKinds)+int(kind))*2 + int(oneIf(ofTrial))) * 2
 }
 
-// forget drops a transaction that is closed and has nothing out.
+// removeTransaction forgets a closed transaction that has no open hand-off.
 func (s *Sentry) removeTransaction(t *transaction) {
 	if !t.hasOpenHandOff() {
 		delete(s.openTransactions, t.ID)
 	}
 }
 
+// workerStart returns when a worker started, or answered again after it had been down.
 func (s *Sentry) workerStart(w int) Micros { return max(s.workers[w].Started, s.recoveredAt[w]) }
 
+// missKind is the kind of a miss: an error, or a late answer.
 type missKind int
 
 const (
@@ -413,7 +445,7 @@
 	missKinds
 )
 
-// nextWake is the earliest time still to come at which something is due.
+// nextWake returns the earliest time still to come at which something is due, or 0.
 func (s *Sentry) nextWake() (wakeAt Micros) {
 	for len(s.wakeUps) > 0 && s.wakeUps[0].transaction.closed {
 		s.wakeUps = s.wakeUps[1:]
@@ -430,13 +462,13 @@
 	return wakeAt
 }
 
-// counters are where a transaction counts for exposure: over all, and by its profile.
+// exposureCounters returns the indexes at which a transaction counts for exposure: for all, and for its profile.
 func (t *transaction) exposureCounters() [2]int { return [2]int{0, 1 + int(t.Profile)} }
 
-// places is how many figures this sentry counts for the collectors.
+// countsLen returns the length of outcomeCounts.
 func (s *Sentry) countsLen() int { return countIndex(ProfileID(len(s.profiles)), errorMiss, false) + 4 }
 
-// usualTime is what answers of the earlier build usually take, over all profiles.
+// usualDuration returns the usual duration of an answer of the earlier build, as the mean of all profiles.
 func (s *Sentry) usualDuration() (mean float64) {
 	for i := range s.profiles {
 		mean += s.profiles[i].expectedDuration / float64(len(s.profiles))
@@ -444,20 +476,20 @@
 	return mean
 }
 
-// load is what this sentry takes for what the fleet can do.
+// ownLoad returns this sentry's arrivals in arrivalWindow per unit of fleet capacity.
 func (s *Sentry) ownLoad() float64 { return float64(len(s.arrivalTimes)) / max(s.fleetCapacity, 1e-9) }
 
-// placed is what is counted at a place, of so many.
+// decodeCountIndex returns what is counted at an index of counts of the given length.
 func decodeCountIndex(index, length int) (profileID ProfileID, kind missKind, ofTrial, ofFleet bool) {
 	return ProfileID(index / 4 / int(missKinds)), missKind(index / 4 % int(missKinds)), index/2%2 == 1, index == length-4
 }
 
-// renew takes over a line of the list, and forgets what was known of a worker that has started anew.
-func (s *Sentry) updateWorker(w int, line Worker) {
-	if line.State == Gone {
+// updateWorker takes over a line of the list, and forgets what was known of a worker that has restarted.
+func (s *Sentry) updateWorker(w int, listed Worker) {
+	if listed.State == Gone {
 		s.goneSince[w] = s.now
 	}
-	if old := s.workers[w]; old.Build != line.Build || old.Started != line.Started {
+	if old := s.workers[w]; old.Build != listed.Build || old.Started != listed.Started {
 		for kind := range missKinds {
 			s.totalTrialMisses[kind] -= s.trialMisses[kind][w]
 			s.trialMisses[kind][w], s.ownMisses[kind][w] = 0, 0
@@ -467,12 +499,13 @@
 		s.nonLoadFailureRate[w], s.answeredSentTimes[w] = 0, [laterAnswersIfLost]Micros{}
 		s.workerLeases[w] = workerLease{}
 	}
-	s.workers[w] = line
+	s.workers[w] = listed
 }
 
-// clearTrial forgets what was counted of the last trial.
+// resetTrial forgets what was counted in the last trial.
 func (s *Sentry) resetTrial() {
-	s.trialSlots, s.judgedOutcomes, s.fleetSlowExcess, s.rollBackDecided, s.totalTrialMisses = 0, 0, 0, false, [missKinds]float64{}
+	s.trialSlots, s.judgedOutcomes, s.fleetSlowExcess, s.rollBackDecided, s.totalTrialMisses =
+		0, 0, 0, false, [missKinds]float64{}
 	s.baselineLoad, s.baselineArrivalRate, s.newArrivals, s.firstStageOutcomes, s.firstStageSlow = 0, 0, 0, 0, 0
 	s.arrivalMeter, s.baselineArrivalMeter = rateMeter{}, rateMeter{}
 	clear(s.givenUp)
@@ -494,14 +527,14 @@
 	s.reports, s.collectorVerdict, s.collectorVerdictAt = map[SentryID]report{}, NoVerdict, 0
 }
 
-// connected says whether a connection to a worker is likely open.
+// likelyConnected reports whether a connection to a worker is probably open.
 func (s *Sentry) likelyConnected(w int) bool {
 	return s.lastAnswerAt[w] > 0 && (s.config.IdleTimeout == 0 || s.now-s.lastAnswerAt[w] < s.config.IdleTimeout)
 }
 
-// repeated says whether a transaction comes again after it was given up, or was marked so by its client.
+// isRetry reports whether a transaction comes again after it was given up, or was marked as a retry by its client.
 func (s *Sentry) isRetry(t *transaction) bool {
-	if s.now-s.givenUpRotatedAt > 4*s.maxDeadline { // who has not come again by then will not
+	if s.now-s.givenUpRotatedAt > 4*s.maxDeadline { // what has not come again by then will not
 		s.givenUp, s.olderGivenUp, s.givenUpRotatedAt = map[Key]int{}, s.givenUp, s.now
 	}
 	for _, counts := range []map[Key]int{s.givenUp, s.olderGivenUp} {
@@ -516,7 +549,7 @@
 	return t.IsRetry
 }
 
-// dropAll holds every worker for gone, until a whole list names it.
+// markAllGone marks every worker as gone, until a full list names it.
 func (s *Sentry) markAllGone() {
 	for w := range s.workers {
 		if s.workers[w].State != Gone {
@@ -525,12 +558,13 @@
 	}
 }
 
-// mark counts one outcome at a place.
+// countOutcome counts one outcome at an index, and whether it was a miss.
 func (s *Sentry) countOutcome(index int, missed bool) {
 	s.outcomeCounts[index]++
 	s.outcomeCounts[index+1] += uint64(oneIf(missed))
 }
 
+// runFilters passes a transaction through the filter chain, from the given filter on.
 func (s *Sentry) runFilters(t *transaction, first int) {
 	for _, f := range filterChain[first:] {
 		if !f.onTransaction(s, t) {
@@ -539,18 +573,19 @@
 	}
 }
 
-// Arrive takes a transaction.
+// TransactionArrived takes a new transaction.
 func (s *Sentry) TransactionArrived(now Micros, in Transaction) Result {
 	return s.handleEvent(now, func() {
 		s.runFilters(&transaction{Transaction: in, arrivedAt: s.now}, 0)
 	})
 }
 
-// HandOffEnded takes the end of one hand-off back through the chain.
+// HandOffEnded takes the end of one hand-off back through the filter chain.
 func (s *Sentry) HandOffEnded(now Micros, end HandOffEnd) Result {
 	return s.handleEvent(now, func() {
 		t := s.openTransactions[end.Transaction]
-		if t != nil && end.HandOffNumber >= 0 && end.HandOffNumber < len(t.handOffs) && !t.handOffs[end.HandOffNumber].ended {
+		if t != nil && end.HandOffNumber >= 0 && end.HandOffNumber < len(t.handOffs) &&
+			!t.handOffs[end.HandOffNumber].ended {
 			h := &t.handOffs[end.HandOffNumber]
 			h.end, h.timingInvalid = end, h.timingInvalid || h.sentAt < s.stalledAt
 			t.closed = t.closed || end.TransactionClosed
@@ -562,12 +597,12 @@
 	})
 }
 
-// ClientLeft ends what is owed for a transaction: the client has gone, or its answer has begun to stream.
+// ClientLeft ends what is owed for a transaction: its client has gone, or its answer has begun to stream.
 func (s *Sentry) ClientLeft(now Micros, id TransactionID) Result {
 	return s.handleEvent(now, func() {
 		if t := s.openTransactions[id]; t != nil {
 			s.givenUp[t.Key] += int(oneIf(!t.closed))
-			if t.closed = true; t.profile.Streamed { // what has begun goes on
+			if t.closed = true; t.profile.Streamed { // an answer that has begun to stream goes on
 				s.removeTransaction(t)
 			} else {
 				s.cancelOpenHandOffs(t)
@@ -576,14 +611,15 @@
 	})
 }
 
-// gather judges what a peer has counted since its last report.
+// mergeReport judges what another sentry has counted since its last report.
 func (s *Sentry) mergeReport(from SentryID, next report) {
 	previous, consistent := s.reports[from].previousFor(next)
 	if !consistent {
 		return
 	}
 	s.reports[from] = next
-	weights, newMisses := [missKinds]float64{1, 1}, s.missesSince(previous, next) // their mean counts for all hits
+	// The mean weight of the new misses applies to all misses of their kind.
+	weights, newMisses := [missKinds]float64{1, 1}, s.missesSince(previous, next)
 	for _, m := range newMisses {
 		weights[m.kind] += (s.missWeight(m.worker, m.kind, true) - 1) / m.newOfKind
 	}
@@ -592,7 +628,8 @@
 		if profileID, kind, ofTrial, ofFleet := decodeCountIndex(i, len(next.counts)); i == len(next.counts)-2 {
 			s.arrivalMeter.addAndWeigh(s.now, misses)
 			s.baselineArrivalMeter.addAndWeigh(s.now, outcomes-misses)
-		} else if outcomes > 0 && ofFleet && s.cooperates() { // few sentries see it each by itself, and sooner
+		} else if outcomes > 0 && ofFleet && s.cooperates() {
+			// Where sentries are few, each sees the fleet's slowness by itself, and sooner.
 			s.addFleetOutcomes(outcomes, misses)
 		} else if outcomes > 0 && !ofFleet {
 			s.judgeOutcomes(profileID, kind, ofTrial, outcomes, misses*(1-oneIf(ofTrial)*(1-weights[kind])))
@@ -600,13 +637,14 @@
 	}
 }
 
-// A stage passes a transaction on or keeps or ends it, and sees each ended hand-off on its way back.
+// filter is one step in the handling of a transaction. onTransaction reports whether the transaction passes on to the
+// next filter; otherwise the filter has kept or ended it. onHandOffEnd sees each ended hand-off on its way back.
 type filter struct {
 	onTransaction func(*Sentry, *transaction) bool
 	onHandOffEnd  func(*Sentry, *transaction, *handOff)
 }
 
-// Listed takes a report on the workers.
+// ListReceived takes a list of workers, full or with changes only.
 func (s *Sentry) ListReceived(now Micros, kind ListKind, list []Worker) Result {
 	return s.handleEvent(now, func() {
 		if kind == CachedList {
@@ -617,19 +655,19 @@
 		if kind != ListDelta {
 			s.markAllGone()
 		}
-		for _, line := range list {
-			line.Size = max(line.Size, 1e-3)
-			w, known := s.workerIndex[line.ID]
+		for _, listed := range list {
+			listed.Size = max(listed.Size, 1e-3)
+			w, known := s.workerIndex[listed.ID]
 			if !known {
-				w = s.addWorker(line, s.drawRank(line))
+				w = s.addWorker(listed, s.drawRank(listed))
 			}
-			s.updateWorker(w, line)
+			s.updateWorker(w, listed)
 		}
 		s.refreshBuilds()
 	})
 }
 
-// warmed is how much of its warming up a worker had behind it at a time, 0 to 1.
+// warmUpProgress returns how much of its warm-up a worker had behind it at a time, from 0 to 1.
 func (s *Sentry) warmUpProgress(w int, at Micros) float64 {
 	start := s.workerStart(w)
 	if start <= 0 || s.config.WarmUp <= 0 {
@@ -638,23 +676,23 @@
 	return min(1, max(0, float64(at-start)/float64(s.config.WarmUp)))
 }
 
-// warmth is the least part of its work that a worker could do at a time.
+// warmUpCapacity returns the least share of its full work that a worker could do at a time.
 func (s *Sentry) warmUpCapacity(w int, at Micros) float64 {
 	return s.config.ColdCapacity + (1-s.config.ColdCapacity)*s.warmUpProgress(w, at)
 }
 
-// warmthOf is the same for all ready workers of a build that ran then.
+// buildWarmUpCapacity returns the same for all ready workers of a build that ran at that time.
 func (s *Sentry) buildWarmUpCapacity(build BuildID, at Micros) float64 {
 	capacity, size := 0.0, 0.0
 	for _, w := range s.workerOrder {
-		if line := &s.workers[w]; line.Build == build && line.State == Ready && s.workerStart(w) < at {
-			capacity, size = capacity+line.Size*s.warmUpCapacity(w, at), size+line.Size
+		if worker := &s.workers[w]; worker.Build == build && worker.State == Ready && s.workerStart(w) < at {
+			capacity, size = capacity+worker.Size*s.warmUpCapacity(w, at), size+worker.Size
 		}
 	}
 	return capacity / max(size, 1e-9)
 }
 
-// regroup puts the workers in order again after the groups have changed.
+// rerankWorkers sorts the workers again after the groups have changed.
 func (s *Sentry) rerankWorkers() {
 	for w := range s.rank {
 		s.rank[w] = math.Mod(s.rank[w], otherGroupRank) + otherGroupRank*oneIf(!s.inOwnGroup(s.workers[w].ID))
@@ -662,17 +700,19 @@
 	slices.SortFunc(s.workerOrder, func(a, b int) int { return cmp.Compare(s.rank[a], s.rank[b]) })
 }
 
-// report is what a message to the collectors tells: all counts since the trial began, and the misses of some workers.
+// ownReport returns the values of a report to the collectors: all counts since the trial began, and the misses of
+// some workers.
 func (s *Sentry) ownReport(maxWorkers int) []uint64 {
 	if s.baselineArrivalRate > 0 {
 		expected := uint64(s.baselineArrivalRate * float64(s.now-s.baselineAt))
-		s.outcomeCounts[len(s.outcomeCounts)-2], s.outcomeCounts[len(s.outcomeCounts)-1] = expected+s.newArrivals, s.newArrivals
+		s.outcomeCounts[len(s.outcomeCounts)-2], s.outcomeCounts[len(s.outcomeCounts)-1] =
+			expected+s.newArrivals, s.newArrivals
 	}
-	values := append([]uint64{uint64(s.releaseStatus.Build), s.runID, uint64(len(s.outcomeCounts))}, s.outcomeCounts...)
+	values := append([]uint64{uint64(s.release.Build), s.runID, uint64(len(s.outcomeCounts))}, s.outcomeCounts...)
 	return s.appendMisses(values, maxWorkers)
 }
 
-// leftOut counts the workers that are shunned.
+// ejectedCount returns how many ready workers are ejected.
 func (s *Sentry) ejectedCount() (count int) {
 	for w := range s.workers {
 		count += int(oneIf(s.ejectedUntil[w] > s.now && s.workers[w].State == Ready))
@@ -680,41 +720,43 @@
 	return count
 }
 
-// trialShare is the part of what comes that goes to the trial: by the slots, or by what went there in the last second if
-// that is more, as where a hot key falls to it.
+// trialShare returns the share of traffic that goes to the trial: by the slots, or by what went there in the last
+// second if that is more, for instance when a hot key falls to the trial.
 func (s *Sentry) trialShare() float64 {
 	from := s.now - second
-	return max(float64(s.trialSlots)/100, float64(countAfter(s.exposedTimes[0], from))/float64(max(1, countAfter(s.takenTimes[0], from))))
+	return max(float64(s.trialSlots)/100,
+		float64(countAfter(s.exposedTimes[0], from))/float64(max(1, countAfter(s.takenTimes[0], from))))
 }
 
-// survey brings the rosters up to date: after a change of the list, and each quarter second for the cold and
-// the shunned, which stand last.
+// refreshReadyWorkers updates the ready workers of each build: after a change of the list, and each quarter second
+// because of cold and ejected workers. Ejected workers come last.
 func (s *Sentry) refreshReadyWorkers() {
 	for build, workers := range s.buildWorkers {
 		if len(workers.ready) == 0 {
 			delete(s.buildWorkers, build)
 		}
-		workers.ready, workers.capacity, workers.warmCapacity, workers.youngestStart, workers.groupWorkers = workers.ready[:0], 0, 0, 0, 0
+		workers.ready, workers.capacity, workers.warmCapacity, workers.youngestStart, workers.groupWorkers =
+			workers.ready[:0], 0, 0, 0, 0
 	}
 	s.fleetCapacity = 0
 	for _, ejected := range []bool{false, true} {
 		for _, w := range s.workerOrder {
-			line := &s.workers[w]
-			if line.State != Ready || s.ejectedUntil[w] > s.now != ejected {
+			worker := &s.workers[w]
+			if worker.State != Ready || s.ejectedUntil[w] > s.now != ejected {
 				continue
 			}
-			workers := s.buildWorkers[line.Build]
+			workers := s.buildWorkers[worker.Build]
 			if workers == nil {
 				workers = &buildWorkers{subsetSize: initialSubsetSize}
-				s.buildWorkers[line.Build] = workers
+				s.buildWorkers[worker.Build] = workers
 			}
 			workers.ready = append(workers.ready, w)
-			workers.youngestStart = max(workers.youngestStart, line.Started)
+			workers.youngestStart = max(workers.youngestStart, worker.Started)
 			workers.groupWorkers += int(oneIf(!ejected && s.rank[w] < otherGroupRank))
 			if s.consecutiveFailures[w] == 0 {
-				workers.capacity += line.Size * s.warmUpCapacity(w, s.now)
-				workers.warmCapacity += line.Size * s.warmUpProgress(w, s.now)
-				s.fleetCapacity += line.Size * s.warmUpCapacity(w, s.now)
+				workers.capacity += worker.Size * s.warmUpCapacity(w, s.now)
+				workers.warmCapacity += worker.Size * s.warmUpProgress(w, s.now)
+				s.fleetCapacity += worker.Size * s.warmUpCapacity(w, s.now)
 			}
 		}
 	}
