--- a/logic/logic.go
+++ b/logic/logic.go
@@ -38,10 +38,11 @@
 	second = Micros(1_000_000)
 
 	// Limits of the design page.
-	rollBackExcess   = 4.0        // a higher excess sum leads to a vote to roll back
-	maxAdvanceExcess = 2.0        // a lower excess sum allows a vote to advance
-	minSampleSize    = 20         // outcomes to judge before a vote to advance
-	settleTime       = 3 * second // a younger worker's durations are not judged
+	rollBackExcess   = 4.0 // a higher excess sum leads to a vote to roll back
+	maxAdvanceExcess = 2.0 // a lower excess sum allows a vote to advance
+	minSampleSize    = 20  // outcomes to judge before a vote to advance
+	// Durations of younger workers are not judged, and no vote to advance comes before the trial was observed so long.
+	settleTime = 3 * second
 	// After this time, a vote to advance needs no minimum of outcomes.
 	observationTime = 5 * second
 	initialMissRate = 0.05 // assumed until outcomes have been seen
@@ -55,10 +56,10 @@
 	// Before the last vote to advance, the trial carries all traffic for the warm-up time divided by this.
 	lastStageWarmUpDivisor = 2
 	refusedShareSmoothing  = 0.1 // a higher share of refused connections also leads to a comparison of all candidates
-	// Load factor, per share of refused connections, of a worker that needs a new connection.
+	// The load score of a worker that needs a new connection grows by this times refusedShare.
 	newConnectionPenalty    = 20.0
 	zoneLatencySmoothing    = 0.25
-	maxZoneLatencyRatio     = 10.0
+	maxZoneLatencyRatio     = 10.0 // also counts for a connection that could not be opened in time
 	toleratedZoneRatio      = 2.0  // zone latency relative to the own zone's, up to which it counts as chance
 	trialShareFactor        = 1.2  // the trial's share of traffic, relative to its share of the fleet's capacity
 	overloadLateRate        = 0.2  // from this late rate of the earlier build on, lateness only shows load
@@ -549,8 +550,8 @@
 }
 
 // answerLost reports whether a worker has answered several hand-offs that were sent after the given time. The answer
-// to a hand-off of that time, or its connection, is then lost, which says nothing about load or health. The number is
-// small because few hand-offs overtake one that merely takes long, and load reports come too late to tell.
+// to a hand-off of that time, or its connection, is then lost, which shows nothing about load or health. The number
+// is small because few hand-offs overtake one that merely takes long, and load reports come too late to show that.
 func (s *Sentry) answerLost(w int, sentAt Micros) bool { return s.answeredSentTimes[w][0] > sentAt }
 
 // cancelIfLost cancels a hand-off that takes suspiciously long and seems lost, if the transaction may be sent again.
@@ -827,8 +828,8 @@
 	if workers := s.buildWorkers[trial]; workers != nil {
 		trialCapacity = workers.warmCapacity
 	}
-	// Where the earlier workers all stay, they have little to do, and the trial's workers would carry far more than
-	// they do. Only a third of the trial's capacity then adds to the total.
+	// Where the earlier workers all stay, they have little to do, and the trial's workers carry far more than they
+	// do. Only a third of the trial's capacity then adds to the total.
 	totalCapacity += trialCapacity * (1 - oneIf(s.config.EarlierWorkersStay && totalCapacity > 0)*2/3)
 	share := trialShareFactor * trialCapacity / max(totalCapacity, 1e-9)
 	s.trialSlots = min(max(s.trialSlots, percent(share)), percent(s.release.Cap))
@@ -951,9 +952,9 @@
 }
 
 // judgeFleetLatency compares all workers, of either build, with what answers took before the trial began: a build may
-// slow the whole fleet. The build is not blamed where the fleet clearly carries more load than then (a burst, or lost
-// workers), where a quarter of the workers (or, of many sentries' answers, half) is as fast as before, or long after
-// the release. It can do harm to a build when all workers slow down for a reason that no load shows.
+// slow the whole fleet. This does not count against the build where the fleet clearly carries more load than then (a
+// burst, or lost workers), where a quarter of the workers (or, of many sentries' answers, half) is as fast as before,
+// or long after the release. It can do harm to a build when all workers slow down for a reason that no load shows.
 func (s *Sentry) judgeFleetLatency(stats *profileStats, duration float64) {
 	if !s.isJudging() || stats.baselineThreshold == 0 {
 		return
@@ -1118,17 +1119,18 @@
 	}
 }
 
-// Groups of sentries and workers. Where there are about as many sentries as workers, each sentry hears of a worker's
+// Groups of sentries and workers. Where there are about as many sentries as workers, each sentry learns of a worker's
 // load only every few seconds, so that most go to busy workers while others are idle. Therefore the sentries of a
-// group prefer the same workers, and tell each other of every hand-off to these, in three bytes.
+// group prefer the same workers, and notify each other of every hand-off to these, in three bytes.
 const (
 	sentriesPerGroup = 8
 	minGroupWorkers  = 6 // with fewer workers there is no group
-	// Load from which workers outside the group are tried too, whose sentries do not hear of it.
+	// From this load on, workers outside the group are tried too, although the sentries of their group are not
+	// notified of it.
 	maxGroupWorkerLoad = 3.0
 	// Added to the rank of workers of other groups, so that they come last.
 	otherGroupRank = 1e6
-	// Usual durations for which a hand-off counts if no message tells of its end.
+	// In usual answer durations: how long a hand-off counts if no message reports its end.
 	groupOpenTTL = 20.0
 )
 
@@ -1146,7 +1148,7 @@
 	return s.cooperates() && int(shortID(id))%s.groupCount() == int(s.config.Position)%s.groupCount()
 }
 
-// notifyGroup tells the other sentries of the group of the start or end of a hand-off to one of its workers.
+// notifyGroup notifies the other sentries of the group of the start or end of a hand-off to one of its workers.
 func (s *Sentry) notifyGroup(w int, kind byte) {
 	if !s.inGroup() || s.rank[w] >= otherGroupRank {
 		return
@@ -1212,7 +1214,7 @@
 		if !ofNewest && counts.Build != s.earlierBuild {
 			return
 		}
-		// The counts hold failures of any kind, also a worker's death. This sentry's own failures show which share of
+		// The counts hold failures of any kind, also of a worker that died. This sentry's own failures show which share of
 		// them are errors.
 		if ofNewest {
 			failed = max(0, failed*(s.ownErrors+1)/(s.ownFailures+1)-
--- a/logic/state.go
+++ b/logic/state.go
@@ -77,7 +77,7 @@
 	queue                      []*transaction
 	profiles                   []profileStats  // by ProfileID
 	allProfiles                profileStats    // only its trialExcess is used, for all profiles together
-	formerBounds               []exposureBound // bounds of former configurations that are still in force
+	formerBounds               []exposureBound // bounds of former configurations, each in force for its window
 	maxRuleWindow              Micros          // the longest window of a rule in any configuration so far
 	maxDueTime                 Micros          // the longest due time of the profiles
 	maxDeadline                Micros          // the longest deadline of any transaction
@@ -91,8 +91,8 @@
 	// Workers. Each has an index, called w in the code. Most slices below are indexed by it.
 	workerIndex          map[WorkerID]int
 	workers              []Worker
-	workerOrder          []int // indexes of all workers in this sentry's own order, by rank
-	rank                 []float64
+	workerOrder          []int               // indexes of all workers in this sentry's own order, by rank
+	rank                 []float64           // random, lower ranks first
 	byShortID            map[uint64]int      // index by shortID
 	ownMisses            [missKinds][]uint64 // those of trialMisses that this sentry saw itself
 	openByWorker         []int               // this sentry's open hand-offs
@@ -132,14 +132,14 @@
 
 	// The build on trial.
 	release      ReleaseStatus
-	statusSince  Micros
+	statusSince  Micros // when the release reached its build, stage and phase
 	earlierBuild BuildID
 	rolledBack   map[BuildID]bool
 	// Slots below trialSlots go to the trial. judgedOutcomes counts the trial's outcomes judged for errors.
 	trialSlots, judgedOutcomes int
-	trialKeys                  map[Key]BuildID
-	takenTimes                 [][]Micros // transactions taken: all at index 0, then by profile
-	exposedTimes               [][]Micros // hand-offs to the trial, with the same indexes
+	trialKeys                  map[Key]BuildID // keys that the trial build may have answered, with that build
+	takenTimes                 [][]Micros      // transactions taken: all at index 0, then by profile
+	exposedTimes               [][]Micros      // hand-offs to the trial, with the same indexes
 	// Of the current period of the platform's counts: of all builds, and of the trial.
 	periodMeans          [2]latencyMeans
 	baselinePlatformRate float64 // answers in a second by the platform's counts before the trial
@@ -156,21 +156,23 @@
 	collectorVerdictAt     Micros
 	collectorVerdictStage  int
 	nextReportAt           Micros
-	fleetMeter, lateMeter  rateMeter
+	// Rates of the outcomes judged for the fleet's latency, and of the trial's judged for lateness.
+	fleetMeter, lateMeter rateMeter
 	// Transactions that all sentries together get, and that they would get as before the trial.
 	arrivalMeter, baselineArrivalMeter rateMeter
 	// By key, transactions given up that have not come again yet: recent ones and older ones.
-	givenUp, olderGivenUp                 map[Key]int
-	givenUpRotatedAt                      Micros // when the older ones were set apart
-	newArrivals                           uint64
+	givenUp, olderGivenUp map[Key]int
+	givenUpRotatedAt      Micros // when the older ones were set apart
+	newArrivals           uint64 // transactions of this trial that are not retries
+	// The time of the first call, and of the start of the trial, when the baseline was taken.
 	firstCallAt, baselineAt               Micros
 	stalledAt                             Micros  // when the process was last found to have been stalled
 	firstStageOutcomes, firstStageSlow    float64 // outcomes in the trial's first stage, and slow ones of these
-	baselineArrivalRate, baselineCapacity float64
+	baselineArrivalRate, baselineCapacity float64 // arrivals per microsecond, and fleetCapacity, before the trial
 	// Cumulative sum of slow outcomes of the whole fleet, and ownLoad before the trial.
 	fleetSlowExcess, baselineLoad float64
 	lastVote                      Vote
-	rollBackDecided               bool
+	rollBackDecided               bool // an excess sum has passed the limit in this trial
 	lastVoteAt, nextVoteAt        Micros
 }
 
@@ -194,8 +196,8 @@
 	ready      []int   // in this sentry's order, ejected workers last
 	subsetSize int     // the subset is the first so many
 	capacity   float64 // what the workers can do now, cold ones less
-	// What the trial's share of traffic may rely on: cold workers count only by their progress, since most of their
-	// limit is closed and the warm ones would carry their part.
+	// What the trial's share of traffic may rely on: cold workers count only by their progress, since they are
+	// mostly at their limit and the warm ones would carry their part.
 	warmCapacity  float64
 	groupWorkers  int    // how many of the first belong to this sentry's group
 	youngestStart Micros // start time of the youngest
