--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,10 +1,28 @@
-// Package logic holds every decision of a sentry: which build and worker a transaction goes to, what happens
-// when a hand-off fails, and how the sentry votes on the build on trial.
+// Package logic makes every decision of a sentry, which passes transactions from clients on to workers: which build
+// and worker a transaction goes to, what happens when a hand-off fails, and how the sentry votes on the build on
+// trial. It does no I/O and reads no clock.
 //
-// How to call it: make one Sentry with New, from its StandingOrders and a seed, then make one call for each
-// thing that happens (Arrive, HandOffEnded, Listed, Told, ...), each with the caller's time. Every call
-// returns a Result; carry it out in order and call Wake when its WakeAt comes. Nothing else is kept or
-// shared. The types are in port.go. Read the chain first (admit, assign, pick, hand off), the judge last.
+// To use it, make one Sentry with New, from a Config and a seed. Then make one call for each event
+// (TransactionArrived, HandOffEnded, ListReceived, ReleaseUpdated, ...), each with the caller's time. Each call
+// returns a Result. Carry out its Actions in order, and call Wake at its WakeAt. A Sentry shares no state with other
+// instances.
+//
+// A transaction passes through a chain of four filters: admit, assignBuild, pickWorker and handOff. The end of each
+// hand-off passes back through the chain in reverse order: recordHandOffEnd, recordWorkerOutcome, recordBuildOutcome
+// and closeOrRetry.
+//
+// The mechanisms are usual ones of load balancing and release control:
+//
+//   - an adaptive concurrency limit with additive increase and decrease (adjustConcurrencyLimit);
+//   - a retry budget for retries and hedges (closeOrRetry, Wake);
+//   - subsetting, and the least loaded of a few sampled workers (chooseWorker, leastLoaded);
+//   - outlier ejection (recordWorkerOutcome, ejectOverdue) and slow start of cold workers (atColdLimit);
+//   - an exposure bound over a sliding window for the build on trial (withinExposureBound);
+//   - cumulative sums of failed and late hand-offs beyond the earlier build's rates, which decide the votes
+//     (judgeOutcomes, judgeFleetLatency, decideVerdict).
+//
+// The types of inputs and outputs are in port.go, a sentry's state and its helpers in state.go, the decisions in
+// logic.go, the rules on stale worker lists in lease.go, and the schedule of a planned stop in drain.go.
 package logic
 
 import (
@@ -19,88 +37,105 @@
 const (
 	second = Micros(1_000_000)
 
-	// From the design page.
-	rollBackExcess   = 4.0        // a sum above it votes back
-	maxAdvanceExcess = 2.0        // a sum under it may vote on
-	minSampleSize    = 20         // outcomes before a vote on
-	settleTime       = 3 * second // a worker this young is not judged on time
-	observationTime  = 5 * second
-	initialMissRate  = 0.05 // assumed before anything was seen
-
-	// Open on the design page.
-	releasedLimitIncrease   = 0.5  // more to vote back what is released: it has passed, and to go back costs all
-	lastStageWarmUpDivisor  = 2    // part of the warm-up for which the trial carries all before the last vote
-	refusedShareSmoothing   = 0.1  // of how many new connections are refused
-	newConnectionPenalty    = 20.0 // with which a worker is taken where all are
+	// Limits of the design page.
+	rollBackExcess   = 4.0 // a higher excess sum leads to a vote to roll back
+	maxAdvanceExcess = 2.0 // a lower excess sum allows a vote to advance
+	minSampleSize    = 20  // outcomes to judge before a vote to advance
+	// Durations of younger workers are not judged, and no vote to advance comes before the trial was observed so long.
+	settleTime = 3 * second
+	// After this time, a vote to advance needs no minimum of outcomes.
+	observationTime = 5 * second
+	initialMissRate = 0.05 // assumed until outcomes have been seen
+
+	// Further limits, weights and smoothing factors. A smoothing factor is the weight of a new value in an
+	// exponentially weighted moving average.
+
+	// A released build needs a limit higher by this share for a vote to roll back: it has passed its trial, and
+	// rolling back affects all traffic.
+	releasedLimitIncrease = 0.5
+	// Before the last vote to advance, the trial carries all traffic for the warm-up time divided by this.
+	lastStageWarmUpDivisor = 2
+	refusedShareSmoothing  = 0.1 // a higher share of refused connections also leads to a comparison of all candidates
+	// The load score of a worker that needs a new connection grows by this times refusedShare.
+	newConnectionPenalty    = 20.0
 	zoneLatencySmoothing    = 0.25
-	maxZoneLatencyRatio     = 10.0
-	toleratedZoneRatio      = 2.0  // times the own zone's, up to which a way is taken for chance
-	trialShareFactor        = 1.2  // share sent to the trial build, to its share of what the fleet can do
-	overloadLateRate        = 0.2  // the earlier build's rate of late ones from which lateness tells of load alone
-	fleetSlowFactor         = 1.6  // a hand-off this many bars of before the trial long counts as late for all
-	toleratedFleetSlowShare = 0.2  // excess of these that is let pass
-	fleetSlowLatencyRatio   = 1.2  // pace of the quicker workers from which all are slower
-	fullWeightPerSecond     = 20.0 // times in a second that count in full
-	slowdownPerLoad         = 2.5  // how much the pace rises with load for no fault of a build
-	toleratedErrorShare     = 0.01 // excess of errors that is let pass
-	errorWeight             = 1.5  // three errors close together reach voteBackAt
-	manyTrialWorkers        = 8.0  // from so many of the trial on, a miss at any one says less
-	aboveThresholdShare     = 0.2  // share of the earlier build's answers that take longer than the bar
-	lateFactor              = 2.5  // a hand-off this many bars long counts as late
-	toleratedLateShare      = 0.2  // excess of late ones over twice that rate that is let pass
-	lateWeight              = 0.6  // times are noisy: seven late ones close together reach voteBackAt
+	maxZoneLatencyRatio     = 10.0 // also counts for a connection that could not be opened in time
+	toleratedZoneRatio      = 2.0  // zone latency relative to the own zone's, up to which it counts as chance
+	trialShareFactor        = 1.2  // the trial's share of traffic, relative to its share of the fleet's capacity
+	overloadLateRate        = 0.2  // from this late rate of the earlier build on, lateness only shows load
+	fleetSlowFactor         = 1.6  // a hand-off this many baseline latency thresholds long is slow for the fleet
+	toleratedFleetSlowShare = 0.2  // share of slow hand-offs in the fleet that is tolerated
+	fleetSlowLatencyRatio   = 1.2  // lower-quartile latency ratio above which the whole fleet counts as slow
+	fullWeightPerSecond     = 20.0 // outcomes in a second up to which each counts in full
+	slowdownPerLoad         = 2.5  // slowdown per unit of load above the baseline that is no fault of a build
+	toleratedErrorShare     = 0.01 // tolerated beyond the earlier build's error rate
+	errorWeight             = 1.5  // three errors close together reach rollBackExcess
+	manyTrialWorkers        = 8.0  // with more trial workers than this, a miss of a single one weighs less
+	aboveThresholdShare     = 0.2  // share of the earlier build's answers that take longer than latencyThreshold
+	lateFactor              = 2.5  // a hand-off this many latency thresholds long counts as late
+	toleratedLateShare      = 0.2  // tolerated beyond twice the earlier build's late rate
+	lateWeight              = 0.6  // durations are noisy: seven late hand-offs close together reach rollBackExcess
 	rateSmoothing           = 0.02
 	latencyRatioSmoothing   = 0.12
 	failureRateSmoothing    = 0.25
 	otherLoadSmoothing      = 0.4
-	downAfterFailures       = 3 // failed tries to reach a worker, seconds apart, after which it has been down
+	downAfterFailures       = 3 // failures to reach a worker, seconds apart, after which it counts as having been down
 	ejectFailureRate        = 0.5
-	nonLoadFailureWeight    = 6.0        // of failures that no load explains, on the load of their worker
-	loadTTL                 = 3 * second // for how long what is heard of a worker counts
-	slowTTLTransactions     = 20.0       // transactions for which a slow worker is remembered at the least
-	toleratedLatencyRatio   = 1.5        // a pace up to it is taken for chance
-	initialSubsetSize       = 2          // a working set starts with
-	otherZoneRankPenalty    = 1.0        // a worker of another zone joins a working set so much later
-	sampledWorkers          = 4          // of the set, to this sentry's share: more would run after the same news
-	fewEjectedDivisor       = 4          // one of so many workers
-	laterAnswersIfLost      = 4          // so many later ones answered first mean that one is lost
-	idleLoad                = 0.5        // up to this load workers are alike, and chance decides
-	freeColdHandOffs        = 0.375      // hand-offs to a cold worker that few sentries may send, a second and multiple
-	usualLoadSmoothing      = 0.02       // for each quarter second
-	coldLoadShare           = 0.5        // of the stated multiple, what a cold worker may get
+	nonLoadFailureWeight    = 6.0        // factor of the rate of failures that no load explains, on the load score
+	loadTTL                 = 3 * second // how long a worker's reported load counts
+	slowTTLTransactions     = 20.0       // a slow worker is remembered for at least this many transactions
+	toleratedLatencyRatio   = 1.5        // latency ratio up to which a worker's slowness counts as chance
+	initialSubsetSize       = 2
+	// The random rank of a worker in another zone is higher by this share, so that it joins the subset later.
+	otherZoneRankPenalty = 1.0
+	// Random candidates to compare for a hand-off, scaled with the candidates per sentry. With more, all sentries
+	// would send to the same worker after the same load report.
+	sampledWorkers     = 4
+	fewEjectedDivisor  = 4   // few workers are ejected if fewer than one ready worker in this many is
+	laterAnswersIfLost = 4   // a hand-off counts as lost after this many later ones were answered first
+	idleLoad           = 0.5 // up to this load workers count as equal, and chance decides
+	// Hand-offs per second, and per unit of ColdLoadMultiple, that all sentries together may send to a cold worker
+	// beyond its share. They matter where sentries are few.
+	freeColdHandOffs   = 0.375
+	usualLoadSmoothing = 0.02 // applied each quarter second
+	coldLoadShare      = 0.5  // share of ColdLoadMultiple that a cold worker may get
 )
 
-// follow takes over orders. A profile's row is found by its place; what was learnt of it stays.
-func (s *Sentry) applyConfig(o Config) {
-	o.Sentries = max(1, o.Sentries)
-	s.config, s.maxDueTime = o, 0
-	for i, p := range o.Profiles {
-		if due := float64(p.DueTime); i >= len(s.profiles) {
+// applyConfig takes over a configuration. The statistics of a profile are found by its index, and are kept.
+func (s *Sentry) applyConfig(config Config) {
+	config.Sentries = max(1, config.Sentries)
+	s.config, s.maxDueTime = config, 0
+	for i, profile := range config.Profiles {
+		if dueTime := float64(profile.DueTime); i >= len(s.profiles) {
 			s.profiles = append(s.profiles, profileStats{
-				expectedDuration: due / 6, latencyThreshold: due / 4, earlierMissRate: [missKinds]float64{initialMissRate, initialMissRate}})
+				expectedDuration: dueTime / 6, latencyThreshold: dueTime / 4,
+				earlierMissRate: [missKinds]float64{initialMissRate, initialMissRate}})
 			s.takenTimes, s.exposedTimes = append(s.takenTimes, nil), append(s.exposedTimes, nil)
 		}
-		s.profiles[i].Profile = &p
-		s.maxDueTime, s.maxDeadline = max(s.maxDueTime, p.DueTime), max(s.maxDeadline, p.MaxDeadline)
+		s.profiles[i].Profile = &profile
+		s.maxDueTime, s.maxDeadline = max(s.maxDueTime, profile.DueTime), max(s.maxDeadline, profile.MaxDeadline)
 	}
-	s.arrivalWindow = max(o.ExposureWindow, o.ColdLoadWindow, second)
+	s.arrivalWindow = max(config.ExposureWindow, config.ColdLoadWindow, second)
 	s.maxRuleWindow = max(s.maxRuleWindow, s.arrivalWindow)
 }
 
-// Ordered takes other orders while transactions are open and a build is on trial. What is open keeps its
-// profile, what rules count goes on, the bound on exposure so far holds beside the new one for its window.
-func (s *Sentry) Reconfigure(now Micros, o Config) Result {
+// Reconfigure takes over another configuration while transactions are open and a build is on trial. Open transactions
+// keep their profile, and what the rules count is kept. The former exposure bound stays in force beside the new one
+// until its window has passed.
+func (s *Sentry) Reconfigure(now Micros, config Config) Result {
 	return s.handleEvent(now, func() {
-		old, span := s.config, float64(s.arrivalWindow)
-		was := exposureBound{old.FreeExposure, old.ExposureWindow, old.ExposureByProfile, 0}
-		s.formerBounds = slices.DeleteFunc(s.formerBounds, func(b exposureBound) bool {
-			return b.until <= s.now || exposureBound{b.free, b.window, b.byProfile, 0} == was
+		oldConfig, oldWindow := s.config, float64(s.arrivalWindow)
+		oldBound := exposureBound{oldConfig.FreeExposure, oldConfig.ExposureWindow, oldConfig.ExposureByProfile, 0}
+		s.formerBounds = slices.DeleteFunc(s.formerBounds, func(bound exposureBound) bool {
+			return bound.until <= s.now || exposureBound{bound.free, bound.window, bound.byProfile, 0} == oldBound
 		})
-		was.until = s.now + old.ExposureWindow + 4*old.TimerGranularity
-		s.formerBounds = append(s.formerBounds, was)
-		s.applyConfig(o)
-		s.usualLoad, s.baselineLoad = s.usualLoad*float64(s.arrivalWindow)/span, s.baselineLoad*float64(s.arrivalWindow)/span
-		if len(s.outcomeCounts) != s.countsLen() { // counts by other places: they start anew under another name
+		oldBound.until = s.now + oldConfig.ExposureWindow + 4*oldConfig.TimerGranularity
+		s.formerBounds = append(s.formerBounds, oldBound)
+		s.applyConfig(config)
+		s.usualLoad, s.baselineLoad =
+			s.usualLoad*float64(s.arrivalWindow)/oldWindow, s.baselineLoad*float64(s.arrivalWindow)/oldWindow
+		// The counts have another layout, so they start anew under another run ID.
+		if len(s.outcomeCounts) != s.countsLen() {
 			s.outcomeCounts, s.runID = make([]uint64, s.countsLen()), (s.runID+1)%math.MaxUint32
 		}
 		s.rerankWorkers()
@@ -108,14 +143,14 @@
 	})
 }
 
-// call frames every call.
-func (s *Sentry) handleEvent(now Micros, do func()) Result {
-	if s.firstCallAt > 0 && now > s.now+second { // it wakes more often than that: it has stood still
+// handleEvent surrounds the handling of each event with what all events need.
+func (s *Sentry) handleEvent(now Micros, apply func()) Result {
+	if s.firstCallAt > 0 && now > s.now+second { // stalled: calls come more often otherwise
 		s.stalledAt = now
 	}
 	s.now, s.result = max(s.now, now), Result{}
 	s.firstCallAt = cmp.Or(s.firstCallAt, s.now)
-	do()
+	apply()
 	if s.config.ListOnRequest && s.now >= s.nextListRequestAt { // keeps the subscription alive
 		s.result.WatchList, s.nextListRequestAt = true, s.now+max(second, s.config.MaxListAge/2)
 	}
@@ -124,6 +159,7 @@
 	return s.result
 }
 
+// filterChain lists the filters in the order in which a transaction passes through them.
 var filterChain []filter
 
 func init() {
@@ -135,7 +171,7 @@
 	}
 }
 
-// Wake does what has come due.
+// Wake handles the wake-ups that are due.
 func (s *Sentry) Wake(now Micros) Result {
 	return s.handleEvent(now, func() {
 		for len(s.wakeUps) > 0 && s.wakeUps[0].at <= s.now {
@@ -148,7 +184,7 @@
 			case s.retryBudget < 1:
 			case !s.config.MayHedge:
 				s.cancelIfLost(t)
-			case len(t.handOffs) == 1 && s.mayRetry(t): // suspiciously long: a second copy
+			case len(t.handOffs) == 1 && s.mayRetry(t): // takes suspiciously long: hedge
 				s.retryBudget--
 				s.runFilters(t, 1)
 			}
@@ -156,10 +192,12 @@
 	})
 }
 
+// admit takes in a new transaction. It passes it on if the concurrency limit allows, and queues it or gives it up
+// otherwise.
 func (s *Sentry) admit(t *transaction) bool {
 	t.slot = s.random.Intn(100)
 	s.arrivalTimes = dropUpTo(append(s.arrivalTimes, s.now), s.now-s.arrivalWindow)
-	s.newArrivals += uint64(oneIf(!s.isRetry(t))) // what comes again is no more load
+	s.newArrivals += uint64(oneIf(!s.isRetry(t))) // a retry adds no load
 	t.profile = s.profiles[t.Profile].Profile
 	for _, c := range t.exposureCounters() {
 		s.takenTimes[c] = dropUpTo(append(s.takenTimes[c], s.now), s.now-s.maxRuleWindow)
@@ -169,99 +207,119 @@
 	return s.underConcurrencyLimit(t) || s.queueOrGiveUp(t)
 }
 
-// hasRoom says whether one more may be open. A repeat, or a try of a client in a hurry, wants half of the
-// room free: such clients would leave nothing to others. Else an idle worker of the group makes room.
+// underConcurrencyLimit reports whether one more transaction may have an open hand-off. A retry, or a transaction
+// with a deadline before its due time, must leave half of the limit free, since the clients that send these would
+// leave nothing to others. Other transactions may exceed the limit if a worker of the sentry's group is idle.
 func (s *Sentry) underConcurrencyLimit(t *transaction) bool {
-	less := t.IsRetry || t.Deadline-t.arrivedAt < t.profile.DueTime
-	if fits := float64(s.openHandOffs-s.lostHandOffs) < s.concurrencyLimit*(1-retryReservedShare*oneIf(less)); fits || less || !s.inGroup() {
+	lowPriority := t.IsRetry || t.Deadline-t.arrivedAt < t.profile.DueTime
+	if fits := float64(s.openHandOffs-s.lostHandOffs) <
+		s.concurrencyLimit*(1-retryReservedShare*oneIf(lowPriority)); fits || lowPriority || !s.inGroup() {
 		return fits
 	}
-	r := s.buildWorkers[s.earlierBuild]
+	workers := s.buildWorkers[s.earlierBuild]
 	idle := func(w int) bool { return !s.isOccupied(w) && s.groupOpenNow(w) < maxIdleGroupOpen }
-	return slices.ContainsFunc(r.ready[:r.groupWorkers], idle)
+	return slices.ContainsFunc(workers.ready[:workers.groupWorkers], idle)
 }
 
 const (
-	retryBudgetShare = 0.05 // further hand-offs and copies, to transactions taken
+	retryBudgetShare = 0.05 // retries and hedges allowed per transaction taken
 	maxRetryBudget   = 10
 
-	minConcurrencyPerWorker                  = 2.0 // open hand-offs to ready workers at the start; the least, to this sentry's share
-	maxConcurrencyPerWorker                  = 8.0
-	maxIdleGroupOpen                         = 1.0      // hand-offs at a worker of the group under which it takes more
-	retryReservedShare                       = 0.5      // of the room that repeats leave free
-	minOwnTrafficLimit                       = 9.0      // that any sentry may have open
-	concurrencyIncrease, concurrencyDecrease = 0.1, 1.0 // for each answer in time while the room is used, and for each failure
+	// Open hand-offs per ready worker: the limit at the start, and its lower bound for this sentry's part of the
+	// workers.
+	minConcurrencyPerWorker = 2.0
+	// Open hand-offs per ready worker: the upper bound of the limit.
+	maxConcurrencyPerWorker = 8.0
+	// The limit may be exceeded while the group has fewer open hand-offs than this at a worker.
+	maxIdleGroupOpen   = 1.0
+	retryReservedShare = 0.5 // share of the limit that retries leave free
+	// Open hand-offs that the bound by a sentry's own traffic always allows.
+	minOwnTrafficLimit = 9.0
+	// Change of the limit for each answer in time while the limit is used, and for each failure from overload.
+	concurrencyIncrease, concurrencyDecrease = 0.1, 1.0
 )
 
-// learnRoom bounds the open hand-offs by how answers come, and by what this sentry's own traffic fills in the
-// longest due time, since hundreds with a little too much each jam a fleet that none of them has seen late.
-// It guards against overload of any cause; it can do harm where failures are quick, hence its floor.
-func (s *Sentry) adjustConcurrencyLimit(p *profileStats, w int, e HandOffEnd) {
-	ready := float64(max(1, s.readyCount(s.earlierBuild), s.readyCount(s.releaseStatus.Build))) // news come later than lists
+// adjustConcurrencyLimit adapts the limit on open hand-offs to how answers come: it rises with answers in time and
+// falls with signs of overload. It also bounds the limit by what this sentry's own traffic fills in the longest due
+// time: hundreds of sentries that each send a little too much congest the fleet before any of them has seen late
+// answers. The limit guards against overload of any cause. It can do harm where failures are quick, hence its lower
+// bound.
+func (s *Sentry) adjustConcurrencyLimit(stats *profileStats, w int, end HandOffEnd) {
+	// The release status arrives later than lists, so either build may have gone from the list already.
+	readyWorkers := float64(max(1, s.readyCount(s.earlierBuild), s.readyCount(s.release.Build)))
 	switch {
-	case s.consecutiveFailures[w] > 0 || s.failureRate[w] > ejectFailureRate || s.zoneSlowdown(s.workers[w].Zone) > 1: // not the load
-	case e.Ending == TimedOut && (e.Duration < p.DueTime || s.answerLost(w, s.now-e.Duration)): // a hurry, or lost
-	case e.Ending == TurnedAway || e.Ending == TimedOut || e.Ending == Answered && e.Duration > p.DueTime:
+	case s.consecutiveFailures[w] > 0 || s.failureRate[w] > ejectFailureRate || s.zoneSlowdown(s.workers[w].Zone) > 1:
+		// The worker or its zone explains the outcome, not the load.
+	case end.Ending == TimedOut && (end.Duration < stats.DueTime || s.answerLost(w, s.now-end.Duration)):
+		// The client's deadline was early, or the answer was lost.
+	case end.Ending == TurnedAway || end.Ending == TimedOut || end.Ending == Answered && end.Duration > stats.DueTime:
 		s.concurrencyLimit -= min(concurrencyDecrease, s.concurrencyLimit/4)
-	case e.Ending == Answered && float64(s.openHandOffs) >= 0.7*s.concurrencyLimit:
+	case end.Ending == Answered && float64(s.openHandOffs) >= 0.7*s.concurrencyLimit:
 		s.concurrencyLimit += concurrencyIncrease * max(1, 4/s.concurrencyLimit)
 	}
-	known := min(s.arrivalWindow, max(second, s.now-s.firstCallAt))
-	own := max(minOwnTrafficLimit, float64(s.maxDueTime)*float64(len(s.arrivalTimes))/float64(known))
-	// Open at a time by this sentry's usual traffic, in no jam.
-	usual := s.usualLoad * s.fleetCapacity / float64(s.arrivalWindow) * min(s.usualDuration(), float64(s.maxDueTime)/8)
-	s.concurrencyLimit = min(max(s.concurrencyLimit, minConcurrencyPerWorker*max(ready/float64(s.config.Sentries), usual), 1), maxConcurrencyPerWorker*ready, own)
+	observed := min(s.arrivalWindow, max(second, s.now-s.firstCallAt))
+	ownTrafficLimit := max(minOwnTrafficLimit, float64(s.maxDueTime)*float64(len(s.arrivalTimes))/float64(observed))
+	// Hand-offs that this sentry's usual traffic has open at a time without congestion.
+	usualOpen := s.usualLoad * s.fleetCapacity / float64(s.arrivalWindow) * min(s.usualDuration(), float64(s.maxDueTime)/8)
+	s.concurrencyLimit = min(
+		max(s.concurrencyLimit, minConcurrencyPerWorker*max(readyWorkers/float64(s.config.Sentries), usualOpen), 1),
+		maxConcurrencyPerWorker*readyWorkers, ownTrafficLimit)
 }
 
-// assign chooses the build: the two-build hash, under the counter, with keys going forward only.
+// assignBuild chooses the build. A transaction goes to the trial if its slot, by the two-build hash of its key or at
+// random without a key, is one of the trial's and the exposure bound allows it. A transaction whose last hand-off went
+// to the trial does not go there again, and in guarded stages only idempotent transactions do. With ForwardOnly, a key
+// that has been on the trial stays there: if the trial cannot take it, the transaction is given up. All others go to
+// the earlier build, which pickWorker uses where no worker is chosen here.
 func (s *Sentry) assignBuild(t *transaction) bool {
 	trial, onTrial := s.trialBuild()
-	met := s.config.ForwardOnly && onTrial && t.Key != "" && s.trialKeys[t.Key] == trial
+	keyOnTrial := s.config.ForwardOnly && onTrial && t.Key != "" && s.trialKeys[t.Key] == trial
 	t.worker = -1
 	if onTrial {
 		if t.Key != "" {
 			t.slot = hashSlot(t.Key, s.earlierBuild, trial)
 		}
-		failedThere := len(t.handOffs) > 0 && t.handOffs[len(t.handOffs)-1].build == trial
-		guarded := s.releaseStatus.Stage < s.config.GuardedStages && t.profile.Repeatability != Idempotent
-		if met || t.slot < s.trialSlots && !guarded && !failedThere {
-			if !guarded && s.withinExposureBound(t, met) {
+		lastOnTrial := len(t.handOffs) > 0 && t.handOffs[len(t.handOffs)-1].build == trial
+		guarded := s.release.Stage < s.config.GuardedStages && t.profile.Repeatability != Idempotent
+		if keyOnTrial || t.slot < s.trialSlots && !guarded && !lastOnTrial {
+			if !guarded && s.withinExposureBound(t, keyOnTrial) {
 				t.worker = s.chooseWorker(t, trial)
 			}
-			return t.worker >= 0 || !met || s.giveUp(t)
+			return t.worker >= 0 || !keyOnTrial || s.giveUp(t)
 		}
 	}
 	return true
 }
 
-// holdBack keeps a transaction while no worker of its build is ready, until an answer in time is unlikely.
+// queueOrGiveUp queues a transaction while no worker can take it, and gives it up once an answer in time is unlikely.
 func (s *Sentry) queueOrGiveUp(t *transaction) bool {
-	until := s.queueDeadline(t)
+	deadline := s.queueDeadline(t)
 	switch {
-	case t.hasOpenHandOff(): // a copy that finds no worker is let go
-	case s.now >= until:
+	case t.hasOpenHandOff(): // a hedge that finds no worker is dropped
+	case s.now >= deadline:
 		return s.giveUp(t)
 	case !t.queued:
 		t.queued = true
 		s.queue = append(s.queue, t)
-		s.wakeUp(until, t)
+		s.wakeUp(deadline, t)
 	}
 	return false
 }
 
-// patience is how long a transaction is held: until an answer in time is no longer likely.
+// queueDeadline returns the time until which a transaction stays queued: then an answer in time is unlikely.
 func (s *Sentry) queueDeadline(t *transaction) Micros {
 	return min(t.arrivedAt+t.profile.DueTime/4, t.Deadline-s.config.TimerGranularity)
 }
 
-// release runs what was held again, when the workers or the news have changed.
+// runQueued hands off queued transactions, highest value per work first, after an event that may have made room for
+// them.
 func (s *Sentry) runQueued() {
-	held := s.queue
+	queued := s.queue
 	s.queue = nil
-	slices.SortStableFunc(held, func(a, b *transaction) int {
+	slices.SortStableFunc(queued, func(a, b *transaction) int {
 		return cmp.Compare(s.profiles[b.Profile].valuePerWork(), s.profiles[a.Profile].valuePerWork())
 	})
-	for _, t := range held {
+	for _, t := range queued {
 		switch {
 		case t.closed || !t.queued:
 		case s.underConcurrencyLimit(t):
@@ -275,27 +333,31 @@
 	}
 }
 
-// giveUp answers at once: a deferral where a retry is harmless, else a write-off.
+// giveUp answers a transaction at once: it is deferred if a retry by the client is harmless, and written off
+// otherwise.
 func (s *Sentry) giveUp(t *transaction) bool {
-	p := t.profile
-	ran := slices.ContainsFunc(t.handOffs, func(h handOff) bool { return h.mayHaveRun })
-	r := Action{Kind: WriteOff, Transaction: t.ID}
-	if !ran || p.Repeatability == Idempotent || p.Repeatability == Deduplicated && p.DedupScope == ScopeAll {
-		r.Kind = Defer
+	profile := t.profile
+	mayHaveRun := slices.ContainsFunc(t.handOffs, func(h handOff) bool { return h.mayHaveRun })
+	action := Action{Kind: WriteOff, Transaction: t.ID}
+	if !mayHaveRun || profile.Repeatability == Idempotent ||
+		profile.Repeatability == Deduplicated && profile.DedupScope == ScopeAll {
+		action.Kind = Defer
 		if s.config.MayNameRetryAfter {
-			r.RetryAfter = min(p.DueTime/2, s.config.MaxRetryAfter)
+			action.RetryAfter = min(profile.DueTime/2, s.config.MaxRetryAfter)
 		}
 	}
-	s.result.Actions = append(s.result.Actions, r)
+	s.result.Actions = append(s.result.Actions, action)
 	s.givenUp[t.Key]++
-	if len(t.handOffs) == 0 && s.releaseStatus.Phase == OnTrial && !s.platformCountsAreCurrent() { // under the bound, slowness shows in these
-		s.judgeFleetLatency(&s.profiles[t.Profile], float64(p.MaxDeadline))
+	// Under the concurrency limit, slowness of the fleet shows in transactions that no worker gets.
+	if len(t.handOffs) == 0 && s.release.Phase == OnTrial && !s.platformCountsAreCurrent() {
+		s.judgeFleetLatency(&s.profiles[t.Profile], float64(profile.MaxDeadline))
 	}
 	t.closed = true
 	s.removeTransaction(t)
 	return false
 }
 
+// pickWorker chooses a worker of the earlier build unless assignBuild has chosen one of the trial.
 func (s *Sentry) pickWorker(t *transaction) bool {
 	if t.worker < 0 {
 		t.worker = s.chooseWorker(t, s.earlierBuild)
@@ -303,114 +365,125 @@
 	return t.worker >= 0 || s.queueOrGiveUp(t)
 }
 
-// choose takes the least loaded of the working set: the first few ready workers in this sentry's own order,
-// one more whenever all are busy. The orders are drawn by size, so that hundreds with little to do spread
-// over the fleet; it can harm where the few happen to be shared with busy sentries and nothing tells so.
-func (s *Sentry) chooseWorker(t *transaction, b BuildID) int {
-	r := s.buildWorkers[b]
-	if r == nil {
+// chooseWorker returns the least loaded worker of the subset, or -1. The subset is the first ready workers in this
+// sentry's own order, and grows by one whenever all its workers are busy. The orders are drawn at random, weighted by
+// worker size, so that hundreds of sentries with little traffic spread over the fleet. It can do harm where the
+// subset happens to be shared with busy sentries and no load report shows that.
+func (s *Sentry) chooseWorker(t *transaction, build BuildID) int {
+	workers := s.buildWorkers[build]
+	if workers == nil {
 		return -1
 	}
-	best := s.leastLoaded(r.ready[:min(max(r.subsetSize, r.groupWorkers), len(r.ready))], t, b)
-	near := r.groupWorkers >= minGroupWorkers && best >= 0 && s.loadScore(best) < maxGroupWorkerLoad/s.workers[best].Size
-	open := best >= 0 && (!s.isOccupied(best) || s.likelyConnected(best) && s.refusedShare > ejectFailureRate)
-	if near || open || r.subsetSize >= len(r.ready) {
+	best := s.leastLoaded(
+		workers.ready[:min(max(workers.subsetSize, workers.groupWorkers), len(workers.ready))], t, build)
+	groupHasRoom := workers.groupWorkers >= minGroupWorkers && best >= 0 &&
+		s.loadScore(best) < maxGroupWorkerLoad/s.workers[best].Size
+	// Where most new connections are refused, a busy worker with an open connection is good enough.
+	subsetHasRoom := best >= 0 && (!s.isOccupied(best) || s.likelyConnected(best) && s.refusedShare > ejectFailureRate)
+	if groupHasRoom || subsetHasRoom || workers.subsetSize >= len(workers.ready) {
 		return best
 	}
-	r.subsetSize++
-	for _, w := range r.ready[r.subsetSize-1:] {
-		if s.isEligible(w, b, t) {
+	workers.subsetSize++
+	for _, w := range workers.ready[workers.subsetSize-1:] {
+		if s.isEligible(w, build, t) {
 			return w
 		}
 	}
 	return best
 }
 
-func (s *Sentry) leastLoaded(of []int, t *transaction, b BuildID) int {
-	best, least := -1, 0.0
-	look := max(sampledWorkers, sampledWorkers*len(of)/s.config.Sentries)
-	if s.refusedShare > refusedShareSmoothing || s.maxZoneSlowdown > 1 || s.inGroup() { // few will do, or all are known
-		look = len(of)
+// leastLoaded returns the eligible candidate with the lowest load score, or -1. It compares a random sample if the
+// candidates are many.
+func (s *Sentry) leastLoaded(candidates []int, t *transaction, build BuildID) int {
+	best, lowest := -1, 0.0
+	samples := max(sampledWorkers, sampledWorkers*len(candidates)/s.config.Sentries)
+	// Few candidates may be usable, or the load of all is known from the group: compare all.
+	if s.refusedShare > refusedShareSmoothing || s.maxZoneSlowdown > 1 || s.inGroup() {
+		samples = len(candidates)
 	}
-	for i, w := range of {
-		if look < len(of) {
-			w = of[s.random.Intn(len(of))]
+	for i, w := range candidates {
+		if samples < len(candidates) {
+			w = candidates[s.random.Intn(len(candidates))]
 		}
-		if i >= look && best >= 0 {
+		if i >= samples && best >= 0 {
 			break
 		}
-		if !s.isEligible(w, b, t) {
+		if !s.isEligible(w, build, t) {
 			continue
 		}
 		load := s.loadScore(w) * (1 + nonLoadFailureWeight*s.nonLoadFailureRate[w]*s.slowRecency(w))
-		if len(t.handOffs)+1 >= s.config.MaxHandOffs { // the last one wants a worker that does not fail
+		// The last allowed hand-off prefers a worker that does not fail.
+		if len(t.handOffs)+1 >= s.config.MaxHandOffs {
 			load *= 1 + 20*s.nonLoadFailureRate[w]
 		}
-		if best < 0 || load < least {
-			best, least = w, load
+		if best < 0 || load < lowest {
+			best, lowest = w, load
 		}
 	}
 	return best
 }
 
-// occupied says whether a worker of the set has as much to do as it should get.
+// isOccupied reports whether a worker of the subset has as much work as it should get.
 func (s *Sentry) isOccupied(w int) bool {
 	slow := s.slowRecency(w)*s.latencyRatio[w] > toleratedLatencyRatio
 	return slow || s.openByWorker[w] > 0 || s.ejectedUntil[w] > s.now || s.recency(w)*s.otherLoad[w] > s.usualWorkerLoad
 }
 
-// fresh is how much of what is known of a worker's load still counts: one that was full once is tried again.
+// recency returns how much of what is known of a worker's load still counts, from 1 down to 0. It falls with time, so
+// that a worker that was full once is tried again.
 func (s *Sentry) recency(w int) float64 { return max(0, 1-float64(s.now-s.seenAt[w])/float64(loadTTL)) }
 
-// learnWay books how long answers take by zone: the way to one may be slow or lose what is sent, though each
-// of its workers is met too seldom to tell.
-func (s *Sentry) recordZoneLatency(w int, p *profileStats, h *handOff) {
-	z, took := s.workers[w].Zone, float64(h.end.Duration)/p.expectedDuration
+// recordZoneLatency tracks how long answers take by zone. The network to a zone may be slow or lose messages although
+// each of its workers is used too rarely to show it.
+func (s *Sentry) recordZoneLatency(w int, stats *profileStats, h *handOff) {
+	zone, ratio := s.workers[w].Zone, float64(h.end.Duration)/stats.expectedDuration
 	switch {
 	case h.end.Ending == Unconnected && !s.failedFast(h):
-		took = maxZoneLatencyRatio
+		ratio = maxZoneLatencyRatio
 	case h.end.Ending != Answered && h.end.Ending != TimedOut:
 		return
 	}
-	for len(s.zoneLatencyRatio) <= int(z) {
+	for len(s.zoneLatencyRatio) <= int(zone) {
 		s.zoneLatencyRatio, s.zoneUpdatedAt = append(s.zoneLatencyRatio, 1), append(s.zoneUpdatedAt, 0)
 	}
-	s.zoneLatencyRatio[z] += zoneLatencySmoothing * (min(maxZoneLatencyRatio, took) - s.zoneLatencyRatio[z])
-	s.zoneUpdatedAt[z], s.maxZoneSlowdown = s.now, 1
-	for z := range s.zoneLatencyRatio {
-		s.maxZoneSlowdown = max(s.maxZoneSlowdown, s.zoneSlowdown(ZoneID(z)))
+	s.zoneLatencyRatio[zone] += zoneLatencySmoothing * (min(maxZoneLatencyRatio, ratio) - s.zoneLatencyRatio[zone])
+	s.zoneUpdatedAt[zone], s.maxZoneSlowdown = s.now, 1
+	for zone := range s.zoneLatencyRatio {
+		s.maxZoneSlowdown = max(s.maxZoneSlowdown, s.zoneSlowdown(ZoneID(zone)))
 	}
 }
 
-// farther is how much slower than the own zone another one is, beyond chance, 1 at the least.
-func (s *Sentry) zoneSlowdown(z ZoneID) float64 {
-	own := s.config.Zone
-	if z == own || int(z) >= len(s.zoneLatencyRatio) || int(own) >= len(s.zoneLatencyRatio) {
+// zoneSlowdown returns how much slower a zone is than the own zone, beyond chance. It is at least 1.
+func (s *Sentry) zoneSlowdown(zone ZoneID) float64 {
+	ownZone := s.config.Zone
+	if zone == ownZone || int(zone) >= len(s.zoneLatencyRatio) || int(ownZone) >= len(s.zoneLatencyRatio) {
 		return 1
 	}
-	fresh := max(0, 1-float64(s.now-s.zoneUpdatedAt[z])/s.slowTTL())
-	return 1 + fresh*max(0, s.zoneLatencyRatio[z]/max(1, s.zoneLatencyRatio[own])/toleratedZoneRatio-1)
+	recency := max(0, 1-float64(s.now-s.zoneUpdatedAt[zone])/s.slowTTL())
+	return 1 + recency*max(0, s.zoneLatencyRatio[zone]/max(1, s.zoneLatencyRatio[ownZone])/toleratedZoneRatio-1)
 }
 
-// recalled is the same for how slow it was, which a sentry with little to do remembers longer.
+// slowRecency returns how much of what is known of a worker's latency still counts, from 1 down to 0.
 func (s *Sentry) slowRecency(w int) float64 { return max(0, 1-float64(s.now-s.seenAt[w])/s.slowTTL()) }
 
+// slowTTL returns how long a slow worker is remembered: longer for a sentry with little traffic.
 func (s *Sentry) slowTTL() float64 {
 	return max(float64(loadTTL), slowTTLTransactions*float64(s.arrivalWindow)/float64(1+len(s.arrivalTimes)))
 }
 
-// score is the load of a worker for its size: the lowest wins. Among equals chance decides, by size.
+// loadScore returns a worker's load relative to its size. The worker with the lowest score is chosen. Among workers
+// with next to no load, chance decides, weighted by size.
 func (s *Sentry) loadScore(w int) float64 {
-	fresh, size := s.recency(w), s.workers[w].Size*s.warmUpCapacity(w, s.now)
-	load := float64(s.openByWorker[w]) + max(fresh*s.otherLoad[w], s.groupOpenNow(w))
+	recency, capacity := s.recency(w), s.workers[w].Size*s.warmUpCapacity(w, s.now)
+	load := float64(s.openByWorker[w]) + max(recency*s.otherLoad[w], s.groupOpenNow(w))
 	if load < idleLoad {
 		load = idleLoad * (s.random.ExpFloat64() - 1)
 	}
-	load = (load + 1) / size
-	slower := 1 + s.slowRecency(w)*max(0, s.latencyRatio[w]/toleratedLatencyRatio-1)
-	load *= math.Pow(slower, 1+oneIf(s.usualWorkerLoad == 0)) // where no load is reported, slowness stands for it too
-	if z := s.workers[w].Zone; z != s.config.Zone {
-		load *= (1 + 8*s.config.CrossZonePrice) * math.Pow(s.zoneSlowdown(z), 2)
+	load = (load + 1) / capacity
+	slowdown := 1 + s.slowRecency(w)*max(0, s.latencyRatio[w]/toleratedLatencyRatio-1)
+	load *= math.Pow(slowdown, 1+oneIf(s.usualWorkerLoad == 0)) // where no load is reported, latency stands in for it
+	if zone := s.workers[w].Zone; zone != s.config.Zone {
+		load *= (1 + 8*s.config.CrossZonePrice) * math.Pow(s.zoneSlowdown(zone), 2)
 	}
 	if !s.likelyConnected(w) {
 		load *= 1 + newConnectionPenalty*s.refusedShare
@@ -421,31 +494,40 @@
 	return load
 }
 
-// ready says whether a worker of the build may get this transaction now.
-func (s *Sentry) isEligible(w int, b BuildID, t *transaction) bool {
-	if s.workers[w].Build != b || s.workers[w].State != Ready || !s.hasLease(w) || s.atColdLimit(w) {
+// isEligible reports whether a worker of the build may get this transaction now.
+//
+// It must be ready and listed recently enough, and must not have reached its limit as a cold worker. A worker that
+// had the transaction before gets it again only after that hand-off has ended and there were as many hand-offs as ready
+// workers. If a deduplicated
+// transaction may have run before, only workers in the same deduplication scope are eligible.
+func (s *Sentry) isEligible(w int, build BuildID, t *transaction) bool {
+	if s.workers[w].Build != build || s.workers[w].State != Ready || !s.hasLease(w) || s.atColdLimit(w) {
 		return false
 	}
-	p := t.profile
+	profile := t.profile
 	for i := range t.handOffs {
 		h := &t.handOffs[i]
-		if h.worker == w && (!h.ended || len(t.handOffs) < s.readyCount(b)) {
+		if h.worker == w && (!h.ended || len(t.handOffs) < s.readyCount(build)) {
 			return false
 		}
-		if !h.mayHaveRun || p.Repeatability != Deduplicated {
+		if !h.mayHaveRun || profile.Repeatability != Deduplicated {
 			continue
 		}
-		first, this := &s.workers[h.worker], &s.workers[w]
-		if p.DedupScope == ScopeZone && first.Zone != this.Zone || p.DedupScope == ScopeCell && first.Cell != this.Cell {
+		earlier, candidate := &s.workers[h.worker], &s.workers[w]
+		if profile.DedupScope == ScopeZone && earlier.Zone != candidate.Zone ||
+			profile.DedupScope == ScopeCell && earlier.Cell != candidate.Cell {
 			return false
 		}
 	}
 	return true
 }
 
+// handOff sends the transaction to the chosen worker, and asks for the wake-up at which a late answer leads to a
+// hedge or a cancellation.
 func (s *Sentry) handOff(t *transaction) bool {
-	w, p := t.worker, t.profile
-	h := handOff{worker: w, build: s.workers[w].Build, sentAt: s.now, mayHaveRun: true, newConnection: !s.likelyConnected(w)}
+	w, profile := t.worker, t.profile
+	h := handOff{worker: w, build: s.workers[w].Build, sentAt: s.now, mayHaveRun: true,
+		newConnection: !s.likelyConnected(w)}
 	h.timingInvalid = h.newConnection
 	t.handOffs = append(t.handOffs, h)
 	s.openByWorker[w]++
@@ -457,46 +539,51 @@
 		}
 	}
 	s.notifyGroup(w, messageHandOff)
-	r := Action{Kind: HandOff, Transaction: t.ID, Worker: s.workers[w].ID, Deadline: t.Deadline, SendBy: s.sendBy(w)}
-	s.result.Actions = append(s.result.Actions, r)
-	if o := &s.config; o.MayHedge && len(t.handOffs) == 1 || !o.MayHedge && o.MayCancel && p.Repeatability != NonIdempotent {
-		s.wakeUp(s.now+p.DueTime/2, t)
+	action := Action{Kind: HandOff, Transaction: t.ID, Worker: s.workers[w].ID, Deadline: t.Deadline,
+		SendBy: s.sendBy(w)}
+	s.result.Actions = append(s.result.Actions, action)
+	if o := &s.config; o.MayHedge && len(t.handOffs) == 1 ||
+		!o.MayHedge && o.MayCancel && profile.Repeatability != NonIdempotent {
+		s.wakeUp(s.now+profile.DueTime/2, t)
 	}
 	return false
 }
 
-// silent says that a worker has answered several that were sent after a hand-off: the answer to that, or its
-// connection, is lost, and tells nothing of load or health. (Few may pass a long one; reports come too late.)
-func (s *Sentry) answerLost(w int, sent Micros) bool { return s.answeredSentTimes[w][0] > sent }
+// answerLost reports whether a worker has answered several hand-offs that were sent after the given time. The answer
+// to a hand-off of that time, or its connection, is then lost, which shows nothing about load or health. The number
+// is small because few hand-offs overtake one that merely takes long, and load reports come too late to show that.
+func (s *Sentry) answerLost(w int, sentAt Micros) bool { return s.answeredSentTimes[w][0] > sentAt }
 
-// endSilent gives up a hand-off that takes suspiciously long and seems lost, where it may be sent again. It
-// does harm where one is only very long: it runs twice.
+// cancelIfLost cancels a hand-off that takes suspiciously long and seems lost, if the transaction may be sent again.
+// It does harm if the hand-off merely takes very long: the transaction then runs twice.
 func (s *Sentry) cancelIfLost(t *transaction) {
-	n := len(t.handOffs) - 1
-	switch h := &t.handOffs[n]; {
+	number := len(t.handOffs) - 1
+	switch h := &t.handOffs[number]; {
 	case h.ended || !s.mayRetry(t):
 	case s.answerLost(h.worker, h.sentAt):
-		s.result.Actions = append(s.result.Actions, Action{Kind: CancelHandOff, Transaction: t.ID, HandOffNumber: n})
+		s.result.Actions = append(s.result.Actions, Action{Kind: CancelHandOff, Transaction: t.ID, HandOffNumber: number})
 	default:
 		s.wakeUp(s.now+t.profile.DueTime/8, t)
 	}
 }
 
-// mayRepeat is rule 2 and the limits on hand-offs, where none is out or copies are allowed.
+// mayRetry reports whether rule 2 (nothing runs twice that must not) and the limits on hand-offs allow one more. The
+// caller makes sure that no other hand-off is open, or that hedging is allowed.
 func (s *Sentry) mayRetry(t *transaction) bool {
 	if len(t.handOffs) >= s.config.MaxHandOffs || t.Deadline-s.now < s.config.TimerGranularity {
 		return false
 	}
-	p := t.profile
+	profile := t.profile
 	for _, h := range t.handOffs {
-		old := p.Repeatability == Deduplicated && s.now >= h.sentAt+p.DedupWindow-s.config.TimerGranularity
-		if h.mayHaveRun && (p.Repeatability == NonIdempotent || old) {
+		windowOver := profile.Repeatability == Deduplicated && s.now >= h.sentAt+profile.DedupWindow-s.config.TimerGranularity
+		if h.mayHaveRun && (profile.Repeatability == NonIdempotent || windowOver) {
 			return false
 		}
 	}
 	return true
 }
 
+// recordHandOffEnd frees what the hand-off occupied, and updates the worker's lease and the concurrency limit.
 func (s *Sentry) recordHandOffEnd(t *transaction, h *handOff) {
 	h.ended = true
 	h.mayHaveRun = h.end.Ending != TurnedAway && h.end.Ending != Unconnected && h.end.Ending != Unsent
@@ -507,7 +594,8 @@
 	s.adjustConcurrencyLimit(&s.profiles[t.Profile], h.worker, h.end)
 }
 
-// settle closes the transaction or sends it again.
+// closeOrRetry closes the transaction or hands it off again. A retry costs retry budget unless the hand-off failed at
+// once.
 func (s *Sentry) closeOrRetry(t *transaction, h *handOff) {
 	switch {
 	case t.closed:
@@ -521,7 +609,7 @@
 	}
 }
 
-// letGo ends the hand-offs of a closed transaction, no longer wanted: a copy, or all where its client left.
+// cancelOpenHandOffs cancels the hand-offs of a closed transaction: a hedge, or all if its client left.
 func (s *Sentry) cancelOpenHandOffs(t *transaction) {
 	for n := range t.handOffs {
 		if !t.handOffs[n].ended && s.config.MayCancel {
@@ -531,19 +619,20 @@
 	s.removeTransaction(t)
 }
 
-// quick says that a hand-off was broken or refused at once, which costs next to nothing, or that its answer
-// was spoilt, which no load explains.
+// failedFast reports whether a hand-off was broken or refused at once, which costs next to nothing, or its answer was
+// unreadable, which no load explains.
 func (s *Sentry) failedFast(h *handOff) bool {
-	e, soon := h.end.Ending, h.end.Duration < s.config.ConnectTimeout/8
-	return e == Unreadable || soon && (e == Broken || e == Unconnected)
+	ending, atOnce := h.end.Ending, h.end.Duration < s.config.ConnectTimeout/8
+	return ending == Unreadable || atOnce && (ending == Broken || ending == Unconnected)
 }
 
-// tooCold keeps this sentry's part of what all may send a cold worker: half the stated multiple of what one
-// of its size usually gets of this sentry's traffic, chance standing in for what is less than one. It guards
-// against bursts, retries and fleets that start anew falling on a few, however many sentries there are.
+// atColdLimit reports whether a cold worker has got this sentry's part of what all sentries together may send it.
+// That is half of ColdLoadMultiple times what a worker of its size usually gets of this sentry's traffic. A random
+// allowance stands in for fractions of a hand-off. It guards against bursts, retries and newly started fleets that
+// hit a few workers, however many sentries there are.
 func (s *Sentry) atColdLimit(w int) bool {
-	warmth := s.warmUpCapacity(w, s.now)
-	if warmth >= 1 {
+	capacity := s.warmUpCapacity(w, s.now)
+	if capacity >= 1 {
 		s.coldHandOffs[w] = nil
 		return false
 	}
@@ -551,18 +640,20 @@
 	if s.now >= s.randomAllowanceUntil[w] {
 		s.randomAllowance[w], s.randomAllowanceUntil[w] = s.random.Float64(), s.now+s.config.ColdLoadWindow
 	}
-	fair := s.workers[w].Size * s.usualLoad * float64(s.config.ColdLoadWindow) / float64(s.arrivalWindow)
-	if r := s.buildWorkers[s.workers[w].Build]; r != nil && r.subsetSize < len(r.ready) { // the rest is for other sentries
-		fair *= float64(len(r.ready)) / float64(r.subsetSize)
+	fairShare := s.workers[w].Size * s.usualLoad * float64(s.config.ColdLoadWindow) / float64(s.arrivalWindow)
+	// Other sentries use the workers outside the subset.
+	if workers := s.buildWorkers[s.workers[w].Build]; workers != nil && workers.subsetSize < len(workers.ready) {
+		fairShare *= float64(len(workers.ready)) / float64(workers.subsetSize)
 	}
-	free := freeColdHandOffs * s.config.ColdLoadMultiple * float64(s.config.ColdLoadWindow) / float64(second)
-	extra := min(2, s.randomAllowance[w]+free/float64(s.config.Sentries))
+	freeHandOffs := freeColdHandOffs * s.config.ColdLoadMultiple * float64(s.config.ColdLoadWindow) / float64(second)
+	allowance := min(2, s.randomAllowance[w]+freeHandOffs/float64(s.config.Sentries))
 	sent := float64(countAfter(s.coldHandOffs[w], s.now-s.config.ColdLoadWindow))
-	return sent+1 > extra+coldLoadShare*s.config.ColdLoadMultiple*warmth*fair
+	return sent+1 > allowance+coldLoadShare*s.config.ColdLoadMultiple*capacity*fairShare
 }
 
-// holds is how many transactions a worker has by its report, below 0 if that can't be told. What is not told
-// follows from what is served in a second and the time of one, as long as some share of its cores is busy.
+// reportedInFlight returns how many transactions a worker has in flight by its report, or less than 0 if that is
+// unknown. If the worker reports its throughput only, the number is throughput times duration, which holds as long as
+// some share of its cores is busy.
 func (s *Sentry) reportedInFlight(w int, h *handOff) float64 {
 	load := h.end.Load
 	if load.InFlight >= 0 || load.ServedPerSecond < 0 {
@@ -571,45 +662,49 @@
 	return load.ServedPerSecond * s.latencyRatio[w] * s.usualDuration() / float64(second)
 }
 
-// learnWorker books what an ended hand-off says of its worker.
+// recordWorkerOutcome updates what is known of the worker's load, latency and failures, and ejects it if it fails.
 func (s *Sentry) recordWorkerOutcome(t *transaction, h *handOff) {
-	w, p := h.worker, &s.profiles[t.Profile]
-	silent := h.end.Ending == TimedOut && s.answerLost(w, h.sentAt)
-	renew := max(latencyRatioSmoothing, (1-s.recency(w))/2)
+	w, stats := h.worker, &s.profiles[t.Profile]
+	lost := h.end.Ending == TimedOut && s.answerLost(w, h.sentAt)
+	smoothing := max(latencyRatioSmoothing, (1-s.recency(w))/2)
 	s.seenAt[w] = s.now
-	if held := s.reportedInFlight(w, h); held >= 0 {
-		s.usualWorkerLoad += rateSmoothing * (held - s.usualWorkerLoad)
-		s.otherLoad[w] += otherLoadSmoothing * (max(0, held-float64(s.openByWorker[w])) - s.otherLoad[w])
+	if inFlight := s.reportedInFlight(w, h); inFlight >= 0 {
+		s.usualWorkerLoad += rateSmoothing * (inFlight - s.usualWorkerLoad)
+		s.otherLoad[w] += otherLoadSmoothing * (max(0, inFlight-float64(s.openByWorker[w])) - s.otherLoad[w])
 	}
-	if silent || h.end.Ending == Cancelled || h.end.Ending == Unsent || h.end.Ending == Unreadable {
+	if lost || h.end.Ending == Cancelled || h.end.Ending == Unsent || h.end.Ending == Unreadable {
 		return
 	}
 	if h.end.Ending != Answered {
 		s.ownErrors += ownFailureSmoothing * (oneIf(h.end.Ending == Errored)*ownFailureWindow - s.ownErrors)
 		s.ownFailures += ownFailureSmoothing * (ownFailureWindow - s.ownFailures)
 	}
-	hurried := h.end.Ending == TimedOut && h.end.Duration < p.DueTime // the client's patience, not the worker
-	s.failureRate[w] += failureRateSmoothing * (oneIf(h.end.Ending != Answered && !hurried) - s.failureRate[w])
-	full := h.end.Ending == TurnedAway || h.end.Ending == TimedOut
-	s.nonLoadFailureRate[w] += failureRateSmoothing * (oneIf(h.end.Ending != Answered && !full) - s.nonLoadFailureRate[w])
+	// The client's deadline was early, which is not the worker's fault.
+	earlyDeadline := h.end.Ending == TimedOut && h.end.Duration < stats.DueTime
+	s.failureRate[w] += failureRateSmoothing * (oneIf(h.end.Ending != Answered && !earlyDeadline) - s.failureRate[w])
+	overloaded := h.end.Ending == TurnedAway || h.end.Ending == TimedOut
+	s.nonLoadFailureRate[w] += failureRateSmoothing *
+		(oneIf(h.end.Ending != Answered && !overloaded) - s.nonLoadFailureRate[w])
 	if h.end.Ending == Answered && !h.timingInvalid || h.end.Ending == TimedOut {
-		ratio := min(10, float64(h.end.Duration)/p.expectedDuration)
-		s.latencyRatio[w] += renew * (ratio - s.latencyRatio[w])
+		ratio := min(10, float64(h.end.Duration)/stats.expectedDuration)
+		s.latencyRatio[w] += smoothing * (ratio - s.latencyRatio[w])
 	}
 	if h.newConnection && (h.end.Ending == Answered || h.end.Ending == Unconnected) {
 		s.refusedShare += refusedShareSmoothing * (oneIf(h.end.Ending == Unconnected) - s.refusedShare)
 	}
-	s.recordZoneLatency(w, p, h)
+	s.recordZoneLatency(w, stats, h)
 	switch h.end.Ending {
-	case Unconnected, Broken: // one that still answers some is not dead: only this sentry's way to it is bad
+	case Unconnected, Broken:
+		// A worker that still answers some hand-offs is not down: only this sentry's connection to it is bad.
 		if s.now >= s.ejectedUntil[w] && !(s.failedFast(h) && s.now-s.lastAnswerAt[w] < loadTTL) {
-			s.lastAnswerAt[w], s.consecutiveFailures[w] = 0, min(s.consecutiveFailures[w]+1, 4) // tried after growing waits
+			// The ejection lasts longer after each failure, from 1 s up to 8 s.
+			s.lastAnswerAt[w], s.consecutiveFailures[w] = 0, min(s.consecutiveFailures[w]+1, 4)
 			s.ejectedUntil[w] = s.now + second/2<<s.consecutiveFailures[w]
 		}
 	case Answered:
-		latest := s.answeredSentTimes[w][:]
-		latest[0] = max(latest[0], h.sentAt)
-		slices.Sort(latest)
+		sentTimes := s.answeredSentTimes[w][:]
+		sentTimes[0] = max(sentTimes[0], h.sentAt)
+		slices.Sort(sentTimes)
 		if s.consecutiveFailures[w] >= downAfterFailures {
 			s.recoveredAt[w] = s.now
 		}
@@ -621,59 +716,64 @@
 	}
 }
 
+// eject keeps a worker from being chosen for at least a second, or longer for a sentry with little traffic.
 func (s *Sentry) eject(w int) {
 	s.ejectedUntil[w] = max(s.ejectedUntil[w], s.now+max(second, Micros(s.slowTTL()/4)))
 }
 
-// shunOverdue leaves out workers that take work and do not answer, which a time-out would tell much later,
-// and counts lost hand-offs: they are no load. Once many are out, one that answered what came later stays.
+// ejectOverdue ejects workers that take work and do not answer, which a time-out would show much later. It counts
+// lost hand-offs, which are no load. Once many workers are ejected, a worker that has answered since the overdue
+// hand-off was sent stays in use.
 func (s *Sentry) ejectOverdue() {
 	s.lostHandOffs = 0
-	few := s.ejectedCount()*fewEjectedDivisor < s.readyCount(s.earlierBuild)
+	fewEjected := s.ejectedCount()*fewEjectedDivisor < s.readyCount(s.earlierBuild)
 	for _, t := range s.openTransactions {
 		for i := range t.handOffs {
 			switch h := &t.handOffs[i]; {
 			case h.ended || s.now < h.sentAt+t.profile.DueTime:
 			case s.answerLost(h.worker, h.sentAt):
 				s.lostHandOffs++
-			case few || s.lastAnswerAt[h.worker] <= h.sentAt:
+			case fewEjected || s.lastAnswerAt[h.worker] <= h.sentAt:
 				s.eject(h.worker)
 			}
 		}
 	}
 }
 
-// rankOf draws a worker's place in this sentry's order: its group's first, by size, the own zone's sooner.
-func (s *Sentry) drawRank(in Worker) float64 {
-	return s.random.ExpFloat64()/in.Size*(1+otherZoneRankPenalty*oneIf(in.Zone != s.config.Zone)) + otherGroupRank*oneIf(!s.inOwnGroup(in.ID))
+// drawRank draws a worker's random rank in this sentry's order. Workers of the sentry's group come first. Large
+// workers and those of the own zone tend to come early.
+func (s *Sentry) drawRank(worker Worker) float64 {
+	return s.random.ExpFloat64()/worker.Size*(1+otherZoneRankPenalty*oneIf(worker.Zone != s.config.Zone)) +
+		otherGroupRank*oneIf(!s.inOwnGroup(worker.ID))
 }
 
 // ---- The build on trial ----
 
-// Told takes the platform's news and the answer to a vote.
-func (s *Sentry) ReleaseUpdated(now Micros, n ReleaseStatus) Result {
+// ReleaseUpdated takes the release status from the platform, and the result of a vote.
+func (s *Sentry) ReleaseUpdated(now Micros, status ReleaseStatus) Result {
 	return s.handleEvent(now, func() {
-		if n.VoteResult == VoteRefused || n.VoteResult == VoteTimedOut {
+		if status.VoteResult == VoteRefused || status.VoteResult == VoteTimedOut {
 			s.lastVoteAt = 0
 			s.nextVoteAt = s.now + second/4 + Micros(s.random.Int63n(int64(second)/2))
 		}
-		if n.Valid {
-			if n.Build != s.releaseStatus.Build || !s.releaseStatus.Valid {
+		if status.Valid {
+			if status.Build != s.release.Build || !s.release.Valid {
 				s.startTrial()
 			}
-			if n.Build != s.releaseStatus.Build || n.Stage != s.releaseStatus.Stage || n.Phase != s.releaseStatus.Phase {
-				s.statusSince = s.now - n.Age
+			if status.Build != s.release.Build || status.Stage != s.release.Stage || status.Phase != s.release.Phase {
+				s.statusSince = s.now - status.Age
 			}
-			if n.Phase != OnTrial { // sent back, or no earlier build is used any more
-				s.rolledBack[n.Build] = n.Phase != Released
+			if status.Phase != OnTrial { // rolling back or withdrawn; or released, and no earlier build is used
+				s.rolledBack[status.Build] = status.Phase != Released
 				clear(s.trialKeys)
 			}
-			s.releaseStatus = n
+			s.release = status
 			s.refreshBuilds()
 		}
 	})
 }
 
+// startTrial resets the counts of the last trial and records the load and latency before this one as its baseline.
 func (s *Sentry) startTrial() {
 	s.resetTrial()
 	if len(s.arrivalTimes) >= minSampleSize {
@@ -683,13 +783,13 @@
 		s.baselineArrivalRate = float64(len(s.arrivalTimes)) / float64(s.arrivalWindow)
 	}
 	for i := range s.profiles {
-		if p := &s.profiles[i]; p.earlierOutcomes >= max(1, 10*minSampleSize/s.config.Sentries) {
-			p.baselineThreshold = p.latencyThreshold
+		if stats := &s.profiles[i]; stats.earlierOutcomes >= max(1, 10*minSampleSize/s.config.Sentries) {
+			stats.baselineThreshold = stats.latencyThreshold
 		}
 	}
 }
 
-// lookAround finds the earlier build and how far the trial reaches, after news or a list.
+// refreshBuilds finds the earlier build and updates the trial's share, after a release status or a list.
 func (s *Sentry) refreshBuilds() {
 	s.refreshReadyWorkers()
 	s.earlierBuild = s.findEarlierBuild()
@@ -698,178 +798,200 @@
 	s.runQueued()
 }
 
-// findBase is the released build, or else the build below the trial that most of the ready workers run.
+// findEarlierBuild returns the released build, or else the older build, not rolled back, whose ready workers have the
+// most capacity, or -1 if there is none.
 func (s *Sentry) findEarlierBuild() BuildID {
-	if s.releaseStatus.Valid && s.releaseStatus.Phase == Released {
-		return s.releaseStatus.Build
+	if s.release.Valid && s.release.Phase == Released {
+		return s.release.Build
 	}
-	best, most := BuildID(-1), 0.0
-	for b, r := range s.buildWorkers {
-		if s.releaseStatus.Valid && b >= s.releaseStatus.Build || s.rolledBack[b] {
+	best, maxCapacity := BuildID(-1), 0.0
+	for build, workers := range s.buildWorkers {
+		if s.release.Valid && build >= s.release.Build || s.rolledBack[build] {
 			continue
 		}
-		if r.capacity > most || r.capacity == most && r.capacity > 0 && b > best {
-			best, most = b, r.capacity
+		if workers.capacity > maxCapacity || workers.capacity == maxCapacity && workers.capacity > 0 && build > best {
+			best, maxCapacity = build, workers.capacity
 		}
 	}
 	return best
 }
 
-// ramp raises the trial's slots with what its workers can do by now, up to the cap, and never lowers them
-// while the cap stands: a key that was sent to the trial stays there.
+// rampTrialSlots raises the number of slots that go to the trial with the capacity of its workers, up to the cap. It
+// never lowers it while the cap stands, so that a key that was sent to the trial stays there.
 func (s *Sentry) rampTrialSlots() {
-	trial, on := s.trialBuild()
-	if !on {
+	trial, onTrial := s.trialBuild()
+	if !onTrial {
 		s.trialSlots = 0
 		return
 	}
-	trialCan, fleet := 0.0, s.capacity(s.earlierBuild)
-	if r := s.buildWorkers[trial]; r != nil {
-		trialCan = r.warmCapacity
+	trialCapacity, totalCapacity := 0.0, s.capacity(s.earlierBuild)
+	if workers := s.buildWorkers[trial]; workers != nil {
+		trialCapacity = workers.warmCapacity
 	}
-	// Where the earlier workers all stay, they have little to do: the trial's would carry far more than they.
-	fleet += trialCan * (1 - oneIf(s.config.EarlierWorkersStay && fleet > 0)*2/3)
-	share := trialShareFactor * trialCan / max(fleet, 1e-9)
-	s.trialSlots = min(max(s.trialSlots, percent(share)), percent(s.releaseStatus.Cap))
+	// Where the earlier workers all stay, they have little to do, and the trial's workers carry far more than they
+	// do. Only a third of the trial's capacity then adds to the total.
+	totalCapacity += trialCapacity * (1 - oneIf(s.config.EarlierWorkersStay && totalCapacity > 0)*2/3)
+	share := trialShareFactor * trialCapacity / max(totalCapacity, 1e-9)
+	s.trialSlots = min(max(s.trialSlots, percent(share)), percent(s.release.Cap))
 }
 
-// trial is the build on trial, if there is one that may be sent to: also one that goes back, until its cap is
-// down or an earlier worker is ready.
+// trialBuild returns the newest build and whether hand-offs may go to it as the trial: while it is on trial, and
+// while it rolls back as long as its cap is above 0 and no earlier worker is ready.
 func (s *Sentry) trialBuild() (BuildID, bool) {
-	last := s.releaseStatus.Phase == RollingBack && s.releaseStatus.Cap > 0 && s.earlierBuild < 0
-	return s.releaseStatus.Build, s.releaseStatus.Valid && (s.releaseStatus.Phase == OnTrial || last)
+	lastResort := s.release.Phase == RollingBack && s.release.Cap > 0 && s.earlierBuild < 0
+	return s.release.Build, s.release.Valid && (s.release.Phase == OnTrial || lastResort)
 }
 
-// slotOf is the two-build hash of the design page.
-func hashSlot(k Key, earlier, trial BuildID) int {
-	sum := md5.Sum([]byte(string(k) + "-" + strconv.Itoa(int(earlier)) + "-" + strconv.Itoa(int(trial))))
+// hashSlot is the two-build hash of the design page. It returns a slot from 0 to 99.
+func hashSlot(key Key, earlier, trial BuildID) int {
+	sum := md5.Sum([]byte(string(key) + "-" + strconv.Itoa(int(earlier)) + "-" + strconv.Itoa(int(trial))))
 	return int(binary.BigEndian.Uint64(sum[:8]) % 100)
 }
 
-// mayExpose is the window counter: one more hand-off to the trial keeps within free + cap x taken, by the
-// orders and by those before them whose window is not past. For keys new to it the cap is what its workers
-// can carry: a hot one makes few of them slow, which looks like a fault of the build.
-func (s *Sentry) withinExposureBound(t *transaction, met bool) bool {
-	o, most := &s.config, min(s.releaseStatus.Cap, max(oneIf(met), float64(s.trialSlots)/100))
-	over := func(b exposureBound) bool {
-		c, from := t.exposureCounters()[int(oneIf(b.byProfile))], s.now-b.window+s.config.TimerGranularity
-		sent, taken := countAfter(s.exposedTimes[c], from-3*s.config.TimerGranularity), countAfter(s.takenTimes[c], from)
-		return b.until > s.now && float64(sent+1) > b.free+most*float64(taken)
+// withinExposureBound reports whether one more hand-off to the trial keeps within free + cap x taken over the sliding
+// window, by the configuration and by the former ones whose window has not passed. For keys that are new to the
+// trial, the cap is at most what its workers can carry: a hot key would slow the few workers, which looks like a
+// fault of the build.
+func (s *Sentry) withinExposureBound(t *transaction, keyOnTrial bool) bool {
+	config, maxShare := &s.config, min(s.release.Cap, max(oneIf(keyOnTrial), float64(s.trialSlots)/100))
+	exceeds := func(bound exposureBound) bool {
+		counter, windowStart := t.exposureCounters()[int(oneIf(bound.byProfile))],
+			s.now-bound.window+s.config.TimerGranularity
+		exposed, taken := countAfter(s.exposedTimes[counter], windowStart-3*s.config.TimerGranularity),
+			countAfter(s.takenTimes[counter], windowStart)
+		return bound.until > s.now && float64(exposed+1) > bound.free+maxShare*float64(taken)
 	}
-	now := exposureBound{o.FreeExposure, o.ExposureWindow, o.ExposureByProfile, s.now + 1}
-	return !over(now) && !slices.ContainsFunc(s.formerBounds, over)
+	current := exposureBound{config.FreeExposure, config.ExposureWindow, config.ExposureByProfile, s.now + 1}
+	return !exceeds(current) && !slices.ContainsFunc(s.formerBounds, exceeds)
 }
 
-// learnBuild books an ended hand-off with the builds: the trial's failures beyond the earlier's rate add up.
+// recordBuildOutcome counts an ended hand-off for its build. The trial's misses beyond the earlier build's rate are
+// added up.
 func (s *Sentry) recordBuildOutcome(t *transaction, h *handOff) {
-	p := &s.profiles[t.Profile]
+	stats := &s.profiles[t.Profile]
 	_, onTrial := s.trialBuild()
-	newest := s.releaseStatus.Valid && (onTrial || s.releaseStatus.Phase == Released) && h.build == s.releaseStatus.Build
-	// What may have run may have been answered, unread, by either build that the list gave the worker meanwhile.
-	answered := h.mayHaveRun && h.end.Ending != Errored
-	if answered && onTrial && (newest || s.workers[h.worker].Build == s.releaseStatus.Build) {
-		s.trialKeys[t.Key] = s.releaseStatus.Build
-	}
-	took, failed, bar := float64(h.end.Duration), h.end.Ending == Errored, min(lateFactor*p.latencyThreshold, float64(p.DueTime))
-	seen := failed || h.end.Ending == Answered || h.end.Ending == TimedOut && !s.answerLost(h.worker, h.sentAt)
-	if !seen || !newest && h.build != s.earlierBuild {
+	ofNewest := s.release.Valid && (onTrial || s.release.Phase == Released) && h.build == s.release.Build
+	// A hand-off that may have run may have been answered although no answer was read. If the list has changed the
+	// worker's build meanwhile, either build may have answered.
+	mayBeAnswered := h.mayHaveRun && h.end.Ending != Errored
+	if mayBeAnswered && onTrial && (ofNewest || s.workers[h.worker].Build == s.release.Build) {
+		s.trialKeys[t.Key] = s.release.Build
+	}
+	duration, failed, lateThreshold := float64(h.end.Duration), h.end.Ending == Errored,
+		min(lateFactor*stats.latencyThreshold, float64(stats.DueTime))
+	conclusive := failed || h.end.Ending == Answered || h.end.Ending == TimedOut && !s.answerLost(h.worker, h.sentAt)
+	if !conclusive || !ofNewest && h.build != s.earlierBuild {
 		return
 	}
 	age := s.now - s.workerStart(h.worker)
 	warm := !failed && !h.timingInvalid && age >= max(settleTime, s.config.WarmUp)
-	slow := !failed && (h.end.Ending == TimedOut || took > bar)
-	k, miss := missKind(oneIf(slow)), newest && (failed || slow)
-	weight := s.missWeight(h.worker, k, miss)
-	s.ownMisses[k][h.worker] += uint64(oneIf(miss))
-	if newest && h.end.Ending == Answered {
+	isLate := !failed && (h.end.Ending == TimedOut || duration > lateThreshold)
+	kind, miss := missKind(oneIf(isLate)), ofNewest && (failed || isLate)
+	weight := s.missWeight(h.worker, kind, miss)
+	s.ownMisses[kind][h.worker] += uint64(oneIf(miss))
+	if ofNewest && h.end.Ending == Answered {
 		s.wrongAnswerSum = max(0, s.wrongAnswerSum-complaintDecayPerAnswer)
 	}
 	if !s.platformCountsAreCurrent() {
 		if warm {
-			s.judgeFleetLatency(p, took)
+			s.judgeFleetLatency(stats, duration)
 		}
-		trial := h.build != s.earlierBuild || newest && s.judgedOutcomes > 0 // also just released
-		s.recordOutcome(t.Profile, errorMiss, trial, failed, weight)
+		// Also for a build that was released just now and is itself the earlier build.
+		ofTrial := h.build != s.earlierBuild || ofNewest && s.judgedOutcomes > 0
+		s.recordOutcome(t.Profile, errorMiss, ofTrial, failed, weight)
 		if warm {
-			s.recordOutcome(t.Profile, lateMiss, h.build != s.earlierBuild, slow, weight)
+			s.recordOutcome(t.Profile, lateMiss, h.build != s.earlierBuild, isLate, weight)
 		}
 	}
 	if h.build != s.earlierBuild {
 		return
 	}
-	p.earlierOutcomes++
+	stats.earlierOutcomes++
 	if warm {
-		rate := max(rateSmoothing, 1/float64(p.earlierOutcomes)) // quick at first, for a trial may begin soon
-		if !s.isJudging() {                                      // paces are to what was usual before the trial
-			p.expectedDuration += rate * (took - p.expectedDuration)
+		// Fast at first, since a trial may begin soon.
+		smoothing := max(rateSmoothing, 1/float64(stats.earlierOutcomes))
+		// During a trial, latency ratios stay relative to the duration that was usual before it.
+		if !s.isJudging() {
+			stats.expectedDuration += smoothing * (duration - stats.expectedDuration)
 		}
-		p.latencyThreshold += 4 * rate * (oneIf(took > p.latencyThreshold) - aboveThresholdShare) * p.expectedDuration
+		stats.latencyThreshold += 4 * smoothing *
+			(oneIf(duration > stats.latencyThreshold) - aboveThresholdShare) * stats.expectedDuration
 	}
 }
 
-// observe books one outcome, judges it and keeps it for the sentries that collect.
-func (s *Sentry) recordOutcome(id ProfileID, k missKind, trial, hit bool, weight float64) {
-	s.countOutcome(countIndex(id, k, trial), hit)
-	s.judgeOutcomes(id, k, trial, 1, oneIf(hit)*weight)
+// recordOutcome counts one outcome for the collectors' report and judges it.
+func (s *Sentry) recordOutcome(profileID ProfileID, kind missKind, ofTrial, missed bool, weight float64) {
+	s.countOutcome(countIndex(profileID, kind, ofTrial), missed)
+	s.judgeOutcomes(profileID, kind, ofTrial, 1, oneIf(missed)*weight)
 }
 
-// judge takes n outcomes of one build of which so many failed or were late. The earlier build's go into its
-// rate, the trial's excess over that adds up.
-func (s *Sentry) judgeOutcomes(id ProfileID, k missKind, trial bool, n, hits float64) {
-	own, all := &s.profiles[id], &s.allProfiles
-	if !trial {
+// judgeOutcomes takes outcomes of one build, of which misses failed or were late. Those of the earlier build update
+// its miss rate. The trial's excess over that rate is added to the excess sums, which do not fall below 0.
+func (s *Sentry) judgeOutcomes(profileID ProfileID, kind missKind, ofTrial bool, outcomes, misses float64) {
+	stats, total := &s.profiles[profileID], &s.allProfiles
+	if !ofTrial {
 		s.earlierOutcomeAt = s.now
-		own.earlierMissRate[k] += (1 - math.Pow(1-rateSmoothing, n)) * (hits/n - own.earlierMissRate[k])
+		stats.earlierMissRate[kind] += (1 - math.Pow(1-rateSmoothing, outcomes)) *
+			(misses/outcomes - stats.earlierMissRate[kind])
 		return
 	}
-	by := errorWeight * (hits - n*(own.earlierMissRate[errorMiss]+toleratedErrorShare))
-	if k == lateMiss {
-		if s.now-s.earlierOutcomeAt >= second || own.earlierMissRate[lateMiss] >= overloadLateRate {
+	excess := errorWeight * (misses - outcomes*(stats.earlierMissRate[errorMiss]+toleratedErrorShare))
+	if kind == lateMiss {
+		if s.now-s.earlierOutcomeAt >= second || stats.earlierMissRate[lateMiss] >= overloadLateRate {
 			return
 		}
-		load := max(1, s.fleetCapacity*s.trialShare()/max(s.capacity(s.releaseStatus.Build), 1e-9)) * s.relativeLoad()
-		by = lateWeight * (hits - n*(2*own.earlierMissRate[lateMiss]+toleratedLateShare*s.expectedSlowdown(load))) * s.lateMeter.addAndWeigh(s.now, n)
+		load := max(1, s.fleetCapacity*s.trialShare()/max(s.capacity(s.release.Build), 1e-9)) * s.relativeLoad()
+		excess = lateWeight *
+			(misses - outcomes*(2*stats.earlierMissRate[lateMiss]+toleratedLateShare*s.expectedSlowdown(load))) *
+			s.lateMeter.addAndWeigh(s.now, outcomes)
 	} else {
-		s.judgedOutcomes += int(n)
+		s.judgedOutcomes += int(outcomes)
 	}
-	own.trialExcess[k], all.trialExcess[k] = max(0, own.trialExcess[k]+by), max(0, all.trialExcess[k]+by)
+	stats.trialExcess[kind], total.trialExcess[kind] =
+		max(0, stats.trialExcess[kind]+excess), max(0, total.trialExcess[kind]+excess)
 }
 
-// judgeAll compares all workers, of either build, with what answers took before the trial began: a build may
-// slow the whole fleet. Nothing is held against it where the fleet bears clearly more than then (a burst,
-// workers lost), where a quarter of the workers (of many sentries' answers, half) is as quick as ever, or
-// long after the release. It can harm a build when all slow down for a reason that no load shows.
-func (s *Sentry) judgeFleetLatency(p *profileStats, took float64) {
-	if !s.isJudging() || p.baselineThreshold == 0 {
+// judgeFleetLatency compares all workers, of either build, with what answers took before the trial began: a build may
+// slow the whole fleet. This does not count against the build where the fleet clearly carries more load than then (a
+// burst, or lost workers), where a quarter of the workers (or, of many sentries' answers, half) is as fast as before,
+// or long after the release. It can do harm to a build when all workers slow down for a reason that no load shows.
+func (s *Sentry) judgeFleetLatency(stats *profileStats, duration float64) {
+	if !s.isJudging() || stats.baselineThreshold == 0 {
 		return
 	}
-	slow := took > min(fleetSlowFactor*p.baselineThreshold, float64(p.DueTime)) &&
+	slow := duration > min(fleetSlowFactor*stats.baselineThreshold, float64(stats.DueTime)) &&
 		(s.cooperates() || s.lowerQuartileLatencyRatio() > fleetSlowLatencyRatio*s.expectedSlowdown(s.relativeLoad()))
 	s.countOutcome(len(s.outcomeCounts)-4, slow)
 	s.addFleetOutcomes(1, oneIf(slow))
 }
 
-func (s *Sentry) addFleetOutcomes(n, slow float64) {
-	slack := toleratedFleetSlowShare
+// addFleetOutcomes adds outcomes of all workers, of which slowOutcomes were slow, to the fleet's excess sum.
+func (s *Sentry) addFleetOutcomes(outcomes, slowOutcomes float64) {
+	tolerated := toleratedFleetSlowShare
 	if s.cooperates() {
-		first := oneIf(s.releaseStatus.Stage == 0) // what is slow with next to no trial is no fault of it
-		s.firstStageOutcomes, s.firstStageSlow = s.firstStageOutcomes+first*n, s.firstStageSlow+first*slow
-		slack = max(minToleratedSlowShare, min(maxToleratedSlowShare, 0.8*minToleratedSlowShare+s.firstStageSlow/max(1, s.firstStageOutcomes)))
-		slack *= s.expectedSlowdown(s.relativeLoad())
+		// What is slow in the first stage, with next to no trial traffic, is not the build's fault.
+		inFirstStage := oneIf(s.release.Stage == 0)
+		s.firstStageOutcomes, s.firstStageSlow =
+			s.firstStageOutcomes+inFirstStage*outcomes, s.firstStageSlow+inFirstStage*slowOutcomes
+		tolerated = max(minToleratedSlowShare, min(maxToleratedSlowShare,
+			0.8*minToleratedSlowShare+s.firstStageSlow/max(1, s.firstStageOutcomes)))
+		tolerated *= s.expectedSlowdown(s.relativeLoad())
 	}
-	s.fleetSlowExcess = max(0, s.fleetSlowExcess+(slow-n*slack)*s.fleetMeter.addAndWeigh(s.now, n))
+	s.fleetSlowExcess = max(0, s.fleetSlowExcess+
+		(slowOutcomes-outcomes*tolerated)*s.fleetMeter.addAndWeigh(s.now, outcomes))
 }
 
-// part is how much n more outcomes count each: times of one second hang together in a jam.
-func (m *rateMeter) addAndWeigh(now Micros, n float64) float64 {
-	m.rate, m.at = m.rate*math.Exp(-float64(now-m.at)/float64(second))+n, now
-	return fullWeightPerSecond / max(m.rate, fullWeightPerSecond)
+// addAndWeigh adds outcomes to the rate and returns how much each of them counts: less the more there are in a
+// second, since durations of the same second are correlated under congestion.
+func (meter *rateMeter) addAndWeigh(now Micros, outcomes float64) float64 {
+	meter.rate, meter.at = meter.rate*math.Exp(-float64(now-meter.at)/float64(second))+outcomes, now
+	return fullWeightPerSecond / max(meter.rate, fullWeightPerSecond)
 }
 
-// byLoad is how much slower than before the trial workers may be for this load alone.
+// expectedSlowdown returns how much slower than before the trial workers may be because of this relative load alone.
 func (s *Sentry) expectedSlowdown(load float64) float64 { return 1 + slowdownPerLoad*max(0, load-1) }
 
-// loadNow is the load to that before the trial, taken for no other where too little was seen then.
+// relativeLoad returns the load relative to the load before the trial, or 1 if too little was seen then.
 func (s *Sentry) relativeLoad() float64 {
 	if s.cooperates() && s.baselineArrivalMeter.rate > 0 {
 		return s.arrivalMeter.rate / s.baselineArrivalMeter.rate * max(1, s.baselineCapacity/max(s.fleetCapacity, 1e-9))
@@ -880,101 +1002,113 @@
 	return s.ownLoad() / s.baselineLoad
 }
 
-// watched says whether the newest build is on trial or freshly released; hundreds of sentries see what is
-// slow everywhere long before each has met the trial itself.
+// isJudging reports whether the newest build is on trial, or was released recently, and there is something to judge.
+// Hundreds of sentries together see what is slow in the fleet long before each of them has seen the trial itself.
 func (s *Sentry) isJudging() bool {
-	on := s.releaseStatus.Phase == OnTrial
-	return (s.judgedOutcomes > 0 || on && s.cooperates()) && (on || s.now-s.statusSince <= 2*observationTime)
+	onTrial := s.release.Phase == OnTrial
+	return (s.judgedOutcomes > 0 || onTrial && s.cooperates()) && (onTrial || s.now-s.statusSince <= 2*observationTime)
 }
 
-// quickPace is the pace that a quarter of the ready workers keeps or beats.
+// lowerQuartileLatencyRatio returns the latency ratio that a quarter of the ready workers in the subsets keeps or
+// beats.
 func (s *Sentry) lowerQuartileLatencyRatio() float64 {
-	paces := []float64{1}
-	for b, r := range s.buildWorkers {
-		for _, w := range r.ready[:min(r.subsetSize, len(r.ready))] {
-			if (b == s.earlierBuild || b == s.releaseStatus.Build) && s.warmUpCapacity(w, s.now) == 1 && s.slowRecency(w) > 0 {
-				paces = append(paces, s.latencyRatio[w])
+	ratios := []float64{1}
+	for build, workers := range s.buildWorkers {
+		for _, w := range workers.ready[:min(workers.subsetSize, len(workers.ready))] {
+			if (build == s.earlierBuild || build == s.release.Build) &&
+				s.warmUpCapacity(w, s.now) == 1 && s.slowRecency(w) > 0 {
+				ratios = append(ratios, s.latencyRatio[w])
 			}
 		}
 	}
-	slices.Sort(paces[1:])
-	return paces[min(len(paces)-1, (len(paces)+3)/4)]
+	slices.Sort(ratios[1:])
+	return ratios[min(len(ratios)-1, (len(ratios)+3)/4)]
 }
 
-// weigh counts a miss of a worker of the trial for less the more this worker has missed beyond its even part
-// of all. It guards against a machine's own trouble (failing fast, slow, shared with another program); it
-// costs time where a bad build has very few workers of which one gets most of the traffic.
-func (s *Sentry) missWeight(w int, k missKind, miss bool) float64 {
+// missWeight returns the weight of one outcome. A miss of a trial worker weighs less the more this worker has missed
+// beyond its even share of all misses. It guards against a machine's own trouble (fast failures, slowness, a machine
+// shared with another program). It costs time where a bad build has very few workers and one of them gets most of the
+// traffic.
+func (s *Sentry) missWeight(w int, kind missKind, miss bool) float64 {
 	if !miss {
 		return 1
 	}
-	n := max(1, float64(s.readyCount(s.workers[w].Build)))
-	prior, part := n, min(1, manyTrialWorkers/n)
-	if s.cooperates() { // so many misses a second that a few workers' first ones would do
-		prior, part = n*part, 1
+	workers := max(1, float64(s.readyCount(s.workers[w].Build)))
+	prior, workerWeight := workers, min(1, manyTrialWorkers/workers)
+	// With so many sentries, misses are so frequent that the first ones of a few workers would be enough for a vote.
+	if s.cooperates() {
+		prior, workerWeight = workers*workerWeight, 1
 	}
-	even := min(1, (s.totalTrialMisses[k]+prior)/(n*(s.trialMisses[k][w]+1)))
-	s.totalTrialMisses[k]++
-	s.trialMisses[k][w]++
-	return even * even * part
+	evenShare := min(1, (s.totalTrialMisses[kind]+prior)/(workers*(s.trialMisses[kind][w]+1)))
+	s.totalTrialMisses[kind]++
+	s.trialMisses[kind][w]++
+	return evenShare * evenShare * workerWeight
 }
 
-// Complained takes a client's word that an answer was wrong as an error of that build. Where each judges by
-// itself and no count shows it, one votes back for some answers, since many must do so at a time: false ones
-// are too few. One on the earlier build takes one away. It can harm a build where few votes send it back.
-func (s *Sentry) ComplaintReceived(now Micros, c Complaint) Result {
+// ComplaintReceived takes a client's report that an answer was wrong, and counts it as an error of the worker's build.
+// The platform's counts do not show wrong answers. Where sentries judge by these, each sentry votes to roll back after
+// a few complaints: many sentries must do so at a time, and false complaints are too few for that. A complaint about
+// the earlier build cancels one about the trial. It can do harm to a build where few votes are enough to roll it back.
+func (s *Sentry) ComplaintReceived(now Micros, complaint Complaint) Result {
 	return s.handleEvent(now, func() {
-		if w, known := s.workerIndex[c.Worker]; known && c.Profile >= 0 && int(c.Profile) < len(s.profiles) {
-			newest := s.releaseStatus.Valid && s.workers[w].Build == s.releaseStatus.Build
-			if s.judgesByPlatformCounts() { // they do not see it, and nobody else will tell
-				s.wrongAnswerSum = max(0, s.wrongAnswerSum+complaintWeight*(2*oneIf(newest && s.isJudging())-1))
+		if w, known := s.workerIndex[complaint.Worker]; known &&
+			complaint.Profile >= 0 && int(complaint.Profile) < len(s.profiles) {
+			ofNewest := s.release.Valid && s.workers[w].Build == s.release.Build
+			// The counts do not show it, and no other sentry reports it.
+			if s.judgesByPlatformCounts() {
+				s.wrongAnswerSum = max(0, s.wrongAnswerSum+complaintWeight*(2*oneIf(ofNewest && s.isJudging())-1))
 				return
 			}
-			s.recordOutcome(c.Profile, errorMiss, newest, true, s.missWeight(w, errorMiss, newest))
+			s.recordOutcome(complaint.Profile, errorMiss, ofNewest, true, s.missWeight(w, errorMiss, ofNewest))
 		}
 	})
 }
 
 const (
-	ownFailureSmoothing, ownFailureWindow = 0.1, 10.0 // of a sentry's own failures, about so many count
-	platformCountsValidPeriods            = 4         // periods for which the platform's counts hold
-	meanSmoothing                         = 0.2       // for each of its periods
-	toleratedMeanIncrease                 = 0.5       // share by which a mean may be longer
-	toleratedFailureIncrease              = 0.1       // and of failures, beyond twice the earlier build's
+	ownFailureSmoothing, ownFailureWindow = 0.1, 10.0 // window: recent failures that ownErrors and ownFailures cover
+	platformCountsValidPeriods            = 4         // periods for which the platform's counts stay valid
+	meanSmoothing                         = 0.2       // for each period of the counts
+	toleratedMeanIncrease                 = 0.5       // share by which a mean duration may be longer
+	toleratedFailureIncrease              = 0.1       // tolerated share of failures beyond twice the earlier build's
 
 	complaintWeight         = 2 * rollBackExcess
 	complaintDecayPerAnswer = rollBackExcess / 30 // for each answer of the trial
 
-	manySentries                                 = 20
-	minToleratedSlowShare, maxToleratedSlowShare = 0.45, 0.9  // share of slow answers let pass there: at the least and the most
-	collectorCount                               = 3          // sentries that judge what all have seen
-	maxReportedWorkers                           = 20         // workers that a report names with their misses
-	collectorVerdictLifetime                     = 3 * second // for how long what a collector says counts
+	manySentries = 20
+	// Bounds of the share of slow answers that is tolerated where sentries cooperate.
+	minToleratedSlowShare, maxToleratedSlowShare = 0.45, 0.9
+	collectorCount                               = 3          // sentries that judge the counts of all
+	maxReportedWorkers                           = 20         // workers in a report, with their misses
+	collectorVerdictLifetime                     = 3 * second // how long a collector's verdict counts
 )
 
-// together says whether so many judge that only all of them see enough.
+// cooperates reports whether the sentries judge together and share load in groups: there are so many that only all of
+// them together see enough.
 func (s *Sentry) cooperates() bool { return s.config.MayMessage && s.config.Sentries >= manySentries }
 
-// collectorsAt names the sentries that collect in this trial, by position.
-func (s *Sentry) collectors() (at []SentryID) {
+// collectors returns the positions of the sentries that collect the reports in this trial.
+func (s *Sentry) collectors() (positions []SentryID) {
 	for i := range collectorCount {
-		at = append(at, SentryID((int(s.releaseStatus.Build)+i*s.config.Sentries/collectorCount)%s.config.Sentries))
+		positions = append(positions,
+			SentryID((int(s.release.Build)+i*s.config.Sentries/collectorCount)%s.config.Sentries))
 	}
-	return at
+	return positions
 }
 
+// isCollector reports whether this sentry is one of the collectors.
 func (s *Sentry) isCollector() bool { return slices.Contains(s.collectors(), s.config.Position) }
 
-// pool sends what this sentry has counted to the collectors, and what a collector makes of all to all. Counts
-// are sent whole each time, so that a lost message or a restart of either side loses nothing for long. It
-// guards against judging on very little; where messages are lost each judges by itself.
-func (s *Sentry) sendReports(v Verdict) {
+// sendReports sends this sentry's counts to the collectors, and a collector's verdict to all. A report holds all
+// counts of the trial each time, so that a lost message or a restart of either side loses nothing for long. It guards
+// against judging on very little. Where messages are lost, each sentry judges by itself.
+func (s *Sentry) sendReports(verdict Verdict) {
 	if !s.config.MayMessage || s.now < s.nextReportAt {
 		return
 	}
 	s.nextReportAt = s.now + second*3/4
 	if s.isCollector() {
-		body := encodeMessage(messageVerdict, []uint64{uint64(s.releaseStatus.Build), uint64(s.releaseStatus.Stage), uint64(v)})
+		body := encodeMessage(messageVerdict,
+			[]uint64{uint64(s.release.Build), uint64(s.release.Stage), uint64(verdict)})
 		s.result.Messages = append(s.result.Messages, Message{To: EverySentry, Body: body})
 	}
 	values := s.ownReport(maxReportedWorkers)
@@ -985,44 +1119,50 @@
 	}
 }
 
-// Neighbours. Where sentries are about as many as workers, each learns of a worker's load once in seconds:
-// most go to busy workers while others idle. Some sentries then share some workers, which all prefer, and
-// tell each other of every hand-off to these, in three bytes.
+// Groups of sentries and workers. Where there are about as many sentries as workers, each sentry learns of a worker's
+// load only every few seconds, so that most go to busy workers while others are idle. Therefore the sentries of a
+// group prefer the same workers, and notify each other of every hand-off to these, in three bytes.
 const (
-	sentriesPerGroup   = 8
-	minGroupWorkers    = 6   // workers in a group, else there is none
-	maxGroupWorkerLoad = 3.0 // load from which others are tried, who do not hear of it
-	otherGroupRank     = 1e6
-	groupOpenTTL       = 20.0 // usual times for which a hand-off counts whose end was not heard of
+	sentriesPerGroup = 8
+	minGroupWorkers  = 6 // with fewer workers there is no group
+	// From this load on, workers outside the group are tried too, although the sentries of their group are not
+	// notified of it.
+	maxGroupWorkerLoad = 3.0
+	// Added to the rank of workers of other groups, so that they come last.
+	otherGroupRank = 1e6
+	// In usual answer durations: how long a hand-off counts if no message reports its end.
+	groupOpenTTL = 20.0
 )
 
+// groupCount returns the number of groups.
 func (s *Sentry) groupCount() int { return max(1, s.config.Sentries/sentriesPerGroup) }
 
-// shares says whether this sentry is in a group with others.
+// inGroup reports whether this sentry is in a group with enough workers.
 func (s *Sentry) inGroup() bool {
-	r := s.buildWorkers[s.earlierBuild]
-	return s.cooperates() && r != nil && r.groupWorkers >= minGroupWorkers
+	workers := s.buildWorkers[s.earlierBuild]
+	return s.cooperates() && workers != nil && workers.groupWorkers >= minGroupWorkers
 }
 
-// ours says whether a worker is one of this sentry's group.
+// inOwnGroup reports whether a worker belongs to this sentry's group.
 func (s *Sentry) inOwnGroup(id WorkerID) bool {
 	return s.cooperates() && int(shortID(id))%s.groupCount() == int(s.config.Position)%s.groupCount()
 }
 
-// tellNear tells the others of the group what became of a hand-off to one of its workers.
-func (s *Sentry) notifyGroup(w int, what byte) {
+// notifyGroup notifies the other sentries of the group of the start or end of a hand-off to one of its workers.
+func (s *Sentry) notifyGroup(w int, kind byte) {
 	if !s.inGroup() || s.rank[w] >= otherGroupRank {
 		return
 	}
-	body, g := encodeMessage(what, []uint64{shortID(s.workers[w].ID)}), s.groupCount()
-	for i := int(s.config.Position) % g; i < s.config.Sentries; i += g {
+	body, groups := encodeMessage(kind, []uint64{shortID(s.workers[w].ID)}), s.groupCount()
+	for i := int(s.config.Position) % groups; i < s.config.Sentries; i += groups {
 		if SentryID(i) != s.config.Position {
 			s.result.Messages = append(s.result.Messages, Message{To: SentryID(i), Body: body})
 		}
 	}
 }
 
-// nearNow is how much of what the neighbours handed to a worker it still has.
+// groupOpenNow returns how many hand-offs of the other sentries of the group a worker still has. Hand-offs whose end
+// was not reported count less with time.
 func (s *Sentry) groupOpenNow(w int) float64 {
 	if s.groupOpen[w] == 0 {
 		return 0
@@ -1030,109 +1170,129 @@
 	return max(0, s.groupOpen[w]-float64(s.now-s.groupOpenAt[w])/max(1, groupOpenTTL*s.usualDuration()))
 }
 
-// PeerSaid takes a message. What does not hold together is dropped.
+// PeerMessageReceived takes a message from another sentry. It ignores messages that are malformed or of another
+// trial.
 func (s *Sentry) PeerMessageReceived(now Micros, from SentryID, body []byte) Result {
 	return s.handleEvent(now, func() {
-		what, values := decodeMessage(body)
-		known := from >= 0 && int(from) < s.config.Sentries && from != s.config.Position
+		kind, values := decodeMessage(body)
+		validSender := from >= 0 && int(from) < s.config.Sentries && from != s.config.Position
 		switch {
-		case known && (what == messageHandOff || what == messageHandOffEnded) && len(values) == 1:
-			if w, named := s.byShortID[values[0]]; named {
-				more := 1 - 2*oneIf(what == messageHandOffEnded)
-				s.groupOpen[w], s.groupOpenAt[w] = max(0, s.groupOpenNow(w)+more), s.now
+		case validSender && (kind == messageHandOff || kind == messageHandOffEnded) && len(values) == 1:
+			if w, known := s.byShortID[values[0]]; known {
+				change := 1 - 2*oneIf(kind == messageHandOffEnded)
+				s.groupOpen[w], s.groupOpenAt[w] = max(0, s.groupOpenNow(w)+change), s.now
 			}
-		case !known || len(values) == 0 || !s.releaseStatus.Valid || BuildID(values[0]) != s.releaseStatus.Build:
-		case what == messageVerdict && len(values) == 3 && values[2] <= uint64(RollBack):
-			if v := Verdict(values[2]); v >= s.collectorVerdict || s.now-s.collectorVerdictAt >= collectorVerdictLifetime {
-				s.collectorVerdict, s.collectorVerdictAt, s.collectorVerdictStage = v, s.now, int(values[1]) // the strongest heard lately
+		case !validSender || len(values) == 0 || !s.release.Valid || BuildID(values[0]) != s.release.Build:
+		case kind == messageVerdict && len(values) == 3 && values[2] <= uint64(RollBack):
+			if verdict := Verdict(values[2]); verdict >= s.collectorVerdict ||
+				s.now-s.collectorVerdictAt >= collectorVerdictLifetime {
+				// Keep the strongest verdict received lately.
+				s.collectorVerdict, s.collectorVerdictAt, s.collectorVerdictStage = verdict, s.now, int(values[1])
 			}
-		case what == messageReport && len(values) >= len(s.outcomeCounts)+3 && values[2] == uint64(len(s.outcomeCounts)) && s.isCollector():
+		case kind == messageReport && len(values) >= len(s.outcomeCounts)+3 &&
+			values[2] == uint64(len(s.outcomeCounts)) && s.isCollector():
 			s.mergeReport(from, report{values[1], values[3 : len(s.outcomeCounts)+3], values[len(s.outcomeCounts)+3:]})
 		}
 	})
 }
 
-// Counted takes what the platform counted of a build. It stands in for messages: where its sample is more
-// than this sentry sees itself, the sums go by it and not by this sentry's own outcomes, so that none counts
-// twice. All sentries then err alike; own outcomes judge again when no counts have come for some periods.
-func (s *Sentry) CountsReceived(now Micros, c BuildCounts) Result {
+// CountsReceived takes what the platform counted of a build. The counts replace messages between sentries: where
+// their sample is larger than what this sentry sees itself, they drive the excess sums instead of its own outcomes,
+// so that nothing counts twice. All sentries then make the same errors. Own outcomes are judged again when no counts
+// have come for some periods.
+func (s *Sentry) CountsReceived(now Micros, counts BuildCounts) Result {
 	return s.handleEvent(now, func() {
-		if c.Profile < 0 || int(c.Profile) >= len(s.profiles) || c.HandOffs <= 0 || !s.judgesByPlatformCounts() {
+		if counts.Profile < 0 || int(counts.Profile) >= len(s.profiles) || counts.HandOffs <= 0 ||
+			!s.judgesByPlatformCounts() {
 			return
 		}
 		s.platformCountsAt = s.now
-		p, n, failed := &s.profiles[c.Profile], float64(c.HandOffs), float64(min(c.HandOffs, c.Failed))
-		newest := s.releaseStatus.Valid && c.Build == s.releaseStatus.Build && (c.Build != s.earlierBuild || s.judgedOutcomes > 0)
-		if !newest && c.Build != s.earlierBuild {
+		stats, handOffs, failed := &s.profiles[counts.Profile], float64(counts.HandOffs),
+			float64(min(counts.HandOffs, counts.Failed))
+		ofNewest := s.release.Valid && counts.Build == s.release.Build &&
+			(counts.Build != s.earlierBuild || s.judgedOutcomes > 0)
+		if !ofNewest && counts.Build != s.earlierBuild {
 			return
 		}
-		if newest { // of any kind, a worker's death too; this sentry's own tell how many are errors
-			failed = max(0, failed*(s.ownErrors+1)/(s.ownFailures+1)-n*(toleratedFailureIncrease+max(p.earlierMissRate[errorMiss], p.earlierFailedShare)))
+		// The counts hold failures of any kind, also of a worker that died. This sentry's own failures show which share of
+		// them are errors.
+		if ofNewest {
+			failed = max(0, failed*(s.ownErrors+1)/(s.ownFailures+1)-
+				handOffs*(toleratedFailureIncrease+max(stats.earlierMissRate[errorMiss], stats.earlierFailedShare)))
 		} else {
-			p.earlierFailedShare = failed / n
+			stats.earlierFailedShare = failed / handOffs
 		}
-		if !newest || s.now-s.earlierOutcomeAt <= platformCountsValidPeriods*s.config.CountsPeriod { // else nothing tells what is usual now
-			s.judgeOutcomes(c.Profile, errorMiss, newest, n, failed)
+		// Otherwise nothing shows what is usual now.
+		if !ofNewest || s.now-s.earlierOutcomeAt <= platformCountsValidPeriods*s.config.CountsPeriod {
+			s.judgeOutcomes(counts.Profile, errorMiss, ofNewest, handOffs, failed)
 		}
-		at := s.now - c.Age - s.config.CountsPeriod/2
-		s.addPeriodMean(p, n-float64(c.Failed), float64(c.MeanDuration), newest, at)
+		periodMiddle := s.now - counts.Age - s.config.CountsPeriod/2
+		s.addPeriodMean(stats, handOffs-float64(counts.Failed), float64(counts.MeanDuration), ofNewest, periodMiddle)
 	})
 }
 
-// countsRule says whether the platform's counts drive the sums.
+// judgesByPlatformCounts reports whether this sentry uses the platform's counts to judge.
 func (s *Sentry) judgesByPlatformCounts() bool {
-	o := &s.config
-	return o.CountsPeriod > 0 && !o.MayMessage && o.CountsSampleShare*float64(o.Sentries) > 1
+	config := &s.config
+	return config.CountsPeriod > 0 && !config.MayMessage && config.CountsSampleShare*float64(config.Sentries) > 1
 }
 
-// counted says whether they do so now.
+// platformCountsAreCurrent reports whether it does so now, because counts came recently.
 func (s *Sentry) platformCountsAreCurrent() bool {
-	return s.judgesByPlatformCounts() && s.platformCountsAt > 0 && s.now-s.platformCountsAt < platformCountsValidPeriods*s.config.CountsPeriod
+	return s.judgesByPlatformCounts() && s.platformCountsAt > 0 &&
+		s.now-s.platformCountsAt < platformCountsValidPeriods*s.config.CountsPeriod
 }
 
-// tellMeans adds a mean time to those of its period, over all profiles: of the trial, the warmth of its
-// workers then allowed for, and of all.
-func (s *Sentry) addPeriodMean(p *profileStats, n, mean float64, newest bool, at Micros) {
-	if n <= 0 || mean <= 0 {
+// addPeriodMean adds a mean duration to the means of its period over all profiles: of the trial, corrected for the
+// warm-up of its workers, and of all builds.
+func (s *Sentry) addPeriodMean(stats *profileStats, answers, mean float64, ofNewest bool, at Micros) {
+	if answers <= 0 || mean <= 0 {
 		return
 	}
-	if newest {
-		mean *= s.buildWarmUpCapacity(s.releaseStatus.Build, at)
-	} else if p.earlierMean += max(meanSmoothing, oneIf(p.earlierMean == 0)) * (mean - p.earlierMean); !s.isJudging() {
-		p.baselineMean = p.earlierMean
-	}
-	for i := range s.periodMeans[:1+int(oneIf(newest))] {
-		if m := &s.periodMeans[i]; p.baselineMean > 0 {
-			m.answers, m.duration, m.baselineDuration, m.earlierDuration = m.answers+n, m.duration+n*mean, m.baselineDuration+n*p.baselineMean, m.earlierDuration+n*p.earlierMean
+	if ofNewest {
+		mean *= s.buildWarmUpCapacity(s.release.Build, at)
+	} else if stats.earlierMean += max(meanSmoothing, oneIf(stats.earlierMean == 0)) *
+		(mean - stats.earlierMean); !s.isJudging() {
+		stats.baselineMean = stats.earlierMean
+	}
+	for i := range s.periodMeans[:1+int(oneIf(ofNewest))] {
+		if means := &s.periodMeans[i]; stats.baselineMean > 0 {
+			means.answers, means.duration, means.baselineDuration, means.earlierDuration =
+				means.answers+answers, means.duration+answers*mean,
+				means.baselineDuration+answers*stats.baselineMean, means.earlierDuration+answers*stats.earlierMean
 		}
 	}
 }
 
-// judgeMeans judges what came of a period. A mean that is so many times as long counts as so many late ones:
-// the trial's beside the earlier build's or the time before, whichever is longer, those of both beside the
-// time before, in both cases by more than the load explains.
+// judgePeriodMeans judges the mean durations of a period. A mean that is longer by some share counts as that share of
+// late hand-offs. The trial's mean is compared with the earlier build's or the baseline, whichever is longer, and
+// that of both builds with the baseline, in both cases beyond what the load explains.
 func (s *Sentry) judgePeriodMeans() {
 	all, trial := s.periodMeans[0], s.periodMeans[1]
 	s.periodMeans = [2]latencyMeans{}
 	perSecond := all.answers * float64(second) / float64(s.config.CountsPeriod)
 	if !s.isJudging() {
-		s.baselinePlatformRate += max(meanSmoothing, oneIf(s.baselinePlatformRate == 0)) * (perSecond - s.baselinePlatformRate)
+		s.baselinePlatformRate += max(meanSmoothing, oneIf(s.baselinePlatformRate == 0)) *
+			(perSecond - s.baselinePlatformRate)
 		return
 	}
 	load := max(1, perSecond/max(s.baselinePlatformRate, 1e-9)) * max(1, s.baselineCapacity/max(s.fleetCapacity, 1e-9))
 	if all.answers > 0 {
-		slow := min(1, max(0, all.duration/all.baselineDuration/s.expectedSlowdown(load)-1))
-		s.fleetSlowExcess = max(0, s.fleetSlowExcess+lateWeight*all.answers*(slow-toleratedMeanIncrease)*s.fleetMeter.addAndWeigh(s.now, all.answers))
+		slowShare := min(1, max(0, all.duration/all.baselineDuration/s.expectedSlowdown(load)-1))
+		s.fleetSlowExcess = max(0, s.fleetSlowExcess+
+			lateWeight*all.answers*(slowShare-toleratedMeanIncrease)*s.fleetMeter.addAndWeigh(s.now, all.answers))
 	}
 	if trial.answers > 0 {
-		load *= max(1, s.baselineCapacity*float64(s.trialSlots)/max(100*s.capacity(s.releaseStatus.Build), 1e-9))
-		longer := trial.duration / max(trial.earlierDuration, trial.baselineDuration*s.expectedSlowdown(load))
+		load *= max(1, s.baselineCapacity*float64(s.trialSlots)/max(100*s.capacity(s.release.Build), 1e-9))
+		ratio := trial.duration / max(trial.earlierDuration, trial.baselineDuration*s.expectedSlowdown(load))
 		weight := lateWeight * trial.answers * s.lateMeter.addAndWeigh(s.now, trial.answers)
-		s.allProfiles.trialExcess[lateMiss] = max(0, s.allProfiles.trialExcess[lateMiss]+weight*(min(1, max(0, longer-1))-toleratedMeanIncrease))
+		s.allProfiles.trialExcess[lateMiss] = max(0, s.allProfiles.trialExcess[lateMiss]+
+			weight*(min(1, max(0, ratio-1))-toleratedMeanIncrease))
 	}
 }
 
-// vote forms this sentry's verdict and sends it when it has changed or is about to lapse.
+// updateVote forms this sentry's verdict, and votes when it has changed or is about to expire. It runs each quarter
+// second.
 func (s *Sentry) updateVote() {
 	if s.now < s.nextVoteAt {
 		return
@@ -1144,56 +1304,72 @@
 	if s.periodMeans[0].answers > 0 && s.now > s.platformCountsAt {
 		s.judgePeriodMeans()
 	}
-	if s.usualLoad == 0 || s.releaseStatus.Phase != RollingBack {
-		s.handOffTimes = dropUpTo(s.handOffTimes, s.now-s.arrivalWindow) // not what comes: under overload that is more than workers bear
-		s.usualLoad += max(usualLoadSmoothing, oneIf(s.usualLoad == 0)) * (float64(len(s.handOffTimes))/max(s.fleetCapacity, 1e-9) - s.usualLoad)
+	if s.usualLoad == 0 || s.release.Phase != RollingBack {
+		// Hand-offs are counted, not arrivals: under overload more arrives than workers can take.
+		s.handOffTimes = dropUpTo(s.handOffTimes, s.now-s.arrivalWindow)
+		s.usualLoad += max(usualLoadSmoothing, oneIf(s.usualLoad == 0)) *
+			(float64(len(s.handOffTimes))/max(s.fleetCapacity, 1e-9) - s.usualLoad)
 	}
-	if !s.releaseStatus.Valid || s.releaseStatus.Phase != OnTrial && s.releaseStatus.Phase != Released {
+	if !s.release.Valid || s.release.Phase != OnTrial && s.release.Phase != Released {
 		return
 	}
 	s.rampTrialSlots()
-	v := Vote{Build: s.releaseStatus.Build, Stage: s.releaseStatus.Stage, Verdict: s.decideVerdict()}
-	s.sendReports(v.Verdict)
-	if v.Verdict != NoVerdict && (v != s.lastVote || s.lastVoteAt == 0 || s.now-s.lastVoteAt >= s.config.VoteTTL*6/10) {
-		if v != s.lastVote && (s.isCollector() || s.config.Sentries < manySentries) {
-			s.logVote(v.Verdict)
+	vote := Vote{Build: s.release.Build, Stage: s.release.Stage, Verdict: s.decideVerdict()}
+	s.sendReports(vote.Verdict)
+	if vote.Verdict != NoVerdict &&
+		(vote != s.lastVote || s.lastVoteAt == 0 || s.now-s.lastVoteAt >= s.config.VoteTTL*6/10) {
+		if vote != s.lastVote && (s.isCollector() || s.config.Sentries < manySentries) {
+			s.logVote(vote.Verdict)
 		}
-		s.result.Votes = append(s.result.Votes, v)
-		s.lastVote, s.lastVoteAt = v, s.now
+		s.result.Votes = append(s.result.Votes, vote)
+		s.lastVote, s.lastVoteAt = vote, s.now
 	}
 }
 
+// decideVerdict returns what this sentry votes for:
+//
+//   - the collectors' verdict if one came recently, or nothing if the collectors' own votes are enough;
+//   - RollBack once an excess sum has passed the limit, and then until the next trial, or after enough complaints;
+//   - with ControlTimer, Hold while an excess sum is too high to advance;
+//   - without it, Advance if the excess sums are low and the trial has been observed for long enough;
+//   - NoVerdict otherwise.
 func (s *Sentry) decideVerdict() Verdict {
-	o, patience, limit, sums, collects := &s.config, observationTime, rollBackExcess, s.excessSums(), s.isCollector()
-	if !o.MayMessage || !collects { // the more may vote, the less a chance sum may decide
-		limit += math.Log(1 + float64(o.Sentries)/float64(10*max(1, o.RollBackVotes)))
-		sums = sums[int(oneIf(s.cooperates())):] // what is slow among all it does not see
-	}
-	limit *= 1 + releasedLimitIncrease*oneIf(s.releaseStatus.Phase == Released)
-	if s.collectorVerdictAt > s.now-collectorVerdictLifetime && !collects && (s.cooperates() || s.fleetSlowExcess <= limit) {
-		if max(o.AdvanceVotes, o.RollBackVotes, o.HoldVotes) <= collectorCount || s.collectorVerdictStage != s.releaseStatus.Stage {
-			return NoVerdict // theirs are enough, or not yet of this stage
+	config, minObservation, limit, excesses, isCollector :=
+		&s.config, observationTime, rollBackExcess, s.excessSums(), s.isCollector()
+	// The more sentries may vote, the less a sum that is high by chance may decide.
+	if !config.MayMessage || !isCollector {
+		limit += math.Log(1 + float64(config.Sentries)/float64(10*max(1, config.RollBackVotes)))
+		// A single sentry of many does not see what is slow in the whole fleet.
+		excesses = excesses[int(oneIf(s.cooperates())):]
+	}
+	limit *= 1 + releasedLimitIncrease*oneIf(s.release.Phase == Released)
+	if s.collectorVerdictAt > s.now-collectorVerdictLifetime && !isCollector &&
+		(s.cooperates() || s.fleetSlowExcess <= limit) {
+		if max(config.AdvanceVotes, config.RollBackVotes, config.HoldVotes) <= collectorCount ||
+			s.collectorVerdictStage != s.release.Stage {
+			return NoVerdict // the collectors' votes are enough, or their verdict is of another stage
 		}
 		return s.collectorVerdict
 	}
-	sum := slices.Max(sums)
-	if s.rollBackDecided = s.rollBackDecided || sum > limit; s.rollBackDecided || s.wrongAnswerSum > limit {
+	maxExcess := slices.Max(excesses)
+	if s.rollBackDecided = s.rollBackDecided || maxExcess > limit; s.rollBackDecided || s.wrongAnswerSum > limit {
 		return RollBack
 	}
-	patience *= 1 + Micros(2*oneIf(o.MayMessage && !collects)) // others may know more
-	r := s.buildWorkers[s.releaseStatus.Build]
-	switch timer := o.Control == ControlTimer; {
-	case s.releaseStatus.Phase == Released || r == nil || len(r.ready) == 0:
+	minObservation *= 1 + Micros(2*oneIf(config.MayMessage && !isCollector)) // other sentries may know more
+	workers := s.buildWorkers[s.release.Build]
+	switch timerControl := config.Control == ControlTimer; {
+	case s.release.Phase == Released || workers == nil || len(workers.ready) == 0:
 		return NoVerdict
-	case timer && sum > maxAdvanceExcess:
+	case timerControl && maxExcess > maxAdvanceExcess:
 		return Hold
-	case timer || sum >= maxAdvanceExcess:
+	case timerControl || maxExcess >= maxAdvanceExcess:
 		return NoVerdict
 	}
-	// The release takes the earlier workers away: before it, all is looked at under full load for a while.
-	last := o.EarlierWorkersStay && s.releaseStatus.Stage+1 >= len(o.StageCaps)
-	settled := s.now - max(s.statusSince, r.youngestStart) - Micros(oneIf(last))*o.WarmUp/lastStageWarmUpDivisor
-	if settled >= patience || settled >= settleTime && s.judgedOutcomes >= minSampleSize {
+	// The release removes the earlier workers. Before it, the trial is observed under full load for a while.
+	lastStage := config.EarlierWorkersStay && s.release.Stage+1 >= len(config.StageCaps)
+	observed := s.now - max(s.statusSince, workers.youngestStart) -
+		Micros(oneIf(lastStage))*config.WarmUp/lastStageWarmUpDivisor
+	if observed >= minObservation || observed >= settleTime && s.judgedOutcomes >= minSampleSize {
 		return Advance
 	}
 	return NoVerdict
