--- a/logic/drain.go
+++ b/logic/drain.go
@@ -1,45 +1,47 @@
 package logic
 
-// The steps of a planned stop. The platform kills the process no sooner than the longest deadline and killAfterDeadline after
-// it asked it to stop, and whatever the kill finds unanswered is lost. Clients use their connections for as long as these stay
-// open, so the process stops reading each of them in time for what it has read to be answered within the longest deadline:
+// The schedule of a planned stop.
 //
-//	stop reading | longest deadline: the last request is answered | last answers leave | held up, and the end | kill
+// The platform kills the process no sooner than killAfterDeadline plus the longest deadline after the request to stop,
+// and the kill loses every transaction that has no answer. Clients use their connections for as long as these stay open.
+// So the process stops reading from them early enough to answer all that it has read within the longest deadline:
 //
-// What is not read by then was never taken, and its client sees that.
+//	reading stops | longest deadline: last answer is written | answers are flushed | stall margin, process ends | kill
+//
+// A transaction that was not read by then was never accepted, and its client can see that.
 
 const (
-	// SIGKILL comes no sooner than this after the longest deadline, a longer one than longestCounted counting as that
-	// (PROTOCOL page, figures).
+	// SIGKILL comes no sooner than killAfterDeadline after the longest deadline. A deadline longer than
+	// maxCountedDeadline counts as maxCountedDeadline (PROTOCOL page, figures).
 	killAfterDeadline  = 700 * millisecond
 	maxCountedDeadline = 3 * second
 
-	// The process may be held up for 150 ms (STANDING page), and its end takes a while.
+	// The process may be stalled for 150 ms (STANDING page), and it needs some time to exit.
 	drainMargin = 200 * millisecond
 
-	// From the last answer to when its connection is closed whatever its client does.
+	// From the last answer until its connection is closed, even if the client has not read the answer.
 	answerFlushTime = 80 * millisecond
 
-	// StopReadingAfter is when connections are read no more, after the process was asked to stop.
+	// StopReadingAfter is the time from the request to stop until the process stops reading from its clients.
 	StopReadingAfter = killAfterDeadline - drainMargin - answerFlushTime
 )
 
-// DrainSchedule says when the last steps of a planned stop are due, after the process was asked to stop.
+// DrainSchedule is when the last steps of a planned stop are due, measured from the request to stop.
 type DrainSchedule struct {
-	AnswerBy Micros // each request has its final answer
-	CloseBy  Micros // all connections of clients are closed
+	AnswerBy Micros // each transaction has its final answer
+	CloseBy  Micros // all client connections are closed
 }
 
-// DrainScheduleFor gives the schedule for the longest deadline of any class.
-func DrainScheduleFor(longest Micros) DrainSchedule {
-	answerBy := StopReadingAfter + min(longest, maxCountedDeadline)
+// DrainScheduleFor returns the schedule for the longest deadline of any profile.
+func DrainScheduleFor(longestDeadline Micros) DrainSchedule {
+	answerBy := StopReadingAfter + min(longestDeadline, maxCountedDeadline)
 	return DrainSchedule{AnswerBy: answerBy, CloseBy: answerBy + answerFlushTime}
 }
 
-// FinalAnswer rules on a request that has no answer when it must have one: it is refused if nothing of it was ever sent to a
-// server, for then a retry is harmless, and has failed otherwise.
-func FinalAction(attempts int) ActionKind {
-	if attempts == 0 {
+// FinalAction returns the action for a transaction that must be answered now and has no answer. If no hand-off was ever
+// sent, the transaction is deferred, because a retry is harmless. Otherwise it is written off.
+func FinalAction(handOffs int) ActionKind {
+	if handOffs == 0 {
 		return Defer
 	}
 	return WriteOff
--- a/logic/lease.go
+++ b/logic/lease.go
@@ -1,100 +1,104 @@
 package logic
 
-// The lease on what discovery told: how long requests may go to a server on a list that nothing confirms any more, and when
-// to ask discovery again.
+// Leases of workers: how long the sentry may send hand-offs to a worker of a list that nothing confirms any more, and
+// when it requests the list again.
 //
-// Rule 3 forbids requests to a server that drains or is gone once the drain grace is over after this process was told. It
-// counts as told NoticeWithin after discovery had the change, whether or not the news arrived. So what is known of a server
-// may be used from the last moment at which the server is known to have been as listed, for
+// Rule 3 forbids hand-offs to a worker that is draining or gone once DrainGrace has passed since the change is held to
+// be known. A change is held to be known ListChangeDelay after discovery has it, whether or not it arrived. So a worker
+// may get hand-offs for
 //
-//	NoticeWithin + DrainGrace - leaseMargin
+//	ListChangeDelay + DrainGrace - leaseMargin
 //
-// Two things move that moment on. Discovery confirms all servers with each list and each sign of life. A server confirms
-// itself with each answer: one that drains goes on taking requests for a while, then it turns them away, so that one which
-// answers began to drain no earlier than that while before the request was sent. The answer has to come from the listed
-// process, and not from one that took over its address: its connection was opened while the process was known to be the
-// listed one, and nothing has broken since.
+// from the last time at which it is known to have been ready, as listed. Two things renew that time:
 //
-// It guards against every way of losing discovery alike (down, crowded, cut off, silent, moved, trickling). It can do harm
-// where discovery is away for long and a server has got no request for that time: it gets none until discovery is back.
+//   - Discovery confirms all workers with each list and each keep-alive.
+//   - A worker confirms itself with each answer. A draining worker accepts hand-offs for at most maxAcceptWhileDraining
+//     and then turns them away. So a worker that answers a hand-off was not yet draining maxAcceptWhileDraining before
+//     the hand-off was sent. The answer must come from the listed process and not from one that took over its address:
+//     its connection was opened while the process was known to be the listed one, and no connection to it has failed
+//     since.
+//
+// Leases cover every way of losing discovery: it is down, overloaded, unreachable, silent or moved, or sends very
+// slowly. They do harm when discovery is away for long: a worker that got no hand-off for the length of a lease gets
+// none until discovery is back.
 
 const (
 	millisecond = second / 1000
 
-	// A process may be held up for 150 ms between reading its clock and writing (STANDING page): once when it takes in
-	// what confirms a server, once when it sends.
+	// A process may be stalled for 150 ms between reading its clock and writing (STANDING page): once when it processes
+	// what confirms a worker, once when it sends.
 	leaseMargin = 300 * millisecond
 
-	// So long at the most a server takes new requests after it has begun to drain. No page says how long it is, nor the
-	// settings; servers were seen to do so for 1.4 s after discovery had told, which is some while after they began.
+	// How long a worker accepts hand-offs after it has begun to drain. Neither the specification nor the settings limit
+	// it. Workers did so for 1.4 s after discovery had reported the drain, which is some time after it began.
 	maxAcceptWhileDraining = 4 * second
 
-	// Waits between calls for the list, each doubled after the next failure. Discovery takes one call of every process in 2
-	// to 8 s, however many there are (BENCH page, all_call_s), and a call that waited too long has used it up all the same:
-	// processes that ask more often than it can answer keep each other from any answer. A call that was lost on its way
-	// tells nothing of that.
+	// Delays before another request for the list, doubled after each failure. Discovery takes 2 to 8 s to answer one
+	// request of every process, however many there are (BENCH page, all_call_s), and a request that timed out costs it
+	// as much: processes that send requests faster than it answers starve each other. That is why a busy discovery has
+	// a longer initial delay. A request that was lost on its way is no sign of a busy discovery.
 	initialRetryDelay     = second / 2
 	initialBusyRetryDelay = 4 * second
 	maxRetryDelay         = 8 * second
 )
 
-// lease is what is known of the list's age.
+// lease is what the sentry knows about the age of its list.
 type lease struct {
-	confirmedAt     Micros // discovery last said how all servers stand
-	undeliveredFrom Micros // what discovery tells from then on counts as told and has not arrived; 0 if all has
-	watchLostAt     Micros // since when there is no watch though lists are pushed; 0 if one stands
-	retryDelay      Micros // before the next call for the list, 0 after one that was answered
-	expired         bool   // no ready server's lease lasts
+	confirmedAt     Micros // discovery last confirmed the state of all workers
+	undeliveredFrom Micros // later changes are held to be known but have not arrived; 0 if there are none
+	watchLostAt     Micros // since when a pushed list has no watch, 0 while there is one
+	retryDelay      Micros // before the next request for the list, 0 after one that was answered
+	expired         bool   // no ready worker has a lease
 }
 
-// serverLease is what a server's own answers add for it.
+// workerLease is what a worker's own answers add to its lease.
 type workerLease struct {
-	sentAt             Micros // the listed process last took on a request that it has answered
-	connectionFailedAt Micros // a connection to it last failed, 0 if none has since it was confirmed
+	sentAt             Micros // when the latest hand-off that the listed process has answered was sent
+	connectionFailedAt Micros // when a connection to it last failed, 0 if none has since it was confirmed
 }
 
-// sameUntil is the last moment at which the process behind a server is known to have been the listed one.
+// sameUntil is the last time at which the process of a worker is known to have been the listed one.
 func (s *Sentry) sameUntil(w int) Micros { return max(s.lease.confirmedAt, s.workerLeases[w].sentAt) }
 
-// unchangedUntil is the last moment at which a server is known not to have begun to drain.
+// notDrainingUntil is the last time at which a worker is known not to have been draining.
 func (s *Sentry) notDrainingUntil(w int) Micros {
 	return max(s.lease.confirmedAt, s.workerLeases[w].sentAt-maxAcceptWhileDraining)
 }
 
-// sendBy is the last moment at which a request may be written to a server, 0 if there is no such limit.
+// sendBy is the last time at which a hand-off may be written to a worker, 0 if there is no such limit.
 func (s *Sentry) sendBy(w int) Micros {
 	o := &s.config
 	if o.ListChangeDelay == 0 {
 		return 0
 	}
-	unchanged := s.notDrainingUntil(w)
-	told := unchanged + o.ListChangeDelay
-	if lost := s.lease.watchLostAt; lost > 0 { // what discovery has counts as told at once
-		told = max(unchanged, lost)
+	notDrainingUntil := s.notDrainingUntil(w)
+	drainKnownAt := notDrainingUntil + o.ListChangeDelay
+	if watchLostAt := s.lease.watchLostAt; watchLostAt > 0 { // then each change is held to be known at once
+		drainKnownAt = max(notDrainingUntil, watchLostAt)
 	}
-	if unsure := s.lease.undeliveredFrom; unsure > unchanged {
-		told = min(told, unsure)
+	if undeliveredFrom := s.lease.undeliveredFrom; undeliveredFrom > notDrainingUntil {
+		drainKnownAt = min(drainKnownAt, undeliveredFrom)
 	}
-	return max(1, told+o.DrainGrace-leaseMargin)
+	return max(1, drainKnownAt+o.DrainGrace-leaseMargin)
 }
 
-// leased says whether a server may be sent a request now.
+// hasLease reports whether a hand-off may be sent to a worker now.
 func (s *Sentry) hasLease(w int) bool {
-	by := s.sendBy(w)
-	return by == 0 || s.now <= by
+	sendBy := s.sendBy(w)
+	return sendBy == 0 || s.now <= sendBy
 }
 
-// confirmList renews the lease of all servers: discovery has said how they stand.
+// confirmList renews the leases of all workers, after discovery has confirmed their state.
 func (s *Sentry) confirmList() {
 	s.lease = lease{confirmedAt: s.now, expired: s.lease.expired}
 	s.nextListRequestAt = s.now + s.config.MaxListAge/2
 }
 
-// rememberList begins with a list from before the start. Nobody knows how old it is, so it may be used as if a change of it
-// had been told at the start.
+// useCachedList starts the leases of a list from before the sentry's start. Its age is unknown, so a change of it is
+// held to be known at the start.
 func (s *Sentry) useCachedList() { s.lease.confirmedAt = s.now - s.config.ListChangeDelay }
 
-// renewLease takes what the end of a request says of the process behind its server.
+// renewLease updates the lease of a worker by the end of a hand-off to it.
 func (s *Sentry) renewLease(h *handOff) {
 	l := &s.workerLeases[h.worker]
 	switch h.end.Ending {
@@ -112,33 +116,35 @@
 	}
 }
 
-// AskFailed notes that the list could not be had, or that a watch has ended; busy says that discovery turned the call away.
+// ListRequestFailed records that a request for the list failed or that a watch ended, and schedules the next request.
+// busy means that discovery refused the request.
 func (s *Sentry) ListRequestFailed(now Micros, busy bool) Result {
 	return s.handleEvent(now, func() {
 		l := &s.lease
 		if !s.config.ListOnRequest && l.watchLostAt == 0 {
 			l.watchLostAt = s.now
 		}
-		least := initialRetryDelay
+		minDelay := initialRetryDelay
 		if busy {
-			least = initialBusyRetryDelay
+			minDelay = initialBusyRetryDelay
 		}
-		l.retryDelay = min(max(least, 2*l.retryDelay), maxRetryDelay)
+		l.retryDelay = min(max(minDelay, 2*l.retryDelay), maxRetryDelay)
 		s.nextListRequestAt = s.now + l.retryDelay/2 + Micros(s.random.Int63n(int64(l.retryDelay)+1))
 	})
 }
 
-// ListUnsure notes that what discovery tells from a time on counts as told though it may never arrive: an answer has begun
-// to come and is not whole, or discovery has moved. A list or a sign of life ends that.
-func (s *Sentry) ListMayBeStale(now, from Micros) Result {
+// ListMayBeStale records that changes which discovery has from staleSince on are held to be known though they may never
+// arrive: an answer has begun to arrive and is incomplete, or discovery has moved. The next list or keep-alive ends
+// that.
+func (s *Sentry) ListMayBeStale(now, staleSince Micros) Result {
 	return s.handleEvent(now, func() {
-		if l := &s.lease; l.undeliveredFrom == 0 || from < l.undeliveredFrom {
-			l.undeliveredFrom = from
+		if l := &s.lease; l.undeliveredFrom == 0 || staleSince < l.undeliveredFrom {
+			l.undeliveredFrom = staleSince
 		}
 	})
 }
 
-// noteLease says in the log when the lease of the last ready server is over, and when it lasts again.
+// logLease logs when the lease of the last ready worker has expired, and when a ready worker has one again.
 func (s *Sentry) logLease() {
 	if s.config.ListChangeDelay == 0 {
 		return
@@ -150,12 +156,12 @@
 			leased += int(oneIf(s.hasLease(w)))
 		}
 	}
-	if over := ready > 0 && leased == 0; over != s.lease.expired {
-		s.lease.expired = over
-		if over {
-			s.result.LogLines = append(s.result.LogLines, "lease over: no server may get requests until discovery tells of them")
+	if expired := ready > 0 && leased == 0; expired != s.lease.expired {
+		s.lease.expired = expired
+		if expired {
+			s.result.LogLines = append(s.result.LogLines, "leases expired: no worker may get hand-offs until discovery confirms the list")
 		} else {
-			s.result.LogLines = append(s.result.LogLines, "lease renewed: requests are sent again")
+			s.result.LogLines = append(s.result.LogLines, "lease renewed: hand-offs are sent again")
 		}
 	}
 }
