--- a/logic/cases_test.go
+++ b/logic/cases_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// stand is a sentry with some workers of build 10 and some of build 11, on trial, served one at a time.
+// trialHarness is a sentry with workers e0, e1, ... of build 10 and workers t0, t1, ... of build 11, which is on trial.
+// It serves one transaction at a time.
 type trialHarness struct {
 	sentry           *Sentry
 	now              Micros
@@ -15,8 +16,8 @@
 	lastResult       Result
 }
 
-func newTrialHarness(earlier, trial int) *trialHarness {
-	o := Config{
+func newTrialHarness(earlierWorkers, trialWorkers int) *trialHarness {
+	config := Config{
 		Sentries: 1, MaxHandOffs: 1, TimerGranularity: 5000, ColdCapacity: 0.4, WarmUp: 4 * second,
 		ColdLoadMultiple: 4, ColdLoadWindow: 2 * second,
 		StageCaps: []float64{0.5, 1}, StageShares: []float64{0.5, 1}, FreeExposure: 2, ExposureWindow: 4 * second,
@@ -25,73 +26,76 @@
 		Profiles: []Profile{{DueTime: second / 2, MaxDeadline: 2 * second, Value: 1},
 			{DueTime: second / 2, MaxDeadline: 2 * second, Value: 1, Repeatability: NonIdempotent}},
 	}
-	b := &trialHarness{sentry: New(o, 1), now: 1000 * second}
-	var list []Worker
-	for i := range earlier {
-		list = append(list, Worker{ID: WorkerID(fmt.Sprint("e", i)), Build: 10, Size: 1})
+	h := &trialHarness{sentry: New(config, 1), now: 1000 * second}
+	var workers []Worker
+	for i := range earlierWorkers {
+		workers = append(workers, Worker{ID: WorkerID(fmt.Sprint("e", i)), Build: 10, Size: 1})
 	}
-	b.sentry.ListReceived(b.now, FullList, list)
-	b.updateRelease(ReleaseStatus{Valid: true, Build: 10, Phase: Released, Cap: 1})
-	b.serveTransactions(400, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-	for i := range trial {
-		list = append(list, Worker{ID: WorkerID(fmt.Sprint("t", i)), Build: 11, Size: 1})
+	h.sentry.ListReceived(h.now, FullList, workers)
+	h.updateRelease(ReleaseStatus{Valid: true, Build: 10, Phase: Released, Cap: 1})
+	h.serveTransactions(400, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+	for i := range trialWorkers {
+		workers = append(workers, Worker{ID: WorkerID(fmt.Sprint("t", i)), Build: 11, Size: 1})
 	}
-	b.sentry.ListReceived(b.now, FullList, list)
-	b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Phase: OnTrial, Cap: 0.5})
-	return b
+	h.sentry.ListReceived(h.now, FullList, workers)
+	h.updateRelease(ReleaseStatus{Valid: true, Build: 11, Phase: OnTrial, Cap: 0.5})
+	return h
 }
 
-func (b *trialHarness) updateRelease(n ReleaseStatus) { b.record(b.sentry.ReleaseUpdated(b.now, n)) }
+func (h *trialHarness) updateRelease(s ReleaseStatus) { h.record(h.sentry.ReleaseUpdated(h.now, s)) }
 
-func (b *trialHarness) record(r Result) {
-	b.lastResult = r
-	for _, v := range r.Votes {
-		b.votedRollBack = b.votedRollBack || v.Verdict == RollBack
+func (h *trialHarness) record(result Result) {
+	h.lastResult = result
+	for _, vote := range result.Votes {
+		h.votedRollBack = h.votedRollBack || vote.Verdict == RollBack
 	}
 }
 
-// serve takes n transactions, 20 ms apart, each ended as the worker's answer says.
-func (b *trialHarness) serveTransactions(n int, answer func(w WorkerID, n int) (Ending, Micros)) {
+// serveTransactions has n transactions arrive, 20 ms apart. Each of their hand-offs ends at once, as outcome says for
+// its worker and the number of the transaction.
+func (h *trialHarness) serveTransactions(n int, outcome func(w WorkerID, n int) (Ending, Micros)) {
 	for range n {
-		b.transactionCount++
-		b.now += 20_000
-		id := TransactionID(fmt.Sprint(b.transactionCount))
-		b.record(b.sentry.TransactionArrived(b.now, Transaction{ID: id, Profile: ProfileID(b.transactionCount % 2), Account: NoAccount,
-			Key: Key(fmt.Sprintf("%x", b.transactionCount*7919)), Deadline: b.now + 2*second}))
-		for _, r := range b.lastResult.Actions {
-			if r.Kind != HandOff {
+		h.transactionCount++
+		h.now += 20_000
+		id := TransactionID(fmt.Sprint(h.transactionCount))
+		h.record(h.sentry.TransactionArrived(h.now, Transaction{ID: id, Profile: ProfileID(h.transactionCount % 2), Account: NoAccount,
+			Key: Key(fmt.Sprintf("%x", h.transactionCount*7919)), Deadline: h.now + 2*second}))
+		for _, action := range h.lastResult.Actions {
+			if action.Kind != HandOff {
 				continue
 			}
-			e, took := answer(r.Worker, b.transactionCount)
-			b.record(b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: r.Worker, Ending: e, Duration: took,
-				TransactionClosed: e == Answered, Load: NoLoad}))
+			ending, duration := outcome(action.Worker, h.transactionCount)
+			h.record(h.sentry.HandOffEnded(h.now, HandOffEnd{Transaction: id, Worker: action.Worker, Ending: ending, Duration: duration,
+				TransactionClosed: ending == Answered, Load: NoLoad}))
 		}
 	}
 }
 
 func isTrialWorker(w WorkerID) bool { return w[0] == 't' }
 
-// The wanted slots were reckoned with md5sum.
+// The expected slots were computed with md5sum.
 func TestSlotOf(t *testing.T) {
 	if got := hashSlot("91f03b7c55d20a64", 41, 42); got != 61 {
-		t.Errorf("slot %d, want 61", got)
+		t.Errorf("found slot %d, expected 61", got)
 	}
 	if got := hashSlot("a", 1, 2); got != 79 {
-		t.Errorf("slot %d, want 79", got)
+		t.Errorf("found slot %d, expected 79", got)
 	}
 }
 
+// A sentry must vote to roll back a build that errs or is slow, and not for trouble of single machines, for errors that
+// both builds have, or for programs that share machines with the workers.
 func TestVerdicts(t *testing.T) {
-	type answer func(w WorkerID, n int) (Ending, Micros)
-	every := func(n, k int) bool { return n%k == 0 }
+	type outcome func(w WorkerID, n int) (Ending, Micros)
+	isMultiple := func(n, k int) bool { return n%k == 0 }
 	cases := []struct {
-		name   string
-		answer answer
-		back   bool
+		name     string
+		outcome  outcome
+		rollBack bool
 	}{
 		{"a good build", func(w WorkerID, n int) (Ending, Micros) { return Answered, 50_000 }, false},
 		{"a build that fails one in ten", func(w WorkerID, n int) (Ending, Micros) {
-			if isTrialWorker(w) && every(n, 10) {
+			if isTrialWorker(w) && isMultiple(n, 10) {
 				return Errored, 5_000
 			}
 			return Answered, 50_000
@@ -102,28 +106,28 @@
 			}
 			return Answered, 50_000
 		}, true},
-		{"one worker of the trial that fails", func(w WorkerID, n int) (Ending, Micros) {
-			if w == "t2" && every(n, 2) {
+		{"one failing worker of the trial", func(w WorkerID, n int) (Ending, Micros) {
+			if w == "t2" && isMultiple(n, 2) {
 				return Errored, 5_000
 			}
 			return Answered, 50_000
 		}, false},
 		{"errors on both builds alike", func(w WorkerID, n int) (Ending, Micros) {
-			if every(n*7919, 50) {
+			if isMultiple(n*7919, 50) {
 				return Errored, 5_000
 			}
 			return Answered, 50_000
 		}, false},
-		{"a build that works four times as long", func(w WorkerID, n int) (Ending, Micros) {
+		{"a build that takes four times as long", func(w WorkerID, n int) (Ending, Micros) {
 			if isTrialWorker(w) {
 				return Answered, 200_000
 			}
 			return Answered, 50_000
 		}, true},
-		{"a build that slows every worker, more and more", func(w WorkerID, n int) (Ending, Micros) {
+		{"a build that increasingly slows every worker", func(w WorkerID, n int) (Ending, Micros) {
 			return Answered, 50_000 + Micros(n-400)*200
 		}, true},
-		{"neighbours on half of all workers", func(w WorkerID, n int) (Ending, Micros) {
+		{"other programs slow half of all workers", func(w WorkerID, n int) (Ending, Micros) {
 			if w[1]%2 == 0 {
 				return Answered, 250_000
 			}
@@ -132,273 +136,279 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newTrialHarness(8, 8)
-			b.serveTransactions(1200, c.answer)
-			if b.votedRollBack != c.back {
-				t.Errorf("voted back: %v, want %v", b.votedRollBack, c.back)
+			h := newTrialHarness(8, 8)
+			h.serveTransactions(1200, c.outcome)
+			if h.votedRollBack != c.rollBack {
+				t.Errorf("found a vote to roll back: %v, expected %v", h.votedRollBack, c.rollBack)
 			}
 		})
 	}
 }
 
-// A released build is not sent back for slowness that comes long after its release.
+// Slowness that comes long after the release has another cause than the build, so no sentry may vote to roll it back.
 func TestLateSlownessAfterRelease(t *testing.T) {
-	b := newTrialHarness(8, 8)
-	quick := func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 }
-	b.serveTransactions(300, quick)
-	b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: Released, Cap: 1})
-	b.serveTransactions(600, quick)
-	b.serveTransactions(600, func(WorkerID, int) (Ending, Micros) { return Answered, 300_000 })
-	if b.votedRollBack {
-		t.Error("a released build was voted back for late slowness")
+	h := newTrialHarness(8, 8)
+	answerFast := func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 }
+	h.serveTransactions(300, answerFast)
+	h.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: Released, Cap: 1})
+	h.serveTransactions(600, answerFast)
+	h.serveTransactions(600, func(WorkerID, int) (Ending, Micros) { return Answered, 300_000 })
+	if h.votedRollBack {
+		t.Error("found a vote to roll back a released build that became slow much later, expected none")
 	}
 }
 
-// Over the exposure counter a key that met the trial is deferred with a time to come back, never sent back.
+// With ForwardOnly, a key that the trial has answered must not go to the earlier build again. When the bound on
+// exposure is reached, its transactions are deferred with a time to retry after.
 func TestHotKeyAboveExposureBound(t *testing.T) {
-	b := newTrialHarness(8, 8)
+	h := newTrialHarness(8, 8)
 	key := Key("hot")
 	for n := 0; hashSlot(key, 10, 11) >= 40; n++ {
 		key = Key(fmt.Sprint("hot", n))
 	}
 	deferred := 0
 	for n := range 400 {
-		b.now += 5_000
+		h.now += 5_000
 		id := TransactionID(fmt.Sprint("h", n))
-		r := b.sentry.TransactionArrived(b.now, Transaction{ID: id, Key: key, Account: NoAccount, Deadline: b.now + second})
-		for _, x := range r.Actions {
+		result := h.sentry.TransactionArrived(h.now, Transaction{ID: id, Key: key, Account: NoAccount, Deadline: h.now + second})
+		for _, action := range result.Actions {
 			switch {
-			case x.Kind == Defer && x.RetryAfter > 0:
+			case action.Kind == Defer && action.RetryAfter > 0:
 				deferred++
-			case n > 0 && !isTrialWorker(x.Worker):
-				t.Fatalf("transaction %d of a met key: %v", n, x)
+			case n > 0 && !isTrialWorker(action.Worker):
+				t.Fatalf("transaction %d of a key that the trial has answered: found %v, expected a hand-off to the trial or a deferral", n, action)
 			default:
-				b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: x.Worker, TransactionClosed: true, Duration: 50_000,
+				h.sentry.HandOffEnded(h.now, HandOffEnd{Transaction: id, Worker: action.Worker, TransactionClosed: true, Duration: 50_000,
 					Load: NoLoad})
 			}
 		}
 	}
 	if deferred < 100 {
-		t.Errorf("only %d of 400 deferred over a cap of a half", deferred)
+		t.Errorf("found %d of 400 transactions deferred with a cap of 0.5, expected at least 100", deferred)
 	}
 }
 
-// When nothing comes back, what is taken is bounded: the rest is deferred in good time, with a time to
-// come back.
+// When no hand-off ends, a sentry without a bound would hand off everything. It must bound its open hand-offs and defer
+// the other transactions before their due time, with a time to retry after.
 func TestOverload(t *testing.T) {
-	b := newTrialHarness(4, 0)
-	out, deferred := 0, 0
-	count := func(r Result) {
-		for _, x := range r.Actions {
-			if x.Kind == HandOff {
-				out++
-			} else if x.Kind == Defer && x.RetryAfter > 0 {
+	h := newTrialHarness(4, 0)
+	handedOff, deferred := 0, 0
+	count := func(result Result) {
+		for _, action := range result.Actions {
+			if action.Kind == HandOff {
+				handedOff++
+			} else if action.Kind == Defer && action.RetryAfter > 0 {
 				deferred++
 			}
 		}
 	}
 	for n := range 500 {
-		b.now += 2_000
-		count(b.sentry.TransactionArrived(b.now, Transaction{ID: TransactionID(fmt.Sprint("o", n)), Account: NoAccount,
-			Deadline: b.now + 2*second}))
-		count(b.sentry.Wake(b.now))
+		h.now += 2_000
+		count(h.sentry.TransactionArrived(h.now, Transaction{ID: TransactionID(fmt.Sprint("o", n)), Account: NoAccount,
+			Deadline: h.now + 2*second}))
+		count(h.sentry.Wake(h.now))
 	}
-	b.now += second / 2
-	count(b.sentry.Wake(b.now))
-	if out > 100 || deferred < 350 {
-		t.Errorf("%d handed off and %d deferred of 500 without an answer", out, deferred)
+	h.now += second / 2
+	count(h.sentry.Wake(h.now))
+	if handedOff > 100 || deferred < 350 {
+		t.Errorf("found %d handed off and %d deferred of 500 while no hand-off ends, expected at most 100 and at least 350", handedOff, deferred)
 	}
 }
 
-// Without a worker of the earlier build a transaction waits, is handed off when one starts, and else
-// deferred in time.
+// A transaction for the earlier build that finds none of its workers must not be lost: it is queued, handed off when
+// such a worker starts, and otherwise deferred before its due time.
 func TestNoWorkerOfTheEarlierBuild(t *testing.T) {
-	for _, comes := range []bool{true, false} {
-		b := newTrialHarness(4, 4)
-		b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Phase: RollingBack})
-		var list []Worker
-		b.sentry.ListReceived(b.now, FullList, list)
-		r := b.sentry.TransactionArrived(b.now, Transaction{ID: "x", Account: NoAccount, Deadline: b.now + 2*second})
-		if len(r.Actions) > 0 || r.WakeAt == 0 {
-			t.Fatalf("not held: %v", r)
+	for _, workerStarts := range []bool{true, false} {
+		h := newTrialHarness(4, 4)
+		h.updateRelease(ReleaseStatus{Valid: true, Build: 11, Phase: RollingBack})
+		var noWorkers []Worker
+		h.sentry.ListReceived(h.now, FullList, noWorkers)
+		result := h.sentry.TransactionArrived(h.now, Transaction{ID: "x", Account: NoAccount, Deadline: h.now + 2*second})
+		if len(result.Actions) > 0 || result.WakeAt == 0 {
+			t.Fatalf("found %v, expected no action and a wake-up: the transaction is queued", result)
 		}
-		b.now += second / 10
-		if comes {
-			r = b.sentry.ListReceived(b.now, FullList, []Worker{{ID: "n", Build: 10, Size: 1, Started: b.now}})
+		h.now += second / 10
+		if workerStarts {
+			result = h.sentry.ListReceived(h.now, FullList, []Worker{{ID: "n", Build: 10, Size: 1, Started: h.now}})
 		} else {
-			b.now += second / 2
-			r = b.sentry.Wake(b.now)
+			h.now += second / 2
+			result = h.sentry.Wake(h.now)
 		}
-		if len(r.Actions) != 1 || (r.Actions[0].Kind == HandOff) != comes || (r.Actions[0].Kind == Defer) == comes {
-			t.Errorf("worker comes %v: %v", comes, r.Actions)
+		if len(result.Actions) != 1 || (result.Actions[0].Kind == HandOff) != workerStarts || (result.Actions[0].Kind == Defer) == workerStarts {
+			t.Errorf("a worker of the earlier build starts: %v; found %v, expected a hand-off if one starts, else a deferral", workerStarts, result.Actions)
 		}
 	}
 }
 
-// A worker that was slow or full once is tried again when nothing was heard of it for a while.
+// A worker that was slow once must not stay unused: what is known of its load and latency expires.
 func TestOldWorkerReportsExpire(t *testing.T) {
-	b := newTrialHarness(2, 0)
-	b.serveTransactions(40, func(w WorkerID, _ int) (Ending, Micros) {
+	h := newTrialHarness(2, 0)
+	h.serveTransactions(40, func(w WorkerID, _ int) (Ending, Micros) {
 		if w == "e0" {
 			return Answered, 450_000
 		}
 		return Answered, 50_000
 	})
-	tries := map[WorkerID]int{}
-	b.serveTransactions(400, func(w WorkerID, _ int) (Ending, Micros) {
-		tries[w]++
+	handOffs := map[WorkerID]int{}
+	h.serveTransactions(400, func(w WorkerID, _ int) (Ending, Micros) {
+		handOffs[w]++
 		return Answered, 50_000
 	})
-	if tries["e0"] < 100 {
-		t.Errorf("a recovered worker got %d of 400", tries["e0"])
+	if handOffs["e0"] < 100 {
+		t.Errorf("found %d of 400 hand-offs to a worker that is no longer slow, expected at least 100", handOffs["e0"])
 	}
 }
 
-// Under the bound a fleet that a build slows shows in what is deferred unsent, not in the times of the rest.
+// When a build slows the whole fleet, the concurrency limit keeps the hand-offs that are made fast: the slowness shows
+// only in transactions that are deferred without a hand-off. So these must count as slow answers.
 func TestDeferralsCountAsSlowAnswers(t *testing.T) {
-	b := newTrialHarness(8, 8)
-	b.serveTransactions(40, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-	for w := range b.sentry.latencyRatio {
-		b.sentry.latencyRatio[w] = 3
+	h := newTrialHarness(8, 8)
+	h.serveTransactions(40, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+	for w := range h.sentry.latencyRatio {
+		h.sentry.latencyRatio[w] = 3
 	}
 	for n := range 300 {
-		b.now += 20_000
-		in := Transaction{ID: TransactionID(fmt.Sprint("d", n)), Account: NoAccount, Deadline: b.now + 2*second}
-		b.record(b.sentry.TransactionArrived(b.now, in))
-		b.record(b.sentry.Wake(b.now))
+		h.now += 20_000
+		transaction := Transaction{ID: TransactionID(fmt.Sprint("d", n)), Account: NoAccount, Deadline: h.now + 2*second}
+		h.record(h.sentry.TransactionArrived(h.now, transaction))
+		h.record(h.sentry.Wake(h.now))
 	}
-	if !b.votedRollBack {
-		t.Error("not voted back though nearly all is deferred and every worker is slow")
+	if !h.votedRollBack {
+		t.Error("found no vote to roll back, expected one: nearly all transactions are deferred and every worker is slow")
 	}
 }
 
-// A few workers of many that begin to fail fast, late in the trial, are not held against the build.
+// A few of many workers that begin to fail fast, late in the trial, are trouble of their machines and must not count
+// against the build.
 func TestFewFailingWorkersOfMany(t *testing.T) {
-	b := newTrialHarness(4, 16)
-	b.serveTransactions(800, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-	b.serveTransactions(400, func(w WorkerID, n int) (Ending, Micros) {
+	h := newTrialHarness(4, 16)
+	h.serveTransactions(800, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+	h.serveTransactions(400, func(w WorkerID, n int) (Ending, Micros) {
 		if (w == "t1" || w == "t2" || w == "t3") && n%4 > 0 {
 			return Errored, 5_000
 		}
 		return Answered, 50_000
 	})
-	if b.votedRollBack {
-		t.Error("voted back for three workers of sixteen")
+	if h.votedRollBack {
+		t.Error("found a vote to roll back, expected none: only three of sixteen workers fail")
 	}
 }
 
-// The last vote waits until the trial has carried its share with all workers warm for a while.
+// The release takes the earlier workers away. So at the last stage a sentry votes to advance only after the trial has
+// had its full share for some time with all workers warm.
 func TestLastVoteWaits(t *testing.T) {
-	for stage, wait := range []Micros{3 * second, 5 * second} {
-		b := newTrialHarness(4, 0)
-		began := b.now
-		var list []Worker
+	for stage, minWait := range []Micros{3 * second, 5 * second} {
+		h := newTrialHarness(4, 0)
+		start := h.now
+		var workers []Worker
 		for i := range 4 {
-			list = append(list, Worker{ID: WorkerID(fmt.Sprint("t", i)), Build: 11, Size: 1, Started: began})
+			workers = append(workers, Worker{ID: WorkerID(fmt.Sprint("t", i)), Build: 11, Size: 1, Started: start})
 		}
-		b.record(b.sentry.ListReceived(b.now, ListDelta, list))
-		b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: stage, Phase: OnTrial, Cap: 1})
-		voted := Micros(0)
+		h.record(h.sentry.ListReceived(h.now, ListDelta, workers))
+		h.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: stage, Phase: OnTrial, Cap: 1})
+		advancedAfter := Micros(0)
 		for range 400 {
-			b.serveTransactions(1, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-			if b.sentry.lastVote.Verdict == Advance && voted == 0 {
-				voted = b.now - began
+			h.serveTransactions(1, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+			if h.sentry.lastVote.Verdict == Advance && advancedAfter == 0 {
+				advancedAfter = h.now - start
 			}
 		}
-		if voted < wait || voted > wait+second {
-			t.Errorf("stage %d: voted on after %d, expected about %d", stage, voted, wait)
+		if advancedAfter < minWait || advancedAfter > minWait+second {
+			t.Errorf("stage %d: found a vote to advance after %d us, expected one within a second after %d us", stage, advancedAfter, minWait)
 		}
 	}
 }
 
-// What a sentry has seen since its start tells its own traffic: the room of a young one is not narrowed by the seconds
-// before it.
+// The concurrency limit follows the sentry's own traffic. A sentry that has just started must measure it over the time
+// since its start, else the empty seconds before it would lower the limit.
 func TestConcurrencyLimitAfterStart(t *testing.T) {
-	b := newTrialHarness(10, 0)
-	now := b.now
-	s := New(b.sentry.config, 2)
+	h := newTrialHarness(10, 0)
+	now := h.now
+	s := New(h.sentry.config, 2)
 	s.ListReceived(now, FullList, []Worker{{ID: "e0", Build: 10, Size: 1}, {ID: "e1", Build: 10, Size: 1}, {ID: "e2", Build: 10, Size: 1},
 		{ID: "e3", Build: 10, Size: 1}, {ID: "e4", Build: 10, Size: 1}, {ID: "e5", Build: 10, Size: 1}})
 	s.ReleaseUpdated(now, ReleaseStatus{Valid: true, Build: 10, Phase: Released, Cap: 1})
-	for n := range 100 { // 100 in a second, with a due time of half of one: 50 may be open
+	for n := range 100 { // 100 per second with a due time of 0.5 s: 50 may be open
 		now += 10_000
 		id := TransactionID(fmt.Sprint(n))
-		for _, r := range s.TransactionArrived(now, Transaction{ID: id, Key: "k", Account: NoAccount, Deadline: now + 2*second}).Actions {
-			s.HandOffEnded(now, HandOffEnd{Transaction: id, Worker: r.Worker, Duration: 50_000, TransactionClosed: true, Load: NoLoad})
+		for _, action := range s.TransactionArrived(now, Transaction{ID: id, Key: "k", Account: NoAccount, Deadline: now + 2*second}).Actions {
+			s.HandOffEnded(now, HandOffEnd{Transaction: id, Worker: action.Worker, Duration: 50_000, TransactionClosed: true, Load: NoLoad})
 		}
 	}
 	if s.concurrencyLimit < 11.9 {
-		t.Errorf("room for %.1f after a second, expected two for each of six workers", s.concurrencyLimit)
+		t.Errorf("found a concurrency limit of %.1f after one second, expected at least 11.9: two for each of six workers", s.concurrencyLimit)
 	}
 }
 
-// Where a hot key sends the trial more than its slots, lateness of its workers counts for less.
+// A hot key can send the trial more traffic than its slots stand for, and its workers get slow by that load alone. Then
+// their late answers must count less.
 func TestHotKeyOnTheTrial(t *testing.T) {
-	var sums [2]float64
-	for hot := range sums {
-		b := newTrialHarness(20, 2)
-		b.now += 10 * second // all warm
-		b.serveTransactions(200, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-		for range 20 * hot { // within a second, of 50
-			b.sentry.exposedTimes[0] = append(b.sentry.exposedTimes[0], b.now)
+	var lateExcess [2]float64
+	for hot := range lateExcess {
+		h := newTrialHarness(20, 2)
+		h.now += 10 * second // all warm
+		h.serveTransactions(200, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+		for range 20 * hot { // of 50 within a second
+			h.sentry.exposedTimes[0] = append(h.sentry.exposedTimes[0], h.now)
 		}
-		b.sentry.judgeOutcomes(0, lateMiss, true, 20, 20)
-		sums[hot] = b.sentry.allProfiles.trialExcess[lateMiss]
+		h.sentry.judgeOutcomes(0, lateMiss, true, 20, 20)
+		lateExcess[hot] = h.sentry.allProfiles.trialExcess[lateMiss]
 	}
-	if sums[0] < 2 || sums[1] > sums[0]/2 {
-		t.Errorf("sums of lateness %.2f, expected the second less than half of the first", sums)
+	if lateExcess[0] < 2 || lateExcess[1] > lateExcess[0]/2 {
+		t.Errorf("found excess of late answers %.2f without and with a hot key, expected the first at least 2, the second at most half of it", lateExcess)
 	}
 }
 
-// A released build goes back at half as much again in its sums as one on trial.
+// To roll back a released build costs more than to roll back one on trial, so its excess of misses must be 1.5 times as
+// large.
 func TestReleasedBuildNeedsMoreToRollBack(t *testing.T) {
 	for _, c := range []struct {
-		phase Phase
-		sum   float64
-		back  bool
+		phase    Phase
+		excess   float64
+		rollBack bool
 	}{{OnTrial, 0.9, false}, {OnTrial, 1.1, true}, {Released, 1.1, false}, {Released, 1.4, false}, {Released, 1.6, true}} {
-		b := newTrialHarness(4, 4)
-		b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: c.phase, Cap: 1})
-		limit := rollBackExcess + math.Log(1.1) // of a sentry alone
-		b.sentry.allProfiles.trialExcess[lateMiss] = c.sum * limit
-		if v := b.sentry.decideVerdict(); (v == RollBack) != c.back {
-			t.Errorf("phase %d, sum %.1f of the limit: verdict %d, expected back: %v", c.phase, c.sum, v, c.back)
+		h := newTrialHarness(4, 4)
+		h.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: c.phase, Cap: 1})
+		limit := rollBackExcess + math.Log(1.1) // of a tier of one sentry
+		h.sentry.allProfiles.trialExcess[lateMiss] = c.excess * limit
+		if verdict := h.sentry.decideVerdict(); (verdict == RollBack) != c.rollBack {
+			t.Errorf("phase %d, excess %.1f times the limit: found verdict %d, expected a vote to roll back: %v", c.phase, c.excess, verdict, c.rollBack)
 		}
 	}
 }
 
-// Once as much goes to the trial as its workers can carry, keys new to it go to the earlier build, though the cap would
-// let them through; those that it has answered stay.
+// More traffic than the trial's workers can carry makes them slow, which looks like a fault of the build. Once they
+// have that much, new keys go to the earlier build, even below the cap. Keys that the trial has answered stay there.
 func TestNewKeysLimitedByTrialCapacity(t *testing.T) {
-	b := newTrialHarness(20, 2)
-	b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: OnTrial, Cap: 1})
-	b.now += 10 * second // all warm
-	b.serveTransactions(100, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-	fresh, met := Key(""), Key("")
-	for n := 0; fresh == "" || met == ""; n++ {
-		if k := Key(fmt.Sprint("key", n)); hashSlot(k, 10, 11) < b.sentry.trialSlots {
-			fresh, met = met, k
+	h := newTrialHarness(20, 2)
+	h.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: OnTrial, Cap: 1})
+	h.now += 10 * second // all warm
+	h.serveTransactions(100, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
+	newKey, trialKey := Key(""), Key("")
+	for n := 0; newKey == "" || trialKey == ""; n++ {
+		if k := Key(fmt.Sprint("key", n)); hashSlot(k, 10, 11) < h.sentry.trialSlots {
+			newKey, trialKey = trialKey, k
 		}
 	}
-	b.sentry.trialKeys[met] = 11
+	h.sentry.trialKeys[trialKey] = 11
 	for _, full := range []bool{false, true} {
-		if full { // as by a hot key: twice its part of a hundred
-			for range 2 * b.sentry.trialSlots {
-				b.sentry.exposedTimes[0] = append(b.sentry.exposedTimes[0], b.now)
+		if full { // as by a hot key: twice the trial's slots of 100
+			for range 2 * h.sentry.trialSlots {
+				h.sentry.exposedTimes[0] = append(h.sentry.exposedTimes[0], h.now)
 			}
 		}
-		for _, k := range []Key{fresh, met} {
-			b.now += 1000
+		for _, k := range []Key{newKey, trialKey} {
+			h.now += 1000
 			id := TransactionID(fmt.Sprint(k, full))
-			b.record(b.sentry.TransactionArrived(b.now, Transaction{ID: id, Key: k, Account: NoAccount, Deadline: b.now + 2*second}))
-			if len(b.lastResult.Actions) != 1 || b.lastResult.Actions[0].Kind != HandOff {
-				t.Fatalf("ruled %+v", b.lastResult.Actions)
+			h.record(h.sentry.TransactionArrived(h.now, Transaction{ID: id, Key: k, Account: NoAccount, Deadline: h.now + 2*second}))
+			if len(h.lastResult.Actions) != 1 || h.lastResult.Actions[0].Kind != HandOff {
+				t.Fatalf("found actions %+v, expected one hand-off", h.lastResult.Actions)
 			}
-			w := b.lastResult.Actions[0].Worker
-			if want := !full || k == met; isTrialWorker(w) != want {
-				t.Errorf("full %v, met %v: to %s, expected the trial: %v", full, k == met, w, want)
+			w := h.lastResult.Actions[0].Worker
+			if wantTrial := !full || k == trialKey; isTrialWorker(w) != wantTrial {
+				t.Errorf("trial full: %v, key answered by the trial: %v; found a hand-off to %s, expected the trial: %v", full, k == trialKey, w, wantTrial)
 			}
-			b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: w, Ending: Errored, Duration: 1000, Load: NoLoad})
+			h.sentry.HandOffEnded(h.now, HandOffEnd{Transaction: id, Worker: w, Ending: Errored, Duration: 1000, Load: NoLoad})
 		}
 	}
 }
--- a/logic/drain_test.go
+++ b/logic/drain_test.go
@@ -2,21 +2,22 @@
 
 import "testing"
 
-// Whatever the deadlines, what is read until reading stops can be answered within the longest of them, and 0.15 s of being
-// held up still leave the process time to end before the earliest kill.
+// A process that stops reading too late is killed before it has answered all that it read. For any longest deadline,
+// what is read until reading stops can be answered within that deadline, and after a stall of 150 ms the process still
+// ends before the earliest kill.
 func TestDrainSchedule(t *testing.T) {
-	const heldUp = 150 * millisecond
-	for _, longest := range []Micros{1, 50 * millisecond, 900 * millisecond, 3 * second, 6 * second, 60 * second} {
-		kill := min(longest, 3*second) + 700*millisecond
-		s := DrainScheduleFor(longest)
+	const stall = 150 * millisecond
+	for _, longestDeadline := range []Micros{1, 50 * millisecond, 900 * millisecond, 3 * second, 6 * second, 60 * second} {
+		kill := min(longestDeadline, 3*second) + 700*millisecond
+		schedule := DrainScheduleFor(longestDeadline)
 		if StopReadingAfter <= 400*millisecond {
-			t.Errorf("reading stops after %d us, expected later than new connections come", StopReadingAfter)
+			t.Errorf("reading stops after %d us, expected more than 400000 us, by which time no new connections arrive", StopReadingAfter)
 		}
-		if s.AnswerBy < StopReadingAfter+min(longest, 3*second) || s.CloseBy <= s.AnswerBy || s.CloseBy+heldUp >= kill {
-			t.Errorf("deadline %d: %+v, kill at %d", longest, s, kill)
+		if schedule.AnswerBy < StopReadingAfter+min(longestDeadline, 3*second) || schedule.CloseBy <= schedule.AnswerBy || schedule.CloseBy+stall >= kill {
+			t.Errorf("longest deadline %d us: found %+v, expected AnswerBy to leave that deadline, and CloseBy after it and 150 ms before the kill at %d us", longestDeadline, schedule, kill)
 		}
 	}
 	if FinalAction(0) != Defer || FinalAction(1) != WriteOff {
-		t.Error("a request of which nothing was sent is refused, any other has failed")
+		t.Error("found another action, expected to defer a transaction without a hand-off and to write off any other")
 	}
 }
--- a/logic/exposure_test.go
+++ b/logic/exposure_test.go
@@ -5,78 +5,80 @@
 	"testing"
 )
 
-// trialKeys makes keys whose slot is under the cap, so that the counter alone keeps them off the trial.
-func trialKeyGenerator(under int) func() Key {
+// trialKeyGenerator returns a function that makes keys with a hash slot below slots. With slots at the cap, only the
+// bound on exposure keeps them from the trial.
+func trialKeyGenerator(slots int) func() Key {
 	n := 0
 	return func() Key {
 		for {
 			n++
-			if k := Key(fmt.Sprintf("%06x", n)); hashSlot(k, 10, 11) < under {
+			if k := Key(fmt.Sprintf("%06x", n)); hashSlot(k, 10, 11) < slots {
 				return k
 			}
 		}
 	}
 }
 
-// The counter lets through free + cap x taken, neither one more nor one less, and counts anew after its window.
+// Within a window, exactly FreeExposure + cap x (transactions taken) hand-offs may go to the trial, and the count
+// starts anew after the window.
 func TestExposureBoundExactly(t *testing.T) {
 	for _, c := range []struct {
 		free, cap float64
 		window    Micros
 	}{{2, 0.5, 4 * second}, {0, 0.5, 4 * second}, {5, 0.1, 2 * second}, {1, 0.3, second}} {
-		b := newTrialHarness(8, 8)
-		b.sentry.config.FreeExposure, b.sentry.config.ExposureWindow = c.free, c.window
-		b.updateRelease(ReleaseStatus{Valid: true, Build: 11, Phase: OnTrial, Cap: c.cap})
-		next, tick := trialKeyGenerator(percent(c.cap)), b.sentry.config.TimerGranularity
+		h := newTrialHarness(8, 8)
+		h.sentry.config.FreeExposure, h.sentry.config.ExposureWindow = c.free, c.window
+		h.updateRelease(ReleaseStatus{Valid: true, Build: 11, Phase: OnTrial, Cap: c.cap})
+		nextKey, tick := trialKeyGenerator(percent(c.cap)), h.sentry.config.TimerGranularity
 		for round := range 3 {
-			b.now += c.window + 10*tick // nothing of the last round is in the window
+			h.now += c.window + 10*tick // past the window of the last round
 			sent := 0
 			for taken := 1; taken <= 60; taken++ {
-				b.transactionCount++
-				id := TransactionID(fmt.Sprint("x", b.transactionCount))
-				b.record(b.sentry.TransactionArrived(b.now, Transaction{ID: id, Key: next(), Account: NoAccount, Deadline: b.now + second}))
-				if len(b.lastResult.Actions) != 1 || b.lastResult.Actions[0].Kind != HandOff {
-					t.Fatalf("free %g cap %g round %d, transaction %d: %v", c.free, c.cap, round, taken, b.lastResult.Actions)
+				h.transactionCount++
+				id := TransactionID(fmt.Sprint("x", h.transactionCount))
+				h.record(h.sentry.TransactionArrived(h.now, Transaction{ID: id, Key: nextKey(), Account: NoAccount, Deadline: h.now + second}))
+				if len(h.lastResult.Actions) != 1 || h.lastResult.Actions[0].Kind != HandOff {
+					t.Fatalf("free %g cap %g round %d, transaction %d: found actions %v, expected one hand-off", c.free, c.cap, round, taken, h.lastResult.Actions)
 				}
-				w := b.lastResult.Actions[0].Worker
-				may := float64(sent+1) <= c.free+c.cap*float64(taken)
-				if isTrialWorker(w) != may {
-					t.Fatalf("free %g cap %g round %d: of %d taken %d were sent to the trial; one more: %v, expected %v",
-						c.free, c.cap, round, taken, sent, isTrialWorker(w), may)
+				w := h.lastResult.Actions[0].Worker
+				wantTrial := float64(sent+1) <= c.free+c.cap*float64(taken)
+				if isTrialWorker(w) != wantTrial {
+					t.Fatalf("free %g cap %g round %d: of %d transactions taken %d went to the trial; found one more: %v, expected %v",
+						c.free, c.cap, round, taken, sent, isTrialWorker(w), wantTrial)
 				}
 				if isTrialWorker(w) {
 					sent++
 				}
-				b.record(b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: w, TransactionClosed: true, Duration: 1, Load: NoLoad}))
+				h.record(h.sentry.HandOffEnded(h.now, HandOffEnd{Transaction: id, Worker: w, TransactionClosed: true, Duration: 1, Load: NoLoad}))
 			}
 		}
 	}
 }
 
-// What was sent to the trial counts until its whole window has passed, whatever was taken meanwhile.
+// A hand-off to the trial must count until its whole window has passed, whatever was taken meanwhile.
 func TestExposureWindowEdge(t *testing.T) {
-	b := newTrialHarness(8, 8)
-	o := &b.sentry.config
-	next := trialKeyGenerator(1)
-	send := func() bool {
-		b.transactionCount++
-		id := TransactionID(fmt.Sprint("e", b.transactionCount))
-		b.record(b.sentry.TransactionArrived(b.now, Transaction{ID: id, Key: next(), Account: NoAccount, Deadline: b.now + second}))
-		w := b.lastResult.Actions[0].Worker
-		b.record(b.sentry.HandOffEnded(b.now, HandOffEnd{Transaction: id, Worker: w, TransactionClosed: true, Duration: 1, Load: NoLoad}))
+	h := newTrialHarness(8, 8)
+	config := &h.sentry.config
+	nextKey := trialKeyGenerator(1)
+	sentToTrial := func() bool {
+		h.transactionCount++
+		id := TransactionID(fmt.Sprint("e", h.transactionCount))
+		h.record(h.sentry.TransactionArrived(h.now, Transaction{ID: id, Key: nextKey(), Account: NoAccount, Deadline: h.now + second}))
+		w := h.lastResult.Actions[0].Worker
+		h.record(h.sentry.HandOffEnded(h.now, HandOffEnd{Transaction: id, Worker: w, TransactionClosed: true, Duration: 1, Load: NoLoad}))
 		return isTrialWorker(w)
 	}
-	o.FreeExposure, b.sentry.releaseStatus.Cap = 2, 0.01
-	b.now += 2 * o.ExposureWindow
-	if !send() || !send() || send() {
-		t.Fatal("expected two to the trial, and no third")
+	config.FreeExposure, h.sentry.releaseStatus.Cap = 2, 0.01
+	h.now += 2 * config.ExposureWindow
+	if !sentToTrial() || !sentToTrial() || sentToTrial() {
+		t.Fatal("found another number of hand-offs to the trial, expected two and no third")
 	}
-	b.now += o.ExposureWindow
-	if send() {
-		t.Error("one more within the window, edge included")
+	h.now += config.ExposureWindow
+	if sentToTrial() {
+		t.Error("found a third hand-off to the trial within the window, edge included, expected none")
 	}
-	b.now += 4 * o.TimerGranularity
-	if !send() {
-		t.Error("none after the window has passed")
+	h.now += 4 * config.TimerGranularity
+	if !sentToTrial() {
+		t.Error("found no hand-off to the trial after the window has passed, expected one")
 	}
 }
