--- a/logic/cases_test.go
+++ b/logic/cases_test.go
@@ -44,6 +44,7 @@
 
 func (h *trialHarness) updateRelease(s ReleaseStatus) { h.record(h.sentry.ReleaseUpdated(h.now, s)) }
 
+// record keeps a result, and whether a vote to roll back was among all results.
 func (h *trialHarness) record(result Result) {
 	h.lastResult = result
 	for _, vote := range result.Votes {
--- a/logic/crowd_test.go
+++ b/logic/crowd_test.go
@@ -41,24 +41,25 @@
 		tier.workers = append(tier.workers, Worker{ID: WorkerID(fmt.Sprint(prefix, i)), Build: build, Size: 1, Started: started})
 	}
 	for i, s := range tier.sentries {
-		tier.record(i, s.ListReceived(tier.now, FullList, tier.workers))
+		tier.carryOut(i, s.ListReceived(tier.now, FullList, tier.workers))
 	}
 }
 
 func (tier *sentryTier) updateRelease(status ReleaseStatus) {
 	for i, s := range tier.sentries {
-		tier.record(i, s.ReleaseUpdated(tier.now, status))
+		tier.carryOut(i, s.ReleaseUpdated(tier.now, status))
 	}
 }
 
-func (tier *sentryTier) record(from int, result Result) {
+// carryOut records the votes of a result of one sentry, delivers its messages and ends its hand-offs.
+func (tier *sentryTier) carryOut(from int, result Result) {
 	for _, vote := range result.Votes {
 		tier.voters[vote.Verdict][from] = true
 	}
 	for _, message := range result.Messages {
 		for to, s := range tier.sentries {
 			if !tier.messagesLost && to != from && (message.To == EverySentry || message.To == SentryID(to)) {
-				tier.record(to, s.PeerMessageReceived(tier.now, SentryID(from), message.Body))
+				tier.carryOut(to, s.PeerMessageReceived(tier.now, SentryID(from), message.Body))
 			}
 		}
 	}
@@ -71,7 +72,7 @@
 			}
 			end := HandOffEnd{Transaction: action.Transaction, HandOffNumber: len(tier.sentries[from].openTransactions[action.Transaction].handOffs) - 1,
 				Worker: action.Worker, Ending: ending, Duration: duration, TransactionClosed: ending == Answered, Load: NoLoad}
-			tier.record(from, tier.sentries[from].HandOffEnded(tier.now, end))
+			tier.carryOut(from, tier.sentries[from].HandOffEnded(tier.now, end))
 		}
 	}
 }
@@ -84,10 +85,10 @@
 				tier.transactionCount++
 				transaction := Transaction{ID: TransactionID(fmt.Sprint(tier.transactionCount)), Account: NoAccount, Deadline: tier.now + 2*second,
 					Key: Key(fmt.Sprint(tier.transactionCount))}
-				tier.record(i, s.TransactionArrived(tier.now, transaction))
+				tier.carryOut(i, s.TransactionArrived(tier.now, transaction))
 			}
 			if tier.now%250_000 == 0 {
-				tier.record(i, s.Wake(tier.now))
+				tier.carryOut(i, s.Wake(tier.now))
 			}
 		}
 	}
@@ -119,11 +120,11 @@
 				return Answered
 			}
 			tier.run(8*second, 3)
-			if rolledBack := len(tier.voters[RollBack]) > 0; rolledBack != c.rollBack || len(tier.voters[RollBack]) > collectorCount {
+			if votedRollBack := len(tier.voters[RollBack]) > 0; votedRollBack != c.rollBack || len(tier.voters[RollBack]) > collectorCount {
 				t.Errorf("found %d sentries voting to roll back, expected some: %v, and no more than collect", len(tier.voters[RollBack]), c.rollBack)
 			}
-			if advanced := len(tier.voters[Advance]); !c.rollBack && (advanced == 0 || advanced > collectorCount) {
-				t.Errorf("found %d sentries voting to advance, expected 1 to %d, the collectors", advanced, collectorCount)
+			if advanceVoters := len(tier.voters[Advance]); !c.rollBack && (advanceVoters == 0 || advanceVoters > collectorCount) {
+				t.Errorf("found %d sentries voting to advance, expected 1 to %d, the collectors", advanceVoters, collectorCount)
 			}
 		})
 	}
@@ -140,8 +141,8 @@
 	tier.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Cap: 0.5})
 	tier.handOffTime *= 8
 	tier.run(4*second, 3)
-	if rolledBack := len(tier.voters[RollBack]); rolledBack == 0 || rolledBack > collectorCount {
-		t.Errorf("found %d sentries voting to roll back, expected some, all of them collectors", rolledBack)
+	if rollBackVoters := len(tier.voters[RollBack]); rollBackVoters == 0 || rollBackVoters > collectorCount {
+		t.Errorf("found %d sentries voting to roll back, expected some, all of them collectors", rollBackVoters)
 	}
 }
 
@@ -153,12 +154,12 @@
 	tier.addWorkers(10, "t", 11, tier.now-10*second)
 	tier.updateRelease(ReleaseStatus{Valid: true, Build: 11, Cap: 0.5})
 	tier.run(2*observationTime, 1)
-	if advanced := len(tier.voters[Advance]); advanced > collectorCount {
-		t.Errorf("found %d sentries voting to advance without evidence, expected at most the collectors", advanced)
+	if advanceVoters := len(tier.voters[Advance]); advanceVoters > collectorCount {
+		t.Errorf("found %d sentries voting to advance without evidence, expected at most the collectors", advanceVoters)
 	}
 	tier.run(2*observationTime, 1)
-	if advanced := len(tier.voters[Advance]); advanced < 30 {
-		t.Errorf("found %d sentries voting to advance after the longer wait, expected at least 30", advanced)
+	if advanceVoters := len(tier.voters[Advance]); advanceVoters < 30 {
+		t.Errorf("found %d sentries voting to advance after the longer wait, expected at least 30", advanceVoters)
 	}
 }
 
--- a/logic/move_test.go
+++ b/logic/move_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// countStand is a stand of many sentries without messages, of which the platform's counts tell.
+// newCountsHarness returns a sentry of a large tier that may not exchange messages and receives the platform's counts.
 func newCountsHarness() *trialHarness {
 	h := newTrialHarness(8, 0)
 	config := h.sentry.config
@@ -16,31 +16,33 @@
 	return h
 }
 
+// startTrial adds two workers of build 11 and puts it on trial.
 func (h *trialHarness) startTrial() {
 	h.sentry.ListReceived(h.now, ListDelta, []Worker{{ID: "t0", Build: 11, Size: 1}, {ID: "t1", Build: 11, Size: 1}})
 	h.updateRelease(ReleaseStatus{Valid: true, Build: 11, Phase: OnTrial, Cap: 0.5})
 }
 
-// counts tells one period, of each profile alike, and lets the sentry judge it.
+// receiveCounts delivers the same counts of one period for each profile.
 func (h *trialHarness) receiveCounts(build BuildID, handOffs, failed int, meanDuration Micros) {
 	for p := range h.sentry.profiles {
 		h.record(h.sentry.CountsReceived(h.now, BuildCounts{Build: build, Profile: ProfileID(p), HandOffs: handOffs, Failed: failed, MeanDuration: meanDuration, Age: second}))
 	}
 }
 
-// Where sentries may not speak, counts judge: bad builds go back on them alone, and what machines do to both builds,
-// chance does to a few answers, or comes long after the release sends none back.
+// Where sentries may not exchange messages, the platform's counts alone must lead to a vote to roll back a bad build.
+// They must not do so for trouble that both builds have, for a few failures by chance, or for what comes long after the
+// release.
 func TestVerdictFromBuildCounts(t *testing.T) {
 	for _, c := range []struct {
-		name                    string
-		earlier, trial, release int // failures in a period, and the period of the release
-		mean                    Micros
-		grows, back             bool
+		name                                 string
+		earlierFailed, trialFailed, released int // failures per period; released below 0: the release precedes the periods
+		meanDuration                         Micros
+		slows, rollBack                      bool
 	}{
 		{"a good build", 1, 0, 9, 60_000, false, false}, {"a third fails", 1, 4, 9, 60_000, false, true},
-		{"a third fails of both", 26, 4, 9, 60_000, false, false}, {"one failure a period", 1, 1, 9, 60_000, false, false},
-		{"thrice as long", 1, 0, 9, 180_000, false, true}, {"a third longer", 1, 0, 9, 80_000, false, false},
-		{"all get slower", 1, 0, 9, 60_000, true, true}, {"a third fails, beside no earlier one for long", 1, 4, -5, 60_000, false, false},
+		{"a third fails of both builds", 26, 4, 9, 60_000, false, false}, {"one failure per period", 1, 1, 9, 60_000, false, false},
+		{"three times as long", 1, 0, 9, 180_000, false, true}, {"a third longer", 1, 0, 9, 80_000, false, false},
+		{"all workers get slower", 1, 0, 9, 60_000, true, true}, {"a third fails, without counts of the earlier build for long", 1, 4, -5, 60_000, false, false},
 	} {
 		h := newCountsHarness()
 		for i := range 4 {
@@ -50,29 +52,30 @@
 			h.record(h.sentry.Wake(h.now))
 		}
 		h.startTrial()
-		if c.release < 0 {
+		if c.released < 0 {
 			h.receiveCounts(11, 12, 0, 60_000)
 			h.updateRelease(ReleaseStatus{Valid: true, Build: 11, Phase: Released, Cap: 1})
 			h.now += 10 * second
 		}
 		for i := range Micros(6) {
-			factor := 1 + i*Micros(oneIf(c.grows))
+			factor := 1 + i*Micros(oneIf(c.slows))
 			h.now += 2 * second
-			if c.release > 0 {
-				h.receiveCounts(10, 80, c.earlier, 60_000*factor)
+			if c.released > 0 {
+				h.receiveCounts(10, 80, c.earlierFailed, 60_000*factor)
 			}
-			h.receiveCounts(11, 12, c.trial, c.mean*factor)
+			h.receiveCounts(11, 12, c.trialFailed, c.meanDuration*factor)
 			h.now += second / 2
 			h.record(h.sentry.Wake(h.now))
 		}
-		if h.votedRollBack != c.back {
-			t.Errorf("%s: voted back %v (sums %.1f)", c.name, h.votedRollBack, h.sentry.excessSums())
+		if h.votedRollBack != c.rollBack {
+			t.Errorf("%s: found a vote to roll back: %v (excess sums %.1f), expected the opposite", c.name, h.votedRollBack, h.sentry.excessSums())
 		}
 	}
 }
 
-// An outcome counts once: own ones change no sum while counts come, and judge again when these stay away. One report of
-// a wrong answer votes back for some answers, one on the earlier build takes it away, and before a trial none counts.
+// Own outcomes are part of the platform's counts and must not count twice: they change no sum while counts arrive, and
+// are judged again when the counts stop. One complaint about the trial leads to a vote to roll back until enough right
+// answers follow; one about the earlier build cancels it; one before the trial does not count.
 func TestOwnOutcomesAndComplaints(t *testing.T) {
 	h := newCountsHarness()
 	h.record(h.sentry.ComplaintReceived(h.now, Complaint{Worker: "e1"}))
@@ -84,28 +87,29 @@
 		h.serveTransactions(20, trialErrors)
 	}
 	if sum := slices.Max(h.sentry.excessSums()); sum > 0 || h.votedRollBack || h.sentry.wrongAnswerSum > 0 {
-		t.Errorf("sum %.1f of own outcomes beside counts of no failure, %.1f of a report before the trial", sum, h.sentry.wrongAnswerSum)
+		t.Errorf("found an excess of %.1f with counts of no failure and %.1f by a complaint before the trial, expected 0 and no vote to roll back", sum, h.sentry.wrongAnswerSum)
 	}
 	for _, w := range []WorkerID{"t1", "e1", "t1"} {
 		h.record(h.sentry.ComplaintReceived(h.now, Complaint{Worker: w}))
 		h.votedRollBack, h.now = false, h.now+second
 		if h.record(h.sentry.Wake(h.now)); h.sentry.rollBackDecided || (h.sentry.wrongAnswerSum > rollBackExcess) != isTrialWorker(w) || isTrialWorker(w) && !h.votedRollBack {
-			t.Errorf("a report on %s: sum %.1f, voted back %v, for good %v", w, h.sentry.wrongAnswerSum, h.votedRollBack, h.sentry.rollBackDecided)
+			t.Errorf("complaint about %s: found an excess of %.1f, a vote to roll back: %v, a permanent one: %v; expected one for a worker of the trial only, and no permanent one", w, h.sentry.wrongAnswerSum, h.votedRollBack, h.sentry.rollBackDecided)
 		}
 	}
 	h.serveTransactions(400, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
 	if h.sentry.wrongAnswerSum > rollBackExcess {
-		t.Errorf("sum %.1f after two hundred right answers of the trial", h.sentry.wrongAnswerSum)
+		t.Errorf("found an excess of %.1f after two hundred right answers of the trial, expected too little to roll back", h.sentry.wrongAnswerSum)
 	}
 	h.votedRollBack, h.now = false, h.now+9*second
 	if h.serveTransactions(200, trialErrors); !h.votedRollBack {
-		t.Errorf("no counts for 9 s and no vote back on own outcomes (sums %.1f)", h.sentry.excessSums())
+		t.Errorf("found no vote to roll back 9 s after the last counts (excess sums %.1f), expected one by own outcomes", h.sentry.excessSums())
 	}
 }
 
-// A way is known by its zone from few answers, and forgotten; while new connections are refused those that are open are
-// used and the set does not grow; a worker that fails at once draws nothing, and one with an overdue hand-off is left
-// out.
+// A sentry meets each worker too seldom to learn from it alone that a zone is slow, that connections are refused, or
+// that a worker only seems idle because it fails. So a slow zone must be learned from few answers of its workers, and
+// forgotten later. While new connections are refused, open ones must be used and the subset must not grow. A worker
+// that fails at once must not get more hand-offs, and one with an overdue hand-off must be ejected.
 func TestSlowZonesAndBadWorkers(t *testing.T) {
 	h := newTrialHarness(1, 0)
 	config := h.sentry.config
@@ -125,7 +129,7 @@
 		endHandOff("n0", Answered, 50_000)
 	}
 	if s.zoneSlowdown(1) < 1.5 || s.zoneSlowdown(0) != 1 {
-		t.Errorf("the other zone is %.1f times as far, the own one %.1f", s.zoneSlowdown(1), s.zoneSlowdown(0))
+		t.Errorf("found slowdowns of %.1f for the other zone and %.1f for the own one, expected at least 1.5 and exactly 1", s.zoneSlowdown(1), s.zoneSlowdown(0))
 	}
 	for range 10 {
 		endHandOff("n1", Unconnected, 200_000)
@@ -137,7 +141,7 @@
 	build.subsetSize, s.ejectedUntil[index["n1"]], s.openByWorker[index["n0"]] = 4, 0, 1
 	for range 20 {
 		if w := s.chooseWorker(&transaction{profile: s.profiles[0].Profile}, 0); w != index["n0"] || build.subsetSize != 4 {
-			t.Fatalf("%s chosen of a set of %d, expected n0, the only open connection of four", s.workers[w].ID, build.subsetSize)
+			t.Fatalf("found %s chosen of a subset of %d, expected n0, the only one of four with an open connection", s.workers[w].ID, build.subsetSize)
 		}
 	}
 	s.openByWorker[index["n0"]], s.refusedShare = 0, 0
@@ -145,37 +149,40 @@
 		endHandOff("n2", Errored, 1_000)
 		s.ejectedUntil[index["n2"]] = 0
 		if w := s.leastLoaded([]int{index["n2"], index["n0"]}, &transaction{profile: s.profiles[0].Profile}, 0); w == index["n2"] && s.nonLoadFailureRate[w] > 0.9 {
-			t.Fatal("a worker that fails at once is taken for idle")
+			t.Fatal("found a worker chosen that fails at once, expected the other one")
 		}
 	}
 	s.refreshBuilds()
 	h.record(s.TransactionArrived(h.now, Transaction{ID: "hung", Account: NoAccount, Deadline: h.now + 2*second}))
 	stuckWorker := s.workerIndex[h.lastResult.Actions[0].Worker]
-	h.now += second * 3 / 4 // past its due time, far from its limit
+	h.now += second * 3 / 4 // past the due time, long before the deadline
 	if h.record(s.Wake(h.now)); s.ejectedUntil[stuckWorker] <= h.now {
-		t.Error("a worker with an overdue hand-off is not left out")
+		t.Error("found a worker with an overdue hand-off in use, expected it to be ejected")
 	}
 	if s.now += 60 * second; s.zoneSlowdown(1) != 1 {
-		t.Errorf("a minute later the other zone is still %.1f times as far", s.zoneSlowdown(1))
+		t.Errorf("found a slowdown of %.1f for the other zone a minute later, expected 1", s.zoneSlowdown(1))
 	}
 }
 
-// What narrows the room, and what keeps it open.
+// The concurrency limit must fall with late answers and timeouts of workers, and not with timeouts of clients in a
+// hurry or below what this sentry's usual traffic needs. Retries and clients in a hurry must leave half of it free for
+// others. The test also checks the free hand-offs to a cold worker, and the number of transactions in flight that
+// follows from a report without it.
 func TestConcurrencyLimit(t *testing.T) {
 	h := newTrialHarness(8, 0)
 	h.sentry.config.Sentries, h.sentry.usualLoad = 100, 0
 	for _, c := range []struct {
-		e              Ending
-		took           Micros
-		usual, atLeast float64
-		atMost         float64
+		ending              Ending
+		duration            Micros
+		usualLoad, minLimit float64
+		maxLimit            float64
 	}{{TimedOut, 100_000, 0, 8, 8}, {TimedOut, 600_000, 0, 1, 4}, {Answered, 600_000, 0, 1, 4}, {Answered, 600_000, 60, 10, 13}} {
-		h.sentry.concurrencyLimit, h.sentry.usualLoad = 8, c.usual
+		h.sentry.concurrencyLimit, h.sentry.usualLoad = 8, c.usualLoad
 		for range 5 {
-			h.sentry.adjustConcurrencyLimit(&h.sentry.profiles[0], 0, HandOffEnd{Ending: c.e, Duration: c.took})
+			h.sentry.adjustConcurrencyLimit(&h.sentry.profiles[0], 0, HandOffEnd{Ending: c.ending, Duration: c.duration})
 		}
-		if h.sentry.concurrencyLimit < c.atLeast || h.sentry.concurrencyLimit > c.atMost {
-			t.Errorf("%+v: room %.1f", c, h.sentry.concurrencyLimit)
+		if h.sentry.concurrencyLimit < c.minLimit || h.sentry.concurrencyLimit > c.maxLimit {
+			t.Errorf("%+v: found a concurrency limit of %.1f, expected one between minLimit and maxLimit", c, h.sentry.concurrencyLimit)
 		}
 	}
 	h.sentry.concurrencyLimit, h.sentry.openHandOffs = 8, 4
@@ -183,43 +190,45 @@
 	retry, hurried := first, first
 	first.profile, retry.profile, retry.IsRetry, hurried.profile, hurried.Deadline = &profile, &profile, true, &profile, second/4
 	if !h.sentry.underConcurrencyLimit(&first) || h.sentry.underConcurrencyLimit(&retry) || h.sentry.underConcurrencyLimit(&hurried) {
-		t.Error("half of the room is for first tries of clients that wait")
+		t.Error("found another result, expected half of the concurrency limit to be kept for first tries of clients that wait")
 	}
-	for _, c := range []struct{ multiple, seconds, free float64 }{{4, 2, 2}, {4, 1, 1}, {2, 1, 0}} { // cold, and never used before
+	for _, c := range []struct{ multiple, seconds, free float64 }{{4, 2, 2}, {4, 1, 1}, {2, 1, 0}} { // of a cold worker never used before
 		h.sentry.config.ColdLoadMultiple, h.sentry.config.ColdLoadWindow, h.sentry.usualLoad, h.sentry.config.Sentries = c.multiple, Micros(c.seconds*float64(second)), 0, 1
 		h.sentry.workers[0].Started, h.sentry.randomAllowance[0], h.sentry.randomAllowanceUntil[0], h.sentry.coldHandOffs[0] = h.now-1, 0, h.now+second, nil
 		for ; !h.sentry.atColdLimit(0); h.sentry.coldHandOffs[0] = append(h.sentry.coldHandOffs[0], h.now) {
 		}
 		if handOffs := float64(len(h.sentry.coldHandOffs[0])); handOffs != c.free {
-			t.Errorf("%+v: %v hand-offs to a cold worker", c, handOffs)
+			t.Errorf("%+v: found %v hand-offs to a cold worker, expected as many as free", c, handOffs)
 		}
 	}
 	ended := &handOff{end: HandOffEnd{Load: Load{InFlight: -1, BusyShare: 0.8, ServedPerSecond: 40}}}
 	if got, want := h.sentry.reportedInFlight(0, ended), 40*h.sentry.latencyRatio[0]*h.sentry.usualDuration()/1e6; got != want || got <= 0 {
-		t.Errorf("holds %.2f, expected %.2f", got, want)
+		t.Errorf("found %.2f transactions in flight, expected %.2f and more than 0", got, want)
 	}
 }
 
-// Sentries of a group know of each other's hand-offs, and of their ends; all watch a trial that they have not met.
+// Sentries of a group share workers and would overload them together. So each must count the hand-offs of the others
+// and their ends. Each must also judge a trial from which it has no outcome yet.
 func TestGroupHandOffs(t *testing.T) {
 	tier := newSentryTier(24, 24, 5)
 	tier.run(8*second, 3)
 	s := tier.sentries[0]
 	w := s.chooseWorker(&transaction{profile: s.profiles[0].Profile}, 10)
 	for i := range 40 {
-		kind := byte(messageHandOff + i/20*(messageHandOffEnded-messageHandOff)) // twenty times handed to it, then twenty ended
+		kind := byte(messageHandOff + i/20*(messageHandOffEnded-messageHandOff)) // twenty hand-offs, then twenty ends
 		s.PeerMessageReceived(tier.now, SentryID(s.groupCount()), encodeMessage(kind, []uint64{shortID(s.workers[w].ID)}))
 		if got := s.chooseWorker(&transaction{profile: s.profiles[0].Profile}, 10); got == w && i > 0 && i < 30 {
-			t.Fatalf("a worker with %.1f of the neighbours is chosen", s.groupOpenNow(w))
+			t.Fatalf("found a worker chosen that has %.1f hand-offs of the group, expected another worker", s.groupOpenNow(w))
 		}
 	}
 	if tier.updateRelease(ReleaseStatus{Valid: true, Build: 11, Phase: OnTrial, Cap: 0.1}); !s.inGroup() || s.groupOpenNow(w) > 0.1 || !s.isJudging() {
-		t.Errorf("shares %v, %.1f of the neighbours left, watches %v", s.inGroup(), s.groupOpenNow(w), s.isJudging())
+		t.Errorf("found in a group: %v, %.1f hand-offs of the group left, judging: %v; expected true, at most 0.1, true", s.inGroup(), s.groupOpenNow(w), s.isJudging())
 	}
 }
 
-// Orders change in the middle of a trial, exposure by profile on and off, and the cap falls: within any window the
-// hand-offs to the trial keep every bound that held in it, and no count starts anew.
+// The configuration changes in the middle of a trial, also between one bound on exposure for all and one per profile,
+// and the cap falls. A change must not reset the counts: within any window, hand-offs to the trial must keep every
+// bound that held at some time in it.
 func FuzzReconfigure(f *testing.F) {
 	for seed := range 30 {
 		f.Add(int64(seed))
@@ -227,7 +236,7 @@
 	f.Fuzz(func(t *testing.T, seed int64) {
 		random, h := rand.New(rand.NewSource(seed)), newTrialHarness(8, 8)
 		config, countedFrom, capShare, nextKey := h.sentry.config, h.now, 0.5, trialKeyGenerator(10)
-		taken, sent := [][]Micros{nil, nil, nil}, [][]Micros{nil, nil, nil} // over all, and by profile
+		taken, sent := [][]Micros{nil, nil, nil}, [][]Micros{nil, nil, nil} // of all, then by profile
 		bounds := []exposureBound{{config.FreeExposure, config.ExposureWindow, config.ExposureByProfile, 1 << 60}}
 		h.now += 2 * config.ExposureWindow
 		for i := range 600 {
@@ -239,7 +248,7 @@
 				bounds = append(bounds, exposureBound{config.FreeExposure, config.ExposureWindow, config.ExposureByProfile, 1 << 60})
 			}
 			if i == 400 {
-				countedFrom, capShare = h.now, 0.1 // counted anew from there
+				countedFrom, capShare = h.now, 0.1 // the new cap holds for hand-offs after this time
 				h.updateRelease(ReleaseStatus{Valid: true, Build: 11, Phase: OnTrial, Cap: capShare})
 			}
 			profile, id := random.Intn(2), TransactionID(fmt.Sprint("o", i))
@@ -257,13 +266,13 @@
 					counter := int(oneIf(bound.byProfile)) * (1 + profile)
 					sentCount, takenCount := countAfter(sent[counter], max(countedFrom, h.now-bound.window)), countAfter(taken[counter], h.now-bound.window)
 					if bound.until >= h.now && float64(sentCount) > bound.free+capShare*float64(takenCount) {
-						t.Fatalf("transaction %d: %d sent to the trial of %d taken, bound %+v", i, sentCount, takenCount, bound)
+						t.Fatalf("transaction %d: found %d sent to the trial of %d taken, expected no more than bound %+v", i, sentCount, takenCount, bound)
 					}
 				}
 			}
 		}
 		if len(sent[0]) < 30 {
-			t.Fatalf("only %d sent to the trial: this says nothing", len(sent[0]))
+			t.Fatalf("found only %d sent to the trial, expected at least 30: too few to test the bounds", len(sent[0]))
 		}
 	})
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// fleet is a made-up deployment that checks the rules after every step. It knows nothing of how the module
-// decides.
+// simulation is a random deployment that checks the rules of the specification after every step. It does not use how
+// the package decides.
 type simulation struct {
 	t                *testing.T
 	config           Config
@@ -15,19 +15,20 @@
 	random           *rand.Rand
 	now              Micros
 	workersByID      map[WorkerID]Worker
-	drainKnownSince  map[WorkerID]Micros // since when the sentry knows that a worker drains or is gone
-	release          ReleaseStatus
+	drainKnownSince  map[WorkerID]Micros // since when the sentry knows that a worker is draining or gone
+	release          ReleaseStatus       // of the newest build
 	open             map[TransactionID]*simTransaction
-	openIDs          []TransactionID
-	takenAt          []Micros
-	exposedAt        []Micros
-	keysOnTrial      map[Key]bool
-	coldHandOffs     map[WorkerID][]Micros
+	openIDs          []TransactionID       // in order of arrival
+	takenAt          []Micros              // arrivals of transactions
+	exposedAt        []Micros              // hand-offs to the trial in its window
+	keysOnTrial      map[Key]bool          // answered by the newest build
+	coldHandOffs     map[WorkerID][]Micros // hand-offs to cold workers
 	transactionCount int
 	answerCount      int
 	handOffCount     int
 }
 
+// simTransaction is a transaction that has no final answer or has open hand-offs.
 type simTransaction struct {
 	transaction Transaction
 	closed      bool
@@ -38,7 +39,7 @@
 	worker     WorkerID
 	sentAt     Micros
 	ended      bool
-	mayHaveRun bool
+	mayHaveRun bool // false only once it is proven not to have run
 }
 
 func randomConfig(random *rand.Rand) Config {
@@ -113,19 +114,19 @@
 	sim.t.Fatalf("at %d: %s", sim.now, fmt.Sprintf(format, args...))
 }
 
-// do checks every ruling against the rules as they are worded.
+// checkActions checks every action against the wording of the rules.
 func (sim *simulation) checkActions(result Result) {
 	sim.t.Helper()
 	for _, action := range result.Actions {
 		tx := sim.open[action.Transaction]
 		if action.Kind == CancelHandOff {
 			if tx == nil || action.HandOffNumber >= len(tx.handOffs) || tx.handOffs[action.HandOffNumber].ended {
-				sim.fail("rule 1: %v cancels what is not out", action)
+				sim.fail("rule 1: found %v, expected it to cancel an open hand-off", action)
 			}
 			continue
 		}
 		if tx == nil || tx.closed {
-			sim.fail("rule 1: ruling %v on a transaction that is not open", action)
+			sim.fail("rule 1: found %v on a transaction that is not open, expected no action", action)
 		}
 		mayHaveRun, openHandOffs := false, 0
 		for _, h := range tx.handOffs {
@@ -140,7 +141,7 @@
 			sim.checkHandOff(tx, action, profile, mayHaveRun, openHandOffs)
 		case Defer:
 			if mayHaveRun && (profile.Repeatability == NonIdempotent || profile.Repeatability == Deduplicated && profile.DedupScope != ScopeAll) {
-				sim.fail("rule 2: %v deferred though it may have run", action)
+				sim.fail("rule 2: found %v of a transaction that may have run, expected a write-off", action)
 			}
 			tx.closed = true
 			sim.answerCount++
@@ -156,10 +157,10 @@
 	sim.handOffCount++
 	w, known := sim.workersByID[action.Worker]
 	if !known || sim.now > tx.transaction.Deadline || action.Deadline > tx.transaction.Deadline {
-		sim.fail("rule 1: %v to an unknown worker or past its limit", action)
+		sim.fail("rule 1: found %v to an unknown worker or past the deadline, expected a listed worker and a time before it", action)
 	}
 	if openHandOffs > 0 && !sim.config.MayHedge || len(tx.handOffs) >= sim.config.MaxHandOffs {
-		sim.fail("rule 2: hand-off %v with %d out of %d", action, openHandOffs, len(tx.handOffs))
+		sim.fail("rule 2: found %v with %d open of %d hand-offs, expected no more than the configuration allows", action, openHandOffs, len(tx.handOffs))
 	}
 	for _, h := range tx.handOffs {
 		if !h.mayHaveRun {
@@ -168,36 +169,36 @@
 		earlier := sim.workersByID[h.worker]
 		outsideScope := profile.DedupScope == ScopeZone && earlier.Zone != w.Zone || profile.DedupScope == ScopeCell && earlier.Cell != w.Cell
 		if profile.Repeatability == NonIdempotent || profile.Repeatability == Deduplicated && (outsideScope || sim.now >= h.sentAt+profile.DedupWindow) {
-			sim.fail("rule 2: %v sent again", action)
+			sim.fail("rule 2: found %v as a retry, expected none where the transaction could run twice", action)
 		}
 	}
 	if since, notReady := sim.drainKnownSince[action.Worker]; notReady && sim.now > since+sim.config.DrainGrace {
-		sim.fail("rule 3: %v to a worker that drains or is gone", action)
+		sim.fail("rule 3: found %v to a draining or gone worker, expected none after the drain grace", action)
 	}
 	toTrial := sim.release.Build == w.Build && sim.release.Phase != Released
 	switch {
 	case w.Build > sim.release.Build:
-		sim.fail("rule 5: %v to a build not announced", action)
+		sim.fail("rule 5: found %v to a build that is not announced, expected the newest or an earlier one", action)
 	case toTrial && sim.release.Phase != OnTrial:
-		sim.fail("rule 5: %v to a build that goes back", action)
+		sim.fail("rule 5: found %v to a build that is rolled back, expected an earlier one", action)
 	case toTrial && sim.release.Stage < sim.config.GuardedStages && profile.Repeatability != Idempotent:
-		sim.fail("rule 5: %v to the trial in a guarded stage", action)
+		sim.fail("rule 5: found %v to the trial in a guarded stage, expected idempotent transactions only", action)
 	case toTrial:
 		from := sim.now - sim.config.ExposureWindow
 		sim.exposedAt = append(dropUpTo(sim.exposedAt, from), sim.now)
 		if taken := countAfter(sim.takenAt,
 			from); float64(len(sim.exposedAt)) > sim.config.FreeExposure+sim.release.Cap*float64(taken)+1e-9 {
-			sim.fail("rule 5: %d hand-offs to the trial, %d taken, cap %v", len(sim.exposedAt), taken, sim.release.Cap)
+			sim.fail("rule 5: found %d hand-offs to the trial with %d transactions taken, expected no more than the free ones and a share of %v", len(sim.exposedAt), taken, sim.release.Cap)
 		}
 	}
 	if sim.config.ForwardOnly && sim.keysOnTrial[tx.transaction.Key] && w.Build < sim.release.Build && sim.release.Phase != Withdrawn {
-		sim.fail("rule 5: %v takes a key back", action)
+		sim.fail("rule 5: found %v to an earlier build for a key that the newest one has answered, expected the newest", action)
 	}
 	if age := sim.now - w.Started; w.Started > 0 && age < sim.config.ColdLoadWindow {
 		sim.coldHandOffs[w.ID] = append(dropUpTo(sim.coldHandOffs[w.ID], sim.now-sim.config.ColdLoadWindow), sim.now)
 		limit := 3 + sim.config.ColdLoadMultiple*float64(countAfter(sim.takenAt, sim.now-sim.config.ColdLoadWindow))/2
 		if float64(len(sim.coldHandOffs[w.ID])) > limit {
-			sim.fail("rule 4: %d hand-offs to one cold worker", len(sim.coldHandOffs[w.ID]))
+			sim.fail("rule 4: found %d hand-offs to one cold worker, expected no more than its part allows", len(sim.coldHandOffs[w.ID]))
 		}
 	}
 	tx.handOffs = append(tx.handOffs, &simHandOff{worker: action.Worker, sentAt: sim.now, mayHaveRun: true})
@@ -213,7 +214,7 @@
 	case 0:
 		transaction.Key = ""
 	case 1, 2, 3:
-		transaction.Key = Key(fmt.Sprint(sim.transactionCount / 100)) // a hot key, now and then in the trial's slots
+		transaction.Key = Key(fmt.Sprint(sim.transactionCount / 100)) // a hot key, sometimes in the slots of the trial
 	}
 	sim.open[transaction.ID] = &simTransaction{transaction: transaction}
 	sim.openIDs = append(sim.openIDs, transaction.ID)
@@ -221,7 +222,7 @@
 	sim.checkActions(sim.sentry.TransactionArrived(sim.now, transaction))
 }
 
-// end ends one open hand-off, or all that have passed their transaction's limit.
+// endHandOff ends one hand-off if it is open.
 func (sim *simulation) endHandOff(tx *simTransaction, number int, ending Ending) {
 	h := tx.handOffs[number]
 	if h.ended {
@@ -241,7 +242,7 @@
 		Duration: sim.now - h.sentAt, TransactionClosed: closed, Load: Load{float64(sim.random.Intn(4) - 1), -1, -1}}))
 }
 
-// sweep ends what has run out and sees that nothing open is overdue.
+// checkDeadlines ends the hand-offs of transactions past their deadline and checks that no final answer is overdue.
 func (sim *simulation) checkDeadlines() {
 	kept := sim.openIDs[:0]
 	for _, id := range sim.openIDs {
@@ -254,7 +255,7 @@
 			hasOpenHandOff = hasOpenHandOff || !h.ended
 		}
 		if !tx.closed && sim.now > tx.transaction.Deadline+sim.config.AnswerGrace {
-			sim.fail("rule 1: %s has no final answer", id)
+			sim.fail("rule 1: found no final answer to %s, expected one within the grace after its deadline", id)
 		}
 		if tx.closed && !hasOpenHandOff {
 			delete(sim.open, id)
@@ -265,6 +266,8 @@
 	sim.openIDs = kept
 }
 
+// step advances the clock by 5 ms, has up to two transactions arrive, ends up to two hand-offs, and sometimes changes a
+// worker or the release.
 func (sim *simulation) step() {
 	sim.now += 5000
 	sim.checkActions(sim.sentry.Wake(sim.now))
@@ -295,7 +298,7 @@
 	}
 }
 
-// change starts, restarts, drains or ends a worker and tells the sentry, wholly or by changes.
+// changeWorker starts, restarts, drains or ends a worker and sends the sentry a full list or the change.
 func (sim *simulation) changeWorker() {
 	w := Worker{ID: sim.workerID(sim.random.Intn(16)), Build: sim.release.Build + BuildID(sim.random.Intn(3)-1), Size: 1,
 		Started: sim.now - Micros(sim.random.Int63n(int64(second))), State: WorkerState(sim.random.Intn(4) % 3)}
@@ -311,6 +314,7 @@
 	}
 }
 
+// changeRelease moves the release to a possible next state and reports it to the sentry.
 func (sim *simulation) changeRelease() {
 	status := sim.release
 	status.Valid, status.Age = true, 0
@@ -333,7 +337,8 @@
 	sim.updateRelease(status)
 }
 
-// oddities are calls that are legal and should change nothing but what they must.
+// sendIrregularCalls makes calls that are legal, with unknown names, invalid messages or odd values. They must
+// not make the sentry break a rule.
 func (sim *simulation) sendIrregularCalls() {
 	body := make([]byte, sim.random.Intn(300))
 	sim.random.Read(body)
@@ -355,6 +360,7 @@
 	}
 }
 
+// In random deployments, every action must keep the rules, and every transaction must get its final answer in time.
 func FuzzRules(f *testing.F) {
 	for seed := range 60 {
 		f.Add(int64(seed))
@@ -365,17 +371,17 @@
 			sim.step()
 		}
 		if sim.answerCount < 1000 || sim.handOffCount < 300 {
-			t.Fatalf("only %d answers and %d hand-offs in the whole run", sim.answerCount, sim.handOffCount)
+			t.Fatalf("found %d answers and %d hand-offs in the whole run, expected at least 1000 and 300", sim.answerCount, sim.handOffCount)
 		}
 	})
 }
 
-// A key whose hand-off to the trial may have been answered, though nothing of that could be read, goes to no earlier
-// build again; one that was errored does.
+// With ForwardOnly, a key that the trial may have answered must not go to an earlier build again, even if the answer
+// could not be read or was lost. A key goes back to it after an error or a failed connection.
 func TestUnreadableAnswersKeepKeysOnTrial(t *testing.T) {
 	for _, c := range []struct {
-		ending Ending
-		met    bool
+		ending       Ending
+		staysOnTrial bool
 	}{{Unreadable, true}, {Broken, true}, {TimedOut, true}, {Errored, false}, {Unconnected, false}} {
 		h := newTrialHarness(4, 4)
 		h.now += 10 * second // warm
@@ -388,15 +394,15 @@
 			return Answered, 50_000
 		})
 		if len(sent) == 0 {
-			t.Fatal("nothing went to the trial")
+			t.Fatal("found no hand-off to the trial, expected some")
 		}
-		h.sentry.trialSlots = 0 // by the hash alone all would go to the earlier build
+		h.sentry.trialSlots = 0 // by their hash slots all keys would go to the earlier build
 		for k := range sent {
 			h.now += second / 10
 			h.record(h.sentry.TransactionArrived(h.now, Transaction{ID: TransactionID(k), Key: k, Account: NoAccount, Deadline: h.now + 2*second}))
 			for _, action := range h.lastResult.Actions {
-				if toEarlier := action.Kind == HandOff && !isTrialWorker(action.Worker); toEarlier == c.met {
-					t.Errorf("after ending %d: %+v, expected the earlier build: %v", c.ending, action, !c.met)
+				if toEarlier := action.Kind == HandOff && !isTrialWorker(action.Worker); toEarlier == c.staysOnTrial {
+					t.Errorf("after ending %d: found %+v, expected the earlier build: %v", c.ending, action, !c.staysOnTrial)
 				}
 			}
 			h.sentry.trialSlots = 0
@@ -404,13 +410,14 @@
 	}
 }
 
-// A hand-off whose answer is lost, as several later ones of its worker tell, is given up for another where that does no
-// harm, and takes no room from others; a worker that answers is not left out.
+// When an answer is lost, its hand-off would stay open until the deadline. Several later answers of the same worker
+// show the loss. Then the hand-off must be cancelled and retried where the transaction may run again, it must not count
+// towards the concurrency limit, and the worker must not be ejected.
 func TestLostAnswers(t *testing.T) {
 	for _, c := range []struct {
 		profile ProfileID
-		later   int // that the worker answers
-		again   bool
+		later   int // transactions that the worker answers
+		retried bool
 	}{{0, 80, true}, {0, laterAnswersIfLost - 1, false}, {0, 0, false}, {1, 80, false}} {
 		h := newTrialHarness(1, 0)
 		h.sentry.config.MayHedge, h.sentry.config.MayCancel, h.sentry.config.MaxHandOffs = false, true, 3
@@ -434,45 +441,47 @@
 				case action.Kind == HandOff:
 					retried = action.Transaction == "lost"
 				default:
-					t.Fatalf("ruled %+v", action)
+					t.Fatalf("found action %+v, expected a hand-off or the cancellation of the lost one", action)
 				}
 			}
 			ejected, maxLost = ejected || h.sentry.ejectedUntil[0] > h.now, max(maxLost, h.sentry.lostHandOffs)
 		}
-		if cancelled != c.again || retried != c.again || ejected != (c.later < laterAnswersIfLost) || c.profile == 1 && maxLost == 0 ||
+		if cancelled != c.retried || retried != c.retried || ejected != (c.later < laterAnswersIfLost) || c.profile == 1 && maxLost == 0 ||
 			c.later < laterAnswersIfLost && maxLost > 0 {
-			t.Errorf("profile %d, %d later: cancelled %v, handed off again %v, left out %v, %d lost", c.profile, c.later, cancelled,
+			t.Errorf("profile %d, %d later answers: found cancelled %v, retried %v, worker ejected %v, %d hand-offs lost, expected a cancellation and a retry as in the case, an ejection only with too few later answers, a lost hand-off only with enough", c.profile, c.later, cancelled,
 				retried, ejected, maxLost)
 		}
 	}
 }
 
-// A build that goes back serves on within its cap while no earlier worker is ready, and no longer.
+// During a roll-back there may be no ready worker of the earlier build yet. Until there is one, the build that is
+// rolled back must serve if its cap allows it, and after that no more.
 func TestRollBackWithoutEarlierWorkers(t *testing.T) {
 	h := newTrialHarness(2, 4)
 	h.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: Released, Cap: 1})
 	h.record(h.sentry.ListReceived(h.now, ListDelta, []Worker{{ID: "e0", Build: 10, Size: 1, State: Gone}, {ID: "e1", Build: 10, Size: 1, State: Gone}}))
 	for _, c := range []struct {
-		cap   float64
-		at    string // where the earlier build is again
-		trial bool
+		cap           float64
+		earlierWorker string // worker that runs the earlier build again, if any
+		toTrial       bool
 	}{{1, "", true}, {1, "e0", false}, {0, "", false}} {
 		h.now += 10 * second
 		h.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: RollingBack, Cap: c.cap})
 		state := Gone
-		if c.at != "" {
+		if c.earlierWorker != "" {
 			state = Ready
 		}
 		h.record(h.sentry.ListReceived(h.now, ListDelta, []Worker{{ID: "e0", Build: 10, Size: 1, State: state}}))
 		got := 0
 		h.serveTransactions(50, func(w WorkerID, _ int) (Ending, Micros) { got += int(oneIf(isTrialWorker(w))); return Answered, 50_000 })
-		if got > 0 != c.trial {
-			t.Errorf("cap %v, earlier worker %q: %d to the build that goes back", c.cap, c.at, got)
+		if got > 0 != c.toTrial {
+			t.Errorf("cap %v, earlier worker %q: found %d hand-offs to the build that is rolled back, expected some only with a cap and no earlier worker", c.cap, c.earlierWorker, got)
 		}
 	}
 }
 
-// While the news of a release is still to come and the earlier build has gone, the trial's workers make the room.
+// The release status can arrive later than the list that takes the earlier workers away. The concurrency limit must
+// then follow the workers of the trial and not fall.
 func TestConcurrencyLimitWithoutEarlierWorkers(t *testing.T) {
 	h := newTrialHarness(10, 10)
 	h.updateRelease(ReleaseStatus{Valid: true, Build: 11, Stage: 1, Phase: OnTrial, Cap: 1})
@@ -486,6 +495,6 @@
 	h.record(h.sentry.ListReceived(h.now, ListDelta, draining))
 	h.serveTransactions(50, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
 	if h.sentry.concurrencyLimit < 20 {
-		t.Errorf("room for %.1f, expected that of ten workers", h.sentry.concurrencyLimit)
+		t.Errorf("found a concurrency limit of %.1f, expected at least 20 with ten workers", h.sentry.concurrencyLimit)
 	}
 }
