--- a/logic/crowd_test.go
+++ b/logic/crowd_test.go
@@ -168,12 +168,12 @@
 func TestSubsetsAreSmallAndEven(t *testing.T) {
 	tier := newSentryTier(200, 40, 1)
 	tier.run(10*second, 2)
-	most, least := 0, tier.transactionCount
+	maxHandOffs, minHandOffs := 0, tier.transactionCount
 	for _, w := range tier.workers {
-		most, least = max(most, len(tier.sentAt[w.ID])), min(least, len(tier.sentAt[w.ID]))
+		maxHandOffs, minHandOffs = max(maxHandOffs, len(tier.sentAt[w.ID])), min(minHandOffs, len(tier.sentAt[w.ID]))
 	}
-	if mean := tier.transactionCount / len(tier.workers); most > 2*mean || least < mean/6 {
-		t.Errorf("found %d to %d hand-offs per worker with a mean of %d, expected a sixth of the mean to twice the mean", least, most, mean)
+	if mean := tier.transactionCount / len(tier.workers); maxHandOffs > 2*mean || minHandOffs < mean/6 {
+		t.Errorf("found %d to %d hand-offs per worker with a mean of %d, expected a sixth of the mean to twice the mean", minHandOffs, maxHandOffs, mean)
 	}
 	for i, s := range tier.sentries {
 		if size := s.buildWorkers[10].subsetSize; size > 4 {
--- a/logic/lease.go
+++ b/logic/lease.go
@@ -3,9 +3,9 @@
 // Leases of workers: how long the sentry may send hand-offs to a worker of a list that nothing confirms any more, and
 // when it requests the list again.
 //
-// Rule 3 forbids hand-offs to a worker that is draining or gone once DrainGrace has passed since the change is held to
-// be known. A change is held to be known ListChangeDelay after discovery has it, whether or not it arrived. So a worker
-// may get hand-offs for
+// Rule 3 forbids hand-offs to a worker that is draining or gone once DrainGrace has passed since the change counts as
+// known. A change counts as known ListChangeDelay after discovery has it, whether or not it arrived. So a worker may get
+// hand-offs for
 //
 //	ListChangeDelay + DrainGrace - leaseMargin
 //
@@ -45,7 +45,7 @@
 // lease is what the sentry knows about the age of its list.
 type lease struct {
 	confirmedAt     Micros // discovery last confirmed the state of all workers
-	undeliveredFrom Micros // later changes are held to be known but have not arrived; 0 if there are none
+	undeliveredFrom Micros // changes from then on count as known though undelivered; 0 if there are none
 	watchLostAt     Micros // since when a pushed list has no watch, 0 while there is one
 	retryDelay      Micros // before the next request for the list, 0 after one that was answered
 	expired         bool   // no ready worker has a lease
@@ -73,7 +73,7 @@
 	}
 	notDrainingUntil := s.notDrainingUntil(w)
 	drainKnownAt := notDrainingUntil + o.ListChangeDelay
-	if watchLostAt := s.lease.watchLostAt; watchLostAt > 0 { // then each change is held to be known at once
+	if watchLostAt := s.lease.watchLostAt; watchLostAt > 0 { // then each change counts as known at once
 		drainKnownAt = max(notDrainingUntil, watchLostAt)
 	}
 	if undeliveredFrom := s.lease.undeliveredFrom; undeliveredFrom > notDrainingUntil {
@@ -94,8 +94,8 @@
 	s.nextListRequestAt = s.now + s.config.MaxListAge/2
 }
 
-// useCachedList starts the leases of a list from before the sentry's start. Its age is unknown, so a change of it is
-// held to be known at the start.
+// useCachedList starts the leases of a list from before the sentry's start. Its age is unknown, so a change of it
+// counts as known at the start.
 func (s *Sentry) useCachedList() { s.lease.confirmedAt = s.now - s.config.ListChangeDelay }
 
 // renewLease updates the lease of a worker by the end of a hand-off to it.
@@ -133,7 +133,7 @@
 	})
 }
 
-// ListMayBeStale records that changes which discovery has from staleSince on are held to be known though they may never
+// ListMayBeStale records that changes which discovery has from staleSince on count as known though they may never
 // arrive: an answer has begun to arrive and is incomplete, or discovery has moved. The next list or keep-alive ends
 // that.
 func (s *Sentry) ListMayBeStale(now, staleSince Micros) Result {
--- a/logic/lease_test.go
+++ b/logic/lease_test.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// A list that has begun to arrive is held to be known, and a change that discovery did not deliver because it moved is
-// held to be known from a given time. Leases must end accordingly until the next list.
+// A list that has begun to arrive counts as known, and a change that discovery did not deliver because it moved counts
+// as known from a given time. Leases must end accordingly until the next list.
 func TestLeaseOfPossiblyStaleList(t *testing.T) {
 	h := newLeaseHarness(t, nil)
 	h.setTime(second).sentry.ListMayBeStale(h.now, h.start+second)
@@ -200,7 +200,7 @@
 	h.expectLeaseUntil(second + listLeaseDuration)
 }
 
-// Where discovery pushes lists, a sentry without a watch misses every change, so each is held to be known at once.
+// Where discovery pushes lists, a sentry without a watch misses every change, so each counts as known at once.
 func TestLeaseOfPushedList(t *testing.T) {
 	h := newLeaseHarness(t, func(config *Config) { config.ListOnRequest = false })
 	h.setTime(3*second).sentry.ListRequestFailed(h.now, false)
--- a/logic/port.go
+++ b/logic/port.go
@@ -94,9 +94,9 @@
 
 	// The worker list.
 	ListOnRequest bool   // discovery sends the list only on request; otherwise it pushes changes
-	MaxListAge    Micros // a sentry that does not watch the list is held to know what discovery listed this long ago
-	// ListChangeDelay is how long after discovery has a change the sentry is held to know it, whether or not it
-	// arrived. 0: the sentry is held to know a change only once it has received it.
+	MaxListAge    Micros // without a watch, what discovery listed this long ago counts as known to the sentry
+	// ListChangeDelay is the time after which a change that discovery has counts as known to the sentry, whether or not
+	// it arrived. 0: a change counts as known only once it has been received.
 	ListChangeDelay Micros
 
 	// What the sentry may do: probe workers, cancel hand-offs, send hedged hand-offs, exchange messages with other
@@ -314,7 +314,7 @@
 	Kind          ActionKind
 	Transaction   TransactionID
 	Worker        WorkerID // HandOff
-	Deadline      Micros   // HandOff: it times out then
+	Deadline      Micros   // HandOff: the sentry stops waiting for an answer then
 	SendBy        Micros   // HandOff: it must not be written later, 0 if there is no such limit
 	HandOffNumber int      // CancelHandOff: among the hand-offs of the transaction, from 0
 	RetryAfter    Micros   // Defer: how long the client should wait before it retries, 0 if not stated
