--- a/logic/cases_test.go
+++ b/logic/cases_test.go
@@ -44,7 +44,7 @@
 
 func (h *trialHarness) updateRelease(s ReleaseStatus) { h.record(h.sentry.ReleaseUpdated(h.now, s)) }
 
-// record keeps a result, and whether a vote to roll back was among all results.
+// record keeps the result, and whether any result so far held a vote to roll back.
 func (h *trialHarness) record(result Result) {
 	h.lastResult = result
 	for _, vote := range result.Votes {
@@ -241,7 +241,7 @@
 	}
 }
 
-// A worker that was slow once must not stay unused: what is known of its load and latency expires.
+// A worker that was slow or full once must not stay unused: what is known of its load and latency expires.
 func TestOldWorkerReportsExpire(t *testing.T) {
 	h := newTrialHarness(2, 0)
 	h.serveTransactions(40, func(w WorkerID, _ int) (Ending, Micros) {
--- a/logic/lease.go
+++ b/logic/lease.go
@@ -161,7 +161,7 @@
 		if expired {
 			s.result.LogLines = append(s.result.LogLines, "leases expired: no worker may get hand-offs until discovery confirms the list")
 		} else {
-			s.result.LogLines = append(s.result.LogLines, "lease renewed: hand-offs are sent again")
+			s.result.LogLines = append(s.result.LogLines, "leases renewed: hand-offs are sent again")
 		}
 	}
 }
