--- a/internal/wire/detach.go
+++ b/internal/wire/detach.go
@@ -18,44 +18,44 @@
 type readMode uint8
 
 const (
-	readAll  readMode = iota // the dependency reads what comes
-	readRest                 // the watcher reads the rest of a message in part
-	readNone                 // nothing is read
+	readAll         readMode = iota // the dependency reads what comes
+	readMessageRest                 // the watcher reads the rest of a message in part
+	readNone                        // nothing is read
 )
 
 // mostReadAtOnce bounds one read of the watcher, in bytes.
-const mostReadAtOnce = 64 << 10
+const maxWatcherReadBytes = 64 << 10
 
 // watchRetry is the wait before the system is asked again to watch a socket, when it could not.
-const watchRetry = 10 * time.Millisecond
+const watchRetryDelay = 10 * time.Millisecond
 
 // watcher tells of detached links whose other side has closed, and reads the rest of messages in part.
 type watcher struct {
-	epoll int
-	mu    sync.Mutex
-	links map[int32]*Link
-	last  int32
+	epoll  int
+	mu     sync.Mutex
+	links  map[int32]*Link
+	lastID int32
 }
 
-var watching struct {
+var globalWatcher struct {
 	sync.Mutex
 	*watcher
 }
 
 // theWatcher gives the process's watcher, nil if the system is short of what it takes.
-func theWatcher() *watcher {
-	watching.Lock()
-	defer watching.Unlock()
-	if watching.watcher != nil {
-		return watching.watcher
+func getWatcher() *watcher {
+	globalWatcher.Lock()
+	defer globalWatcher.Unlock()
+	if globalWatcher.watcher != nil {
+		return globalWatcher.watcher
 	}
 	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil
 	}
-	watching.watcher = &watcher{epoll: epoll, links: map[int32]*Link{}}
-	go watching.watcher.run()
-	return watching.watcher
+	globalWatcher.watcher = &watcher{epoll: epoll, links: map[int32]*Link{}}
+	go globalWatcher.watcher.run()
+	return globalWatcher.watcher
 }
 
 func (w *watcher) run() {
@@ -63,60 +63,60 @@
 	for {
 		n, err := unix.EpollWait(w.epoll, events, -1)
 		if err != nil && err != unix.EINTR {
-			time.Sleep(watchRetry)
+			time.Sleep(watchRetryDelay)
 		}
 		for i := range max(n, 0) {
 			w.mu.Lock()
 			l := w.links[events[i].Fd]
 			w.mu.Unlock()
 			if l != nil {
-				l.watched(events[i].Events)
+				l.handleEvents(events[i].Events)
 			}
 		}
 	}
 }
 
 // interest is what the system is to tell of a link.
-func interest(mode readMode) uint32 {
-	if mode == readRest {
+func epollEvents(mode readMode) uint32 {
+	if mode == readMessageRest {
 		return unix.EPOLLIN | unix.EPOLLRDHUP
 	}
 	return unix.EPOLLRDHUP
 }
 
 // set has a detached link watched for what its mode asks for. The link's fdMu is held.
-func (w *watcher) set(l *Link) {
-	call := unix.EPOLL_CTL_MOD
+func (w *watcher) watch(l *Link) {
+	operation := unix.EPOLL_CTL_MOD
 	w.mu.Lock()
-	if l.watch == 0 {
-		call = unix.EPOLL_CTL_ADD
-		w.last++
-		l.watch = w.last
-		w.links[l.watch] = l
+	if l.watchID == 0 {
+		operation = unix.EPOLL_CTL_ADD
+		w.lastID++
+		l.watchID = w.lastID
+		w.links[l.watchID] = l
 	}
 	w.mu.Unlock()
 	// The event's number is ours and not the descriptor's, which may be another's by the time the event is taken up.
-	event := unix.EpollEvent{Events: interest(l.mode), Fd: l.watch}
-	err := unix.EpollCtl(w.epoll, call, l.fd, &event)
+	event := unix.EpollEvent{Events: epollEvents(l.mode), Fd: l.watchID}
+	err := unix.EpollCtl(w.epoll, operation, l.fd, &event)
 	if err == unix.ENOENT {
 		err = unix.EpollCtl(w.epoll, unix.EPOLL_CTL_ADD, l.fd, &event)
 	}
 	if err != nil {
-		time.AfterFunc(watchRetry, func() {
+		time.AfterFunc(watchRetryDelay, func() {
 			l.fdMu.Lock()
 			defer l.fdMu.Unlock()
-			if l.detached && !l.gone {
-				w.set(l)
+			if l.detached && !l.fdClosed {
+				w.watch(l)
 			}
 		})
 	}
 }
 
 // drop ends the watch of a link. The link's fdMu is held.
-func (w *watcher) drop(l *Link) {
+func (w *watcher) unwatch(l *Link) {
 	w.mu.Lock()
-	delete(w.links, l.watch)
-	l.watch = 0
+	delete(w.links, l.watchID)
+	l.watchID = 0
 	w.mu.Unlock()
 	_ = unix.EpollCtl(w.epoll, unix.EPOLL_CTL_DEL, l.fd, nil)
 }
@@ -125,48 +125,48 @@
 // gone through the reader. The link goes on with a descriptor of its own: the dependency may be closing its one just now, on
 // another goroutine, since the other side has ended the connection.
 func (l *Link) detach(mode readMode) bool {
-	w := theWatcher()
+	w := getWatcher()
 	if w == nil {
 		return false
 	}
 	l.fdMu.Lock()
-	if l.gone {
+	if l.fdClosed {
 		l.fdMu.Unlock()
 		return false
 	}
 	l.mode = mode
-	var given netpoll.Connection
+	var previous netpoll.Connection
 	if !l.detached {
-		own, err := duplicate(l.fd)
+		duplicated, err := duplicateFD(l.fd)
 		if err != nil {
 			l.fdMu.Unlock()
 			return false
 		}
-		given, l.fd, l.detached = l.conn, own, true
+		previous, l.fd, l.detached = l.conn, duplicated, true
 	}
-	w.set(l)
+	w.watch(l)
 	l.fdMu.Unlock()
-	if given != nil {
-		_ = given.Close()
+	if previous != nil {
+		_ = previous.Close()
 	}
 	return true
 }
 
 // StopReading has nothing more read than the rest of the message that has come in part. It is called on the poller, once.
 // missing gives the bytes that a part lacks at the least. False says that the system can't do it now.
-func (l *Link) StopReadingAtMessageEnd(missing func(part []byte) int) bool {
-	l.missing, l.stopped = missing, true
+func (l *Link) StopReadingAtMessageEnd(missingBytes func(partial []byte) int) bool {
+	l.missingBytes, l.readStopped = missingBytes, true
 	mode := readNone
-	if len(l.carry) > 0 {
-		mode = readRest
+	if len(l.partial) > 0 {
+		mode = readMessageRest
 	}
 	return l.detach(mode)
 }
 
 // stopReadingNow has nothing more read at all, on the poller. It waits for a read in hand.
 func (l *Link) stopAllReading() {
-	if !l.stopped {
-		l.stopped = true
+	if !l.readStopped {
+		l.readStopped = true
 		l.detach(readNone)
 	}
 	l.StopReadingNow()
@@ -175,90 +175,90 @@
 // attach gives a detached link back to the dependency, on the poller.
 func (l *Link) attach() {
 	l.fdMu.Lock()
-	if l.gone || !l.detached {
+	if l.fdClosed || !l.detached {
 		l.fdMu.Unlock()
 		return
 	}
-	theWatcher().drop(l)
+	getWatcher().unwatch(l)
 	conn, err := netpoll.NewFDConnection(l.fd)
 	if err != nil || !conn.IsActive() { // the dependency has closed the socket
-		l.gone = true
+		l.fdClosed = true
 		l.fdMu.Unlock()
-		l.over(err)
-		l.closed()
+		l.markClosed(err)
+		l.socketClosed()
 		return
 	}
 	l.conn, l.detached = conn, false
 	l.fdMu.Unlock()
-	l.adopt(conn)
-	_ = conn.SetOnRequest(l.arrivedOn) // nothing can have come before the poller's next turn
+	l.setConn(conn)
+	_ = conn.SetOnRequest(l.handleData) // nothing can have come before the poller's next turn
 }
 
 // EndReading has nothing more read at all, after StopReading. It waits for a read in hand.
 func (l *Link) StopReadingNow() {
 	l.readMu.Lock()
 	defer l.readMu.Unlock()
-	l.endReading()
+	l.stopRestRead()
 }
 
-func (l *Link) endReading() {
+func (l *Link) stopRestRead() {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
-	if l.mode == readRest {
+	if l.mode == readMessageRest {
 		l.mode = readNone
-		if !l.gone {
-			theWatcher().set(l)
+		if !l.fdClosed {
+			getWatcher().watch(l)
 		}
 	}
 }
 
 // watched takes what the system tells of a detached link, on the watcher.
-func (l *Link) watched(events uint32) {
-	if events&unix.EPOLLIN != 0 && l.readRest() {
+func (l *Link) handleEvents(events uint32) {
+	if events&unix.EPOLLIN != 0 && l.readMessageRest() {
 		return
 	}
 	if events&(unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
-		l.release(nil)
+		l.closeDetached(nil)
 	}
 }
 
 // readRest reads more of the message in part, never beyond its end, and says whether the link goes on.
-func (l *Link) readRest() (goesOn bool) {
+func (l *Link) readMessageRest() (open bool) {
 	l.readMu.Lock()
 	defer l.readMu.Unlock()
-	if !l.readsRest() {
+	if !l.isReadingRest() {
 		return true
 	}
-	part := make([]byte, min(mostReadAtOnce, max(1, l.missing(l.carry))))
+	part := make([]byte, min(maxWatcherReadBytes, max(1, l.missingBytes(l.partial))))
 	n, err := l.receive(part)
 	switch {
 	case err != nil:
-		return passes(err)
+		return isTransient(err)
 	case n <= 0:
 		return false
 	}
-	rest, err := l.read(l, append(l.carry, part[:n]...))
-	l.carry = append([]byte(nil), rest...)
+	rest, err := l.handle(l, append(l.partial, part[:n]...))
+	l.partial = append([]byte(nil), rest...)
 	if err != nil {
 		l.Close(err)
 	}
-	if len(l.carry) == 0 {
-		l.endReading()
+	if len(l.partial) == 0 {
+		l.stopRestRead()
 	}
 	return true
 }
 
-func (l *Link) readsRest() bool {
+func (l *Link) isReadingRest() bool {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
-	return l.detached && !l.gone && l.mode == readRest
+	return l.detached && !l.fdClosed && l.mode == readMessageRest
 }
 
 // receive reads what there is, without waiting.
 func (l *Link) receive(into []byte) (int, error) {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
-	if l.gone {
+	if l.fdClosed {
 		return 0, net.ErrClosed
 	}
 	n, _, err := syscall.Recvfrom(l.fd, into, syscall.MSG_DONTWAIT)
@@ -269,32 +269,32 @@
 // other side has ended its own. It is called after StopReading. A close over what stands unread resets the connection, and
 // would take answers with it that have not arrived: where the other side goes on, the close waits until it has acknowledged
 // all and linger has passed, and where something of it stands unread for most.
-func (l *Link) FlushAndClose(reason error, linger, most time.Duration) {
+func (l *Link) FlushAndClose(reason error, linger, maxLinger time.Duration) {
 	l.WhenWritten(func() {
 		l.fdMu.Lock()
-		if !l.gone {
+		if !l.fdClosed {
 			_ = syscall.Shutdown(l.fd, syscall.SHUT_WR)
 		}
 		l.fdMu.Unlock()
-		began := time.Now()
-		var lingered func()
-		lingered = func() {
-			if l.unacknowledged() > 0 || !l.IsReadIdle() && !l.isGone() && time.Since(began) < most {
-				time.AfterFunc(linger, lingered)
+		start := time.Now()
+		var closeWhenReceived func()
+		closeWhenReceived = func() {
+			if l.unacknowledgedBytes() > 0 || !l.IsReadIdle() && !l.isFDClosed() && time.Since(start) < maxLinger {
+				time.AfterFunc(linger, closeWhenReceived)
 				return
 			}
 			l.Close(reason)
 		}
-		time.AfterFunc(linger, lingered)
+		time.AfterFunc(linger, closeWhenReceived)
 	})
 }
 
 // unacknowledged is how many bytes of what was written the other side's system has not acknowledged; 0 if the system can't
 // tell, or the link is gone.
-func (l *Link) unacknowledged() int {
+func (l *Link) unacknowledgedBytes() int {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
-	if l.gone {
+	if l.fdClosed {
 		return 0
 	}
 	n, err := unix.IoctlGetInt(l.fd, unix.SIOCOUTQ)
@@ -305,39 +305,39 @@
 }
 
 // release closes a detached link's socket, once.
-func (l *Link) release(reason error) {
+func (l *Link) closeDetached(reason error) {
 	l.fdMu.Lock()
-	if l.gone || !l.detached {
+	if l.fdClosed || !l.detached {
 		l.fdMu.Unlock()
 		return
 	}
-	l.gone = true
-	theWatcher().drop(l)
+	l.fdClosed = true
+	getWatcher().unwatch(l)
 	_ = syscall.Close(l.fd)
 	l.fdMu.Unlock()
-	l.over(reason)
-	l.closed()
+	l.markClosed(reason)
+	l.socketClosed()
 }
 
 // adopt makes a connection of the dependency's the link's.
-func (l *Link) adopt(conn netpoll.Connection) {
+func (l *Link) setConn(conn netpoll.Connection) {
 	conn.AddCloseCallback(func(netpoll.Connection) error {
 		l.fdMu.Lock()
 		if l.detached || l.conn != conn { // the link goes on without it
 			l.fdMu.Unlock()
 			return nil
 		}
-		l.gone = true
+		l.fdClosed = true
 		l.fdMu.Unlock()
-		l.over(nil)
-		l.closed()
+		l.markClosed(nil)
+		l.socketClosed()
 		return nil
 	})
 }
 
 // closed tells that the socket is closed.
-func (l *Link) closed() {
-	if l.onClosed != nil {
-		l.onClosed()
+func (l *Link) socketClosed() {
+	if l.onSocketClosed != nil {
+		l.onSocketClosed()
 	}
 }
--- a/internal/wire/dial.go
+++ b/internal/wire/dial.go
@@ -16,20 +16,20 @@
 
 const (
 	// Waits before another socket is tried, doubled up to the longest.
-	firstDialWait   = time.Millisecond
-	longestDialWait = 20 * time.Millisecond
+	minDialBackoff = time.Millisecond
+	maxDialBackoff = 20 * time.Millisecond
 )
 
 // dialCalls are the system calls that open a connection; tests put faults into them.
-type dialCalls struct {
+type dialSyscallSet struct {
 	socket  func() (int, error)
 	connect func(fd int, to syscall.Sockaddr) error
 }
 
-var dialing atomic.Pointer[dialCalls]
+var dialSyscalls atomic.Pointer[dialSyscallSet]
 
 func init() {
-	dialing.Store(&dialCalls{
+	dialSyscalls.Store(&dialSyscallSet{
 		socket: func() (int, error) {
 			return syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC, 0)
 		},
@@ -38,52 +38,52 @@
 }
 
 // dial opens a connection within a time.
-func dial(address string, limit time.Duration) (netpoll.Connection, error) {
-	fd, err := open(address, limit)
+func dial(address string, timeout time.Duration) (netpoll.Connection, error) {
+	fd, err := openSocket(address, timeout)
 	if errors.Is(err, errNotIPv4) { // the platform has none of these; the dependency knows them
-		return netpoll.NewDialer().DialConnection("tcp", address, limit)
+		return netpoll.NewDialer().DialConnection("tcp", address, timeout)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return adopt(fd)
+	return netpollConn(fd)
 }
 
 var errNotIPv4 = errors.New("found an address that is not of IPv4")
 
 // open gives the descriptor of a connection that stands.
-func open(address string, limit time.Duration) (int, error) {
-	deadline := time.Now().Add(limit)
-	to, err := net.ResolveTCPAddr("tcp", address)
+func openSocket(address string, timeout time.Duration) (int, error) {
+	deadline := time.Now().Add(timeout)
+	resolved, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
 		return -1, err
 	}
-	ip := to.IP.To4()
+	ip := resolved.IP.To4()
 	if ip == nil {
 		return -1, errNotIPv4
 	}
-	peer := &syscall.SockaddrInet4{Port: to.Port, Addr: [4]byte(ip)}
-	for wait := firstDialWait; ; wait = min(2*wait, longestDialWait) {
+	peer := &syscall.SockaddrInet4{Port: resolved.Port, Addr: [4]byte(ip)}
+	for backoff := minDialBackoff; ; backoff = min(2*backoff, maxDialBackoff) {
 		fd, err := connectSocket(peer, deadline)
 		if err == nil {
 			return fd, nil
 		}
-		if !passesInDial(err) || time.Until(deadline) <= wait {
-			return -1, &net.OpError{Op: "dial", Net: "tcp", Addr: to, Err: err}
+		if !isTransientDialError(err) || time.Until(deadline) <= backoff {
+			return -1, &net.OpError{Op: "dial", Net: "tcp", Addr: resolved, Err: err}
 		}
-		time.Sleep(wait)
+		time.Sleep(backoff)
 	}
 }
 
 // connectSocket makes one socket and connects it.
 func connectSocket(peer syscall.Sockaddr, deadline time.Time) (int, error) {
-	calls := dialing.Load()
+	calls := dialSyscalls.Load()
 	fd, err := calls.socket()
 	if err != nil {
 		return -1, os.NewSyscallError("socket", err)
 	}
-	if err = calls.begin(fd, peer); err == syscall.EINPROGRESS {
-		return calls.finish(fd, peer, deadline)
+	if err = calls.startConnect(fd, peer); err == syscall.EINPROGRESS {
+		return calls.awaitConnect(fd, peer, deadline)
 	}
 	if err != nil {
 		syscall.Close(fd)
@@ -93,60 +93,60 @@
 }
 
 // begin calls for a connection, again if the call is interrupted: whether the system has begun all the same shows then.
-func (c *dialCalls) begin(fd int, peer syscall.Sockaddr) error {
-	for interrupts := 0; ; interrupts++ {
+func (c *dialSyscallSet) startConnect(fd int, peer syscall.Sockaddr) error {
+	for interruptions := 0; ; interruptions++ {
 		switch err := c.connect(fd, peer); {
 		case err == syscall.EISCONN:
 			return nil
 		case err == syscall.EALREADY:
 			return syscall.EINPROGRESS
-		case err != syscall.EINTR || interrupts >= mostInterrupts:
+		case err != syscall.EINTR || interruptions >= maxInterruptions:
 			return err
 		}
 	}
 }
 
 // finish waits on the runtime's poller until the connection stands or has failed. The descriptor is the caller's then.
-func (c *dialCalls) finish(fd int, peer syscall.Sockaddr, deadline time.Time) (int, error) {
-	waiting := os.NewFile(uintptr(fd), "")
-	defer waiting.Close()
-	if err := waiting.SetDeadline(deadline); err != nil {
+func (c *dialSyscallSet) awaitConnect(fd int, peer syscall.Sockaddr, deadline time.Time) (int, error) {
+	file := os.NewFile(uintptr(fd), "")
+	defer file.Close()
+	if err := file.SetDeadline(deadline); err != nil {
 		return -1, err
 	}
-	raw, err := waiting.SyscallConn()
+	raw, err := file.SyscallConn()
 	if err != nil {
 		return -1, err
 	}
-	kept, failed := -1, error(nil)
+	connected, connectErr := -1, error(nil)
 	err = raw.Write(func(fd uintptr) bool {
 		if _, err := syscall.Getpeername(int(fd)); err != nil {
-			if failed = c.stands(int(fd), peer); failed == syscall.EINPROGRESS {
-				failed = nil
+			if connectErr = c.connectStatus(int(fd), peer); connectErr == syscall.EINPROGRESS {
+				connectErr = nil
 				return false
 			}
 		}
-		if failed == nil {
-			kept, failed = duplicate(int(fd))
+		if connectErr == nil {
+			connected, connectErr = duplicateFD(int(fd))
 		}
 		return true
 	})
-	if err == nil && failed != nil {
-		err = os.NewSyscallError("connect", failed)
+	if err == nil && connectErr != nil {
+		err = os.NewSyscallError("connect", connectErr)
 	}
-	return kept, err
+	return connected, err
 }
 
 // stands tells what has become of a connection that has not come up as far as the system says.
-func (c *dialCalls) stands(fd int, peer syscall.Sockaddr) error {
+func (c *dialSyscallSet) connectStatus(fd int, peer syscall.Sockaddr) error {
 	code, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ERROR)
 	if err == nil && code != 0 {
 		return syscall.Errno(code)
 	}
-	return c.begin(fd, peer)
+	return c.startConnect(fd, peer)
 }
 
 // duplicate keeps a connection beyond the file that waits for it.
-func duplicate(fd int) (int, error) {
+func duplicateFD(fd int) (int, error) {
 	kept, _, errno := syscall.Syscall(syscall.SYS_FCNTL, uintptr(fd), syscall.F_DUPFD_CLOEXEC, 0)
 	if errno != 0 {
 		return -1, errno
@@ -155,7 +155,7 @@
 }
 
 // adopt gives a connection that stands to the dependency.
-func adopt(fd int) (netpoll.Connection, error) {
+func netpollConn(fd int) (netpoll.Connection, error) {
 	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
 	conn, err := netpoll.NewFDConnection(fd)
 	if err != nil {
@@ -165,13 +165,13 @@
 }
 
 // passesInDial says of an error that another socket may do better.
-func passesInDial(err error) bool {
-	return passes(err) || errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED)
+func isTransientDialError(err error) bool {
+	return isTransient(err) || errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED)
 }
 
 // DialConn opens a connection for a library that reads and writes by itself, by the same calls.
-func DialConn(address string, limit time.Duration) (net.Conn, error) {
-	fd, err := open(address, limit)
+func DialConn(address string, timeout time.Duration) (net.Conn, error) {
+	fd, err := openSocket(address, timeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/wire/dial_test.go
+++ b/internal/wire/dial_test.go
@@ -12,10 +12,10 @@
 // faultyDials has the system calls that open connections fail as a test says of each call's number, from 1; done says that
 // the call is made all the same.
 func faultyDials(t *testing.T, socket func(n int64) error, connect func(n int64) (err error, done bool)) (sockets *atomic.Int64) {
-	real := dialing.Load()
+	real := dialSyscalls.Load()
 	sockets = &atomic.Int64{}
 	var connects atomic.Int64
-	dialing.Store(&dialCalls{
+	dialSyscalls.Store(&dialSyscallSet{
 		socket: func() (int, error) {
 			if err := socket(sockets.Add(1)); err != nil {
 				return -1, err
@@ -32,7 +32,7 @@
 			return err
 		},
 	})
-	t.Cleanup(func() { dialing.Store(real) })
+	t.Cleanup(func() { dialSyscalls.Store(real) })
 	return sockets
 }
 
--- a/internal/wire/flow.go
+++ b/internal/wire/flow.go
@@ -9,47 +9,47 @@
 // its writer had a turn says nothing about the client. That a client does not read shows on its own socket alone.
 
 // slowReaderAfter is how long the other side may take nothing while something waits for it, where a link's bounds don't say.
-const slowReaderAfter = 10 * time.Second
+const defaultSlowReaderTimeout = 10 * time.Second
 
 // Budget bounds what waits on the links of a server together.
 type BufferBudget struct {
 	used atomic.Int64
-	most int64
+	max  int64
 }
 
 // NewBudget makes a budget of so many bytes.
-func NewBufferBudget(most int64) *BufferBudget { return &BufferBudget{most: most} }
+func NewBufferBudget(maxBytes int64) *BufferBudget { return &BufferBudget{max: maxBytes} }
 
 // Left is how many bytes more may wait; under 0 if more waits already.
-func (b *BufferBudget) Remaining() int64 { return b.most - b.used.Load() }
+func (b *BufferBudget) Remaining() int64 { return b.max - b.used.Load() }
 
 // Hold says that the owner holds so many bytes more for the other side, or fewer, which it has not put yet.
-func (l *Link) AddBuffered(bytes int) {
+func (l *Link) AddBuffered(delta int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.buffered += int64(bytes)
-	l.account()
+	l.buffered += int64(delta)
+	l.updateBuffered()
 }
 
 // account counts what waits, and has reading stop or go on by it. The lock is held.
-func (l *Link) account() {
-	waits := l.put - l.written + l.buffered
-	if l.dead {
-		waits = 0
+func (l *Link) updateBuffered() {
+	unsent := l.putBytes - l.writtenBytes + l.buffered
+	if l.closed {
+		unsent = 0
 	}
 	if l.budget != nil {
-		l.budget.used.Add(waits - l.counted)
+		l.budget.used.Add(unsent - l.budgeted)
 	}
-	l.counted = waits
-	was := l.full
+	l.budgeted = unsent
+	wasFull := l.readPaused
 	switch {
-	case !l.server || l.dead:
-	case waits > int64(l.most):
-		l.full = true
-	case waits <= int64(l.most)/2:
-		l.full = false
+	case !l.isServer || l.closed:
+	case unsent > int64(l.maxPending):
+		l.readPaused = true
+	case unsent <= int64(l.maxPending)/2:
+		l.readPaused = false
 	}
-	if l.full != was {
+	if l.readPaused != wasFull {
 		RunOnPoller(l.pauseOrResume)
 	}
 }
@@ -57,11 +57,11 @@
 // pauseOrResume has reading stop while too much waits, and go on after it, on the poller.
 func (l *Link) pauseOrResume() {
 	l.mu.Lock()
-	full, dead := l.full, l.dead
+	pause, closed := l.readPaused, l.closed
 	l.mu.Unlock()
 	switch {
-	case l.stopped || dead:
-	case full:
+	case l.readStopped || closed:
+	case pause:
 		l.detach(readNone)
 	default:
 		l.attach()
@@ -70,19 +70,19 @@
 
 // Progress is how far the other side had come when it was last seen to take something.
 type ReadProgress struct {
-	arrived int64
-	since   time.Time // zero if it was not looked at
+	acknowledged int64
+	since        time.Time // zero if it was not looked at
 }
 
 // Stalled says that the other side does not read: for its link's SlowReaderAfter something has waited for it, its socket took
 // nothing of that, and its system acknowledged nothing. A progress of its own belongs to each time that something waits.
-func (l *Link) PeerStalled(p *ReadProgress, now time.Time) bool {
-	unacknowledged := l.unacknowledged()
+func (l *Link) PeerStalled(progress *ReadProgress, now time.Time) bool {
+	unacknowledged := l.unacknowledgedBytes()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	arrived := l.written - int64(unacknowledged)
-	if p.since.IsZero() || arrived != p.arrived || arrived >= l.put {
-		p.arrived, p.since = arrived, now
+	acknowledged := l.writtenBytes - int64(unacknowledged)
+	if progress.since.IsZero() || acknowledged != progress.acknowledged || acknowledged >= l.putBytes {
+		progress.acknowledged, progress.since = acknowledged, now
 	}
-	return now.Sub(p.since) >= l.slowAfter
+	return now.Sub(progress.since) >= l.slowReaderTimeout
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -34,7 +34,7 @@
 	KindSay
 	KindWelcome
 	KindCounts
-	kinds
+	kindCount
 )
 
 const (
@@ -54,17 +54,17 @@
 
 // split takes the first frame off data. Where data does not hold a whole one, ok is false; a fault means that no
 // frame can begin here.
-func split(data []byte, most int) (kind Kind, body, rest []byte, ok bool, err error) {
+func nextFrame(data []byte, maxBytes int) (kind Kind, body, rest []byte, ok bool, err error) {
 	if len(data) < headerSize {
 		return 0, nil, data, false, nil
 	}
 	size := int(binary.BigEndian.Uint32(data))
 	kind = Kind(data[4])
 	switch {
-	case size < 1 || size-1 > most:
-		return 0, nil, data, false, &FrameError{fmt.Sprintf("length %d", size), fmt.Sprintf("1 to %d", most+1)}
-	case kind < KindHello || kind >= kinds:
-		return 0, nil, data, false, &FrameError{fmt.Sprintf("kind %d", kind), fmt.Sprintf("1 to %d", kinds-1)}
+	case size < 1 || size-1 > maxBytes:
+		return 0, nil, data, false, &FrameError{fmt.Sprintf("length %d", size), fmt.Sprintf("1 to %d", maxBytes+1)}
+	case kind < KindHello || kind >= kindCount:
+		return 0, nil, data, false, &FrameError{fmt.Sprintf("kind %d", kind), fmt.Sprintf("1 to %d", kindCount-1)}
 	case len(data) < 4+size:
 		return 0, nil, data, false, nil
 	}
@@ -72,11 +72,11 @@
 }
 
 // begin leaves room for a header; finish fills it in.
-func begin(to []byte, kind Kind) ([]byte, int) {
-	at := len(to)
-	return append(to, 0, 0, 0, 0, byte(kind)), at
+func beginFrame(buf []byte, kind Kind) ([]byte, int) {
+	start := len(buf)
+	return append(buf, 0, 0, 0, 0, byte(kind)), start
 }
 
-func finish(to []byte, at int) {
-	binary.BigEndian.PutUint32(to[at:], uint32(len(to)-at-4))
+func finishFrame(buf []byte, start int) {
+	binary.BigEndian.PutUint32(buf[start:], uint32(len(buf)-start-4))
 }
--- a/internal/wire/hot.go
+++ b/internal/wire/hot.go
@@ -62,14 +62,14 @@
 // Message is what a link can put into a frame.
 type Message interface{ appendTo([]byte) []byte }
 
-func number(b []byte, field protowire.Number, v uint64) []byte {
+func appendNumber(b []byte, field protowire.Number, v uint64) []byte {
 	if v == 0 {
 		return b
 	}
 	return protowire.AppendVarint(protowire.AppendTag(b, field, protowire.VarintType), v)
 }
 
-func bytesField(b []byte, field protowire.Number, v []byte) []byte {
+func appendBytes(b []byte, field protowire.Number, v []byte) []byte {
 	if len(v) == 0 {
 		return b
 	}
@@ -77,15 +77,15 @@
 }
 
 func (m *Ask) appendTo(b []byte) []byte {
-	b = number(b, 1, m.ID)
-	b = number(b, 2, uint64(m.Profile))
-	b = number(b, 3, uint64(m.Account))
-	b = bytesField(b, 4, m.Key)
-	b = number(b, 5, m.Timeout)
-	b = number(b, 6, m.ExpectedWork)
-	b = number(b, 7, protowire.EncodeBool(m.Retry))
-	b = bytesField(b, 8, m.DeduplicationToken)
-	b = bytesField(b, 9, m.Payload)
+	b = appendNumber(b, 1, m.ID)
+	b = appendNumber(b, 2, uint64(m.Profile))
+	b = appendNumber(b, 3, uint64(m.Account))
+	b = appendBytes(b, 4, m.Key)
+	b = appendNumber(b, 5, m.Timeout)
+	b = appendNumber(b, 6, m.ExpectedWork)
+	b = appendNumber(b, 7, protowire.EncodeBool(m.Retry))
+	b = appendBytes(b, 8, m.DeduplicationToken)
+	b = appendBytes(b, 9, m.Payload)
 	if m.Attributes != nil { // that there are none is said too
 		b = protowire.AppendBytes(protowire.AppendTag(b, 10, protowire.BytesType), m.Attributes)
 	}
@@ -93,47 +93,47 @@
 }
 
 func (m *Answer) appendTo(b []byte) []byte {
-	b = number(b, 1, m.ID)
-	b = number(b, 2, uint64(m.Outcome))
-	b = number(b, 3, m.RetryAfter)
-	b = bytesField(b, 4, m.Payload)
-	b = bytesField(b, 5, m.Worker)
-	return number(b, 6, uint64(m.Profile))
+	b = appendNumber(b, 1, m.ID)
+	b = appendNumber(b, 2, uint64(m.Outcome))
+	b = appendNumber(b, 3, m.RetryAfter)
+	b = appendBytes(b, 4, m.Payload)
+	b = appendBytes(b, 5, m.Worker)
+	return appendNumber(b, 6, uint64(m.Profile))
 }
 
 func (m *Work) appendTo(b []byte) []byte {
-	b = number(b, 1, m.ID)
-	b = number(b, 2, uint64(m.Profile))
-	b = bytesField(b, 3, m.Key)
-	b = number(b, 4, m.Timeout)
-	b = bytesField(b, 5, m.DeduplicationToken)
-	b = bytesField(b, 6, m.Payload)
-	b = bytesField(b, 7, m.Transaction)
-	b = number(b, 8, uint64(m.HandOffNumber))
-	return number(b, 9, m.ExpectedWork)
+	b = appendNumber(b, 1, m.ID)
+	b = appendNumber(b, 2, uint64(m.Profile))
+	b = appendBytes(b, 3, m.Key)
+	b = appendNumber(b, 4, m.Timeout)
+	b = appendBytes(b, 5, m.DeduplicationToken)
+	b = appendBytes(b, 6, m.Payload)
+	b = appendBytes(b, 7, m.Transaction)
+	b = appendNumber(b, 8, uint64(m.HandOffNumber))
+	return appendNumber(b, 9, m.ExpectedWork)
 }
 
 func (m *Done) appendTo(b []byte) []byte {
-	b = number(b, 1, m.ID)
-	b = number(b, 2, uint64(m.Ending))
-	b = number(b, 3, uint64(m.InFlight))
-	b = bytesField(b, 4, m.Payload)
-	b = number(b, 5, uint64(m.CPUUse))
-	return number(b, 6, uint64(m.ServedRate))
+	b = appendNumber(b, 1, m.ID)
+	b = appendNumber(b, 2, uint64(m.Ending))
+	b = appendNumber(b, 3, uint64(m.InFlight))
+	b = appendBytes(b, 4, m.Payload)
+	b = appendNumber(b, 5, uint64(m.CPUUse))
+	return appendNumber(b, 6, uint64(m.ServedRate))
 }
 
-func (m *IDMessage) appendTo(b []byte) []byte { return number(b, 1, m.ID) }
+func (m *IDMessage) appendTo(b []byte) []byte { return appendNumber(b, 1, m.ID) }
 
 // each walks the fields of a message. What has another type than the schema gives it is passed over, as generated
 // code does with unknown fields.
-func each(b []byte, varint func(protowire.Number, uint64), data func(protowire.Number, []byte)) error {
+func forEachField(b []byte, varint func(protowire.Number, uint64), bytes func(protowire.Number, []byte)) error {
 	for len(b) > 0 {
-		field, kind, n := protowire.ConsumeTag(b)
+		field, wireType, n := protowire.ConsumeTag(b)
 		if n < 0 {
 			return protowire.ParseError(n)
 		}
 		b = b[n:]
-		switch kind {
+		switch wireType {
 		case protowire.VarintType:
 			v, n := protowire.ConsumeVarint(b)
 			if n < 0 {
@@ -146,10 +146,10 @@
 			if n < 0 {
 				return protowire.ParseError(n)
 			}
-			data(field, v)
+			bytes(field, v)
 			b = b[n:]
 		default:
-			n := protowire.ConsumeFieldValue(field, kind, b)
+			n := protowire.ConsumeFieldValue(field, wireType, b)
 			if n < 0 {
 				return protowire.ParseError(n)
 			}
@@ -162,7 +162,7 @@
 // Read takes the message from a frame's body.
 func (m *Ask) Read(b []byte) error {
 	*m = Ask{}
-	return each(b, func(f protowire.Number, v uint64) {
+	return forEachField(b, func(f protowire.Number, v uint64) {
 		switch f {
 		case 1:
 			m.ID = v
@@ -194,7 +194,7 @@
 // Read takes the message from a frame's body.
 func (m *Answer) Read(b []byte) error {
 	*m = Answer{}
-	return each(b, func(f protowire.Number, v uint64) {
+	return forEachField(b, func(f protowire.Number, v uint64) {
 		switch f {
 		case 1:
 			m.ID = v
@@ -218,7 +218,7 @@
 // Read takes the message from a frame's body.
 func (m *Work) Read(b []byte) error {
 	*m = Work{}
-	return each(b, func(f protowire.Number, v uint64) {
+	return forEachField(b, func(f protowire.Number, v uint64) {
 		switch f {
 		case 1:
 			m.ID = v
@@ -248,7 +248,7 @@
 // Read takes the message from a frame's body.
 func (m *Done) Read(b []byte) error {
 	*m = Done{}
-	return each(b, func(f protowire.Number, v uint64) {
+	return forEachField(b, func(f protowire.Number, v uint64) {
 		switch f {
 		case 1:
 			m.ID = v
@@ -271,7 +271,7 @@
 // Read takes the message from a frame's body.
 func (m *IDMessage) Read(b []byte) error {
 	*m = IDMessage{}
-	return each(b, func(f protowire.Number, v uint64) {
+	return forEachField(b, func(f protowire.Number, v uint64) {
 		if f == 1 {
 			m.ID = v
 		}
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -41,10 +41,10 @@
 type DataHandler func(l *Link, data []byte) (rest []byte, err error)
 
 // frames reads frames.
-func frames(most int, handle Handler) DataHandler {
+func frameDecoder(maxBytes int, handle Handler) DataHandler {
 	return func(l *Link, data []byte) ([]byte, error) {
 		for {
-			kind, body, rest, ok, err := split(data, most)
+			kind, body, rest, ok, err := nextFrame(data, maxBytes)
 			if err == nil && ok {
 				err = handle(l, kind, body)
 			}
@@ -60,45 +60,45 @@
 // from any goroutine. The closed callback is called once, by whoever closes it or on the poller; the handler may still be
 // at work then.
 type Link struct {
-	conn  netpoll.Connection
-	read  DataHandler
-	ended func(*Link, error)
-	carry []byte // what has not come whole
-	most  int
+	conn       netpoll.Connection
+	handle     DataHandler
+	onClosed   func(*Link, error)
+	partial    []byte // what has not come whole
+	maxPending int
 	// the other side's address, empty where this side was dialled
 	remote string
 	peer   net.Addr
 
-	mu       sync.Mutex
-	pending  []byte
-	spare    []byte
-	flushing bool
-	dead     bool
-	then     []func() // to be called once all is written
-	put      int64    // bytes so far
-	buffered int64    // bytes that the owner holds for the other side and has not put yet
-	counted  int64    // bytes that the budget was told of
-	full     bool     // so much waits that nothing more is to be read
-	taken    int64    // of these, up to where the system is being given them
-	written  int64    // and up to where the system has them
-	failed   bool     // what was taken last was not written whole
-	once     sync.Once
-	flushFn  func()
+	mu           sync.Mutex
+	pending      []byte
+	reusable     []byte
+	flushing     bool
+	closed       bool
+	whenWritten  []func() // to be called once all is written
+	putBytes     int64    // bytes so far
+	buffered     int64    // bytes that the owner holds for the other side and has not put yet
+	budgeted     int64    // bytes that the budget was told of
+	readPaused   bool     // so much waits that nothing more is to be read
+	sendingBytes int64    // of these, up to where the system is being given them
+	writtenBytes int64    // and up to where the system has them
+	writeFailed  bool     // what was taken last was not written whole
+	closeOnce    sync.Once
+	flushFn      func()
 
 	fdMu     sync.Mutex
 	fd       int
-	gone     bool     // the descriptor is closed or about to be, and may soon be another's
+	fdClosed bool     // the descriptor is closed or about to be, and may soon be another's
 	detached bool     // the dependency has it no more
 	mode     readMode // how far a detached link is read
-	watch    int32    // its number at the watcher, 0 if it has none
-
-	readMu    sync.Mutex // held over a read of the watcher
-	missing   func(part []byte) int
-	stopped   bool // reading does not begin again; the poller's
-	server    bool // of a server: reading stops while too much waits
-	budget    *BufferBudget
-	slowAfter time.Duration
-	onClosed  func() // called once the socket is closed, nil if nobody asks
+	watchID  int32    // its number at the watcher, 0 if it has none
+
+	readMu            sync.Mutex // held over a read of the watcher
+	missingBytes      func(part []byte) int
+	readStopped       bool // reading does not begin again; the poller's
+	isServer          bool // of a server: reading stops while too much waits
+	budget            *BufferBudget
+	slowReaderTimeout time.Duration
+	onSocketClosed    func() // called once the socket is closed, nil if nobody asks
 }
 
 // Bounds of a link, in bytes.
@@ -115,142 +115,142 @@
 // DefaultBounds suit every role.
 var DefaultLimits = Limits{MaxFrameBytes: MaxFrameBytes, MaxPendingBytes: 8 << 20}
 
-func newLink(conn netpoll.Connection, b Limits, read DataHandler, ended func(*Link, error)) *Link {
-	l := &Link{conn: conn, read: read, ended: ended, most: b.MaxPendingBytes, slowAfter: cmp.Or(b.SlowReaderTimeout, slowReaderAfter), budget: b.Budget, peer: conn.RemoteAddr()}
+func newLink(conn netpoll.Connection, limits Limits, handle DataHandler, onClosed func(*Link, error)) *Link {
+	l := &Link{conn: conn, handle: handle, onClosed: onClosed, maxPending: limits.MaxPendingBytes, slowReaderTimeout: cmp.Or(limits.SlowReaderTimeout, defaultSlowReaderTimeout), budget: limits.Budget, peer: conn.RemoteAddr()}
 	l.flushFn = l.flush
 	l.fd = -1
 	if conn, ok := conn.(netpoll.Conn); ok {
 		l.fd = conn.Fd()
 	}
-	l.adopt(conn)
+	l.setConn(conn)
 	return l
 }
 
 // Dial opens a link of frames. It blocks for at most the limit.
-func Dial(address string, limit time.Duration, b Limits, handle Handler, ended func(*Link, error)) (*Link, error) {
-	return DialRaw(address, limit, b, frames(b.MaxFrameBytes, handle), ended)
+func Dial(address string, timeout time.Duration, limits Limits, handle Handler, onClosed func(*Link, error)) (*Link, error) {
+	return DialRaw(address, timeout, limits, frameDecoder(limits.MaxFrameBytes, handle), onClosed)
 }
 
 // DialRaw opens a link whose reader takes the bytes as they come.
-func DialRaw(address string, limit time.Duration, b Limits, read DataHandler, ended func(*Link, error)) (*Link, error) {
-	conn, err := dial(address, limit)
+func DialRaw(address string, timeout time.Duration, limits Limits, handle DataHandler, onClosed func(*Link, error)) (*Link, error) {
+	conn, err := dial(address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	l := newLink(conn, b, read, ended)
+	l := newLink(conn, limits, handle, onClosed)
 	l.remote = address
-	if err := conn.SetOnRequest(l.arrivedOn); err != nil {
+	if err := conn.SetOnRequest(l.handleData); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	if !conn.IsActive() { // closed before anyone could be told of it
-		l.over(net.ErrClosed)
+		l.markClosed(net.ErrClosed)
 		conn.Close()
 	}
 	return l, nil
 }
 
 // arrivedOn gives the reader what has come. It always takes all that is there and waits for nothing.
-func (l *Link) arrivedOn(_ context.Context, conn netpoll.Connection) error {
+func (l *Link) handleData(_ context.Context, conn netpoll.Connection) error {
 	r := conn.Reader()
 	data, err := r.Next(r.Len())
 	if err != nil {
 		return err
 	}
-	if len(l.carry) > 0 {
-		l.carry = append(l.carry, data...)
-		data = l.carry
+	if len(l.partial) > 0 {
+		l.partial = append(l.partial, data...)
+		data = l.partial
 	}
-	rest, err := l.read(l, data)
+	rest, err := l.handle(l, data)
 	if err != nil {
-		l.carry = nil
+		l.partial = nil
 		r.Release()
 		l.Close(err)
 		return err
 	}
-	if len(rest) > 0 && len(l.carry) > 0 && &rest[0] == &l.carry[0] {
-		l.carry = l.carry[:len(rest)]
+	if len(rest) > 0 && len(l.partial) > 0 && &rest[0] == &l.partial[0] {
+		l.partial = l.partial[:len(rest)]
 	} else {
-		l.carry = append(l.carry[:0], rest...)
+		l.partial = append(l.partial[:0], rest...)
 	}
-	if len(rest) == 0 && cap(l.carry) > 64<<10 {
-		l.carry = nil
+	if len(rest) == 0 && cap(l.partial) > 64<<10 {
+		l.partial = nil
 	}
 	return r.Release()
 }
 
 // add has something appended to what waits to be written. What is owed is taken however much waits.
-func (l *Link) add(owed bool, write func(to []byte) ([]byte, error)) bool {
+func (l *Link) enqueue(unbounded bool, encode func(buf []byte) ([]byte, error)) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.dead || !owed && len(l.pending) > l.most {
+	if l.closed || !unbounded && len(l.pending) > l.maxPending {
 		return false
 	}
-	to, err := write(l.pending)
+	buf, err := encode(l.pending)
 	if err == nil {
-		l.put += int64(len(to) - len(l.pending))
-		l.pending = to
-		l.account()
+		l.putBytes += int64(len(buf) - len(l.pending))
+		l.pending = buf
+		l.updateBuffered()
 	}
 	return err == nil
 }
 
 // frame is add for a frame of a kind.
-func (l *Link) frame(owed bool, kind Kind, message func(to []byte) ([]byte, error)) bool {
-	return l.add(owed, func(to []byte) ([]byte, error) {
-		to, at := begin(to, kind)
-		to, err := message(to)
+func (l *Link) enqueueFrame(unbounded bool, kind Kind, appendMessage func(buf []byte) ([]byte, error)) bool {
+	return l.enqueue(unbounded, func(buf []byte) ([]byte, error) {
+		buf, start := beginFrame(buf, kind)
+		buf, err := appendMessage(buf)
 		if err == nil {
-			finish(to, at)
+			finishFrame(buf, start)
 		}
-		return to, err
+		return buf, err
 	})
 }
 
 // Put adds a frame to what waits to be written. False says that nothing of it will ever leave: the link has
 // closed or too much waits already.
 func (l *Link) Put(kind Kind, m Message) bool {
-	return l.frame(false, kind, func(to []byte) ([]byte, error) { return m.appendTo(to), nil })
+	return l.enqueueFrame(false, kind, func(to []byte) ([]byte, error) { return m.appendTo(to), nil })
 }
 
 // PutOwed is Put for an answer: it is refused only where the link has ended.
 func (l *Link) PutUnbounded(kind Kind, m Message) bool {
-	return l.frame(true, kind, func(to []byte) ([]byte, error) { return m.appendTo(to), nil })
+	return l.enqueueFrame(true, kind, func(to []byte) ([]byte, error) { return m.appendTo(to), nil })
 }
 
 // PutProto is Put for generated messages.
 func (l *Link) PutProto(kind Kind, m proto.Message) bool {
-	return l.frame(false, kind, func(to []byte) ([]byte, error) { return proto.MarshalOptions{}.MarshalAppend(to, m) })
+	return l.enqueueFrame(false, kind, func(to []byte) ([]byte, error) { return proto.MarshalOptions{}.MarshalAppend(to, m) })
 }
 
 // PutFrame is Put for a message that is encoded already.
 func (l *Link) PutEncoded(kind Kind, body []byte) bool {
-	return l.frame(false, kind, func(to []byte) ([]byte, error) { return append(to, body...), nil })
+	return l.enqueueFrame(false, kind, func(to []byte) ([]byte, error) { return append(to, body...), nil })
 }
 
 // PutRaw adds bytes that are frames already, or are meant to be none.
 func (l *Link) PutRaw(b []byte) bool {
-	return l.add(false, func(to []byte) ([]byte, error) { return append(to, b...), nil })
+	return l.enqueue(false, func(to []byte) ([]byte, error) { return append(to, b...), nil })
 }
 
 // PutRawOwed is PutRaw for an answer: it is refused only where the link has ended.
 func (l *Link) PutRawUnbounded(b []byte) bool {
-	return l.add(true, func(to []byte) ([]byte, error) { return append(to, b...), nil })
+	return l.enqueue(true, func(to []byte) ([]byte, error) { return append(to, b...), nil })
 }
 
 // Mark is how many bytes were put so far, for MayHave.
 func (l *Link) PutOffset() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.put
+	return l.putBytes
 }
 
 // MayHave says whether the other side may have all that was put up to a mark. It has not, as is proven, while the system was
 // not given the last byte, or once it has refused it.
-func (l *Link) MayHaveSent(mark int64) bool {
+func (l *Link) MayHaveSent(offset int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return mark <= l.written || mark <= l.taken && !l.failed
+	return offset <= l.writtenBytes || offset <= l.sendingBytes && !l.writeFailed
 }
 
 // Send is PutProto and Flush.
@@ -264,13 +264,13 @@
 func (l *Link) HasPendingWrites() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.dead && (l.flushing || len(l.pending) > 0)
+	return !l.closed && (l.flushing || len(l.pending) > 0)
 }
 
 // Flush has written what waits, on a goroutine of its own, since a socket that is full makes the writer wait.
 func (l *Link) Flush() {
 	l.mu.Lock()
-	start := !l.flushing && !l.dead && len(l.pending) > 0
+	start := !l.flushing && !l.closed && len(l.pending) > 0
 	l.flushing = l.flushing || start
 	l.mu.Unlock()
 	if start {
@@ -281,10 +281,10 @@
 func (l *Link) flush() {
 	for {
 		l.mu.Lock()
-		if l.dead || len(l.pending) == 0 {
+		if l.closed || len(l.pending) == 0 {
 			l.flushing = false
-			then := l.then
-			l.then = nil
+			then := l.whenWritten
+			l.whenWritten = nil
 			l.mu.Unlock()
 			for _, f := range then {
 				f()
@@ -292,15 +292,15 @@
 			return
 		}
 		out := l.pending
-		l.pending, l.spare = l.spare[:0], nil
-		l.taken = l.put
+		l.pending, l.reusable = l.reusable[:0], nil
+		l.sendingBytes = l.putBytes
 		l.mu.Unlock()
 		err := l.sendAll(out)
 		l.mu.Lock()
 		if cap(out) <= 256<<10 {
-			l.spare = out[:0]
+			l.reusable = out[:0]
 		}
-		l.failed = err != nil
+		l.writeFailed = err != nil
 		l.mu.Unlock()
 		if err != nil {
 			l.Close(fmt.Errorf("write: %w", err))
@@ -312,12 +312,12 @@
 // WhenWritten calls a function once what waits has been written, or the link has ended.
 func (l *Link) WhenWritten(then func()) {
 	l.mu.Lock()
-	now := !l.flushing && (l.dead || len(l.pending) == 0)
-	if !now {
-		l.then = append(l.then, then)
+	written := !l.flushing && (l.closed || len(l.pending) == 0)
+	if !written {
+		l.whenWritten = append(l.whenWritten, then)
 	}
 	l.mu.Unlock()
-	if now {
+	if written {
 		then()
 	} else {
 		l.Flush()
@@ -327,11 +327,11 @@
 // CloseUnread ends the link at once, on the poller, and says whether it did: not if something stands unread, has come in part
 // (unless parts are given up), waits to be written or has not arrived: what comes after a close resets the connection, and what
 // is on its way to the other side is gone with it. What comes from then on is never read, and its sender sees that.
-func (l *Link) CloseIfIdle(reason error, parts bool) bool {
-	if l.isDetached() || !parts && len(l.carry) > 0 || l.HasPendingWrites() || l.unacknowledged() > 0 || !l.IsReadIdle() {
+func (l *Link) CloseIfIdle(reason error, discardPartial bool) bool {
+	if l.isDetached() || !discardPartial && len(l.partial) > 0 || l.HasPendingWrites() || l.unacknowledgedBytes() > 0 || !l.IsReadIdle() {
 		return false
 	}
-	l.over(reason)
+	l.markClosed(reason)
 	_ = l.conn.Close() // not of the connection whose handler is at work, if any: see init
 	return true
 }
@@ -339,22 +339,22 @@
 // Close ends the link for a reason. What waits to be written may be lost. The handler may still be at work on another
 // goroutine, and must take what it does then for nothing. The socket is shut down and left to the poller to close.
 func (l *Link) Close(reason error) {
-	l.over(reason)
+	l.markClosed(reason)
 	if l.isDetached() {
-		l.release(reason)
+		l.closeDetached(reason)
 		return
 	}
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
-	if !l.gone {
+	if !l.fdClosed {
 		_ = syscall.Shutdown(l.fd, syscall.SHUT_RDWR)
 	}
 }
 
-func (l *Link) isGone() bool {
+func (l *Link) isFDClosed() bool {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
-	return l.gone
+	return l.fdClosed
 }
 
 func (l *Link) isDetached() bool {
@@ -363,37 +363,37 @@
 	return l.detached
 }
 
-func (l *Link) over(reason error) {
-	l.once.Do(func() {
+func (l *Link) markClosed(reason error) {
+	l.closeOnce.Do(func() {
 		l.mu.Lock()
-		l.dead = true
-		l.account()
+		l.closed = true
+		l.updateBuffered()
 		l.mu.Unlock()
-		if l.ended != nil {
-			l.ended(l, reason)
+		if l.onClosed != nil {
+			l.onClosed(l, reason)
 		}
 	})
 }
 
 // InPart says that a message has come in part, on the poller.
-func (l *Link) HasPartialMessage() bool { return len(l.carry) > 0 }
+func (l *Link) HasPartialMessage() bool { return len(l.partial) > 0 }
 
 // Dead says whether the link has ended.
 func (l *Link) Dead() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.dead
+	return l.closed
 }
 
 // Quiet says that nothing stands in the socket unread and the other side has not ended it, as far as has come here.
 func (l *Link) IsReadIdle() bool {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
-	if l.gone {
+	if l.fdClosed {
 		return false
 	}
 	var one [1]byte
-	for range mostInterrupts {
+	for range maxInterruptions {
 		if _, _, err := syscall.Recvfrom(l.fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); err != syscall.EINTR {
 			return err == syscall.EAGAIN
 		}
--- a/internal/wire/listen.go
+++ b/internal/wire/listen.go
@@ -9,26 +9,26 @@
 )
 
 // listenWithin is how long a listener is tried for while the system is short of what it takes.
-const listenWithin = 5 * time.Second
+const listenTimeout = 5 * time.Second
 
 func listen(address string) (net.Listener, error) {
-	for end, wait := time.Now().Add(listenWithin), firstDialWait; ; wait = min(2*wait, longestDialWait) {
+	for deadline, backoff := time.Now().Add(listenTimeout), minDialBackoff; ; backoff = min(2*backoff, maxDialBackoff) {
 		listener, err := net.Listen("tcp", address)
-		if err == nil || !passesInDial(err) || time.Now().After(end) {
+		if err == nil || !isTransientDialError(err) || time.Now().After(deadline) {
 			return listener, err
 		}
-		time.Sleep(wait)
+		time.Sleep(backoff)
 	}
 }
 
 // listener is what a server accepts connections from. The dependency's own closes its descriptor twice, and in between the
 // number may have become that of another file.
 type listener struct {
-	file  *os.File
-	fd    int
-	addr  net.Addr
-	taken sync.Once
-	ready chan struct{} // closed once the event loop has taken it up
+	file      *os.File
+	fd        int
+	addr      net.Addr
+	readyOnce sync.Once
+	ready     chan struct{} // closed once the event loop has taken it up
 
 	mu     sync.Mutex
 	closed bool
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
-	return &accepted{fd: fd, local: l.addr, remote: addressOf(peer)}, nil
+	return &acceptedConn{fd: fd, local: l.addr, remote: tcpAddr(peer)}, nil
 }
 
 // Addr is where it listens.
@@ -71,7 +71,7 @@
 
 // Fd is its descriptor, for the event loop.
 func (l *listener) Fd() int {
-	l.taken.Do(func() { close(l.ready) })
+	l.readyOnce.Do(func() { close(l.ready) })
 	return l.fd
 }
 
@@ -96,18 +96,18 @@
 }
 
 // accepted is a connection that was taken up, for the event loop to read and close.
-type accepted struct {
+type acceptedConn struct {
 	net.Conn      // none: the event loop uses the descriptor
 	fd            int
 	local, remote net.Addr
 }
 
-func (a *accepted) Fd() int              { return a.fd }
-func (a *accepted) LocalAddr() net.Addr  { return a.local }
-func (a *accepted) RemoteAddr() net.Addr { return a.remote }
+func (a *acceptedConn) Fd() int              { return a.fd }
+func (a *acceptedConn) LocalAddr() net.Addr  { return a.local }
+func (a *acceptedConn) RemoteAddr() net.Addr { return a.remote }
 
 // addressOf gives the address of a peer.
-func addressOf(peer syscall.Sockaddr) net.Addr {
+func tcpAddr(peer syscall.Sockaddr) net.Addr {
 	switch p := peer.(type) {
 	case *syscall.SockaddrInet4:
 		return &net.TCPAddr{IP: p.Addr[:], Port: p.Port}
--- a/internal/wire/poller.go
+++ b/internal/wire/poller.go
@@ -10,19 +10,19 @@
 )
 
 // turns are functions that wait for their turn on the poller.
-type turns struct {
-	conn netpoll.Connection // of the eventfd, kept from the collector
-	fd   int
-	mu   sync.Mutex
-	all  []func()
+type pollerQueue struct {
+	conn    netpoll.Connection // of the eventfd, kept from the collector
+	fd      int
+	mu      sync.Mutex
+	pending []func()
 }
 
-var poller = sync.OnceValue(func() *turns {
+var getPollerQueue = sync.OnceValue(func() *pollerQueue {
 	fd, _, errno := syscall.Syscall(syscall.SYS_EVENTFD2, 0, syscall.O_NONBLOCK|syscall.O_CLOEXEC, 0)
 	if errno != 0 {
 		return nil
 	}
-	q := &turns{fd: int(fd)}
+	q := &pollerQueue{fd: int(fd)}
 	conn, err := netpoll.NewFDConnection(q.fd)
 	if err != nil {
 		return nil
@@ -37,14 +37,14 @@
 // OnPoller calls f on the poller, soon. What any connection has brought until then has gone through its reader, or has not
 // been read at all: only there can it be told which. f must wait for nothing.
 func RunOnPoller(f func()) {
-	q := poller()
+	q := getPollerQueue()
 	if q == nil { // no descriptor is left
 		go f()
 		return
 	}
 	q.mu.Lock()
-	q.all = append(q.all, f)
-	first := len(q.all) == 1
+	q.pending = append(q.pending, f)
+	first := len(q.pending) == 1
 	q.mu.Unlock()
 	if first {
 		one := binary.NativeEndian.AppendUint64(nil, 1)
@@ -52,7 +52,7 @@
 	}
 }
 
-func (q *turns) run(_ context.Context, conn netpoll.Connection) error {
+func (q *pollerQueue) run(_ context.Context, conn netpoll.Connection) error {
 	r := conn.Reader()
 	if err := r.Skip(r.Len()); err != nil {
 		return err
@@ -61,10 +61,10 @@
 		return err
 	}
 	q.mu.Lock()
-	all := q.all
-	q.all = nil
+	pending := q.pending
+	q.pending = nil
 	q.mu.Unlock()
-	for _, f := range all {
+	for _, f := range pending {
 		f()
 	}
 	return nil
--- a/internal/wire/send_test.go
+++ b/internal/wire/send_test.go
@@ -12,7 +12,7 @@
 
 // faultySends has the system call that writes fail or take less, as a test says of its n-th call, from 1.
 func faultySends(t *testing.T, fault func(n int64, p []byte) (take int, err error)) {
-	real := sendTo.Load()
+	real := sendSyscall.Load()
 	var calls atomic.Int64
 	faulty := sendCall(func(fd int, p []byte) (int, error) {
 		take, err := fault(calls.Add(1), p)
@@ -21,8 +21,8 @@
 		}
 		return (*real)(fd, p[:take])
 	})
-	sendTo.Store(&faulty)
-	t.Cleanup(func() { sendTo.Store(real) })
+	sendSyscall.Store(&faulty)
+	t.Cleanup(func() { sendSyscall.Store(real) })
 }
 
 // echo serves a link that sends back what comes.
@@ -119,7 +119,7 @@
 			l.PutRaw([]byte("answer"))
 			mark := l.PutOffset()
 			l.Flush()
-			for passes(lasting) && calls.Load() < mostInterrupts+3 {
+			for isTransient(lasting) && calls.Load() < maxInterruptions+3 {
 				time.Sleep(time.Millisecond)
 			}
 			c.Close()
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -13,28 +13,28 @@
 
 // Server takes connections.
 type Server struct {
-	Address  string
-	loop     netpoll.EventLoop
-	listener *listener
-	mu       sync.Mutex
-	links    map[*Link]struct{}
-	open     int // sockets
+	Address     string
+	loop        netpoll.EventLoop
+	listener    *listener
+	mu          sync.Mutex
+	links       map[*Link]struct{}
+	openSockets int // sockets
 
-	accepted atomic.Int64
+	acceptedCount atomic.Int64
 
-	refusing bool
+	rejecting bool
 }
 
 // Serve listens and makes a link of each connection. The handler that accept returns takes its frames.
-func Serve(address string, b Limits, accept func(*Link) (Handler, func(*Link, error))) (*Server, error) {
-	return ServeRaw(address, b, func(l *Link) (DataHandler, func(*Link, error)) {
-		handle, ended := accept(l)
-		return frames(b.MaxFrameBytes, handle), ended
+func Serve(address string, limits Limits, accept func(*Link) (Handler, func(*Link, error))) (*Server, error) {
+	return ServeRaw(address, limits, func(l *Link) (DataHandler, func(*Link, error)) {
+		handle, onClosed := accept(l)
+		return frameDecoder(limits.MaxFrameBytes, handle), onClosed
 	})
 }
 
 // ServeRaw is Serve for readers of bytes.
-func ServeRaw(address string, b Limits, accept func(*Link) (DataHandler, func(*Link, error))) (*Server, error) {
+func ServeRaw(address string, limits Limits, accept func(*Link) (DataHandler, func(*Link, error))) (*Server, error) {
 	listener, err := newListener(address)
 	if err != nil {
 		return nil, err
@@ -46,33 +46,33 @@
 			return ctx.Value(linkKey{}).(netpoll.OnRequest)(ctx, conn)
 		},
 		netpoll.WithOnPrepare(func(conn netpoll.Connection) context.Context {
-			s.accepted.Add(1)
-			l := newLink(conn, b, nil, nil)
-			l.server = true
-			read, ended := accept(l)
-			l.read = read
-			l.ended = func(l *Link, reason error) {
+			s.acceptedCount.Add(1)
+			l := newLink(conn, limits, nil, nil)
+			l.isServer = true
+			handle, onClosed := accept(l)
+			l.handle = handle
+			l.onClosed = func(l *Link, reason error) {
 				s.mu.Lock()
 				delete(s.links, l)
 				s.mu.Unlock()
-				if ended != nil {
-					ended(l, reason)
+				if onClosed != nil {
+					onClosed(l, reason)
 				}
 			}
 			s.mu.Lock()
-			refusing := s.refusing
+			rejecting := s.rejecting
 			s.links[l] = struct{}{}
-			s.open++
+			s.openSockets++
 			s.mu.Unlock()
-			l.onClosed = func() {
+			l.onSocketClosed = func() {
 				s.mu.Lock()
-				s.open--
+				s.openSockets--
 				s.mu.Unlock()
 			}
-			if refusing {
+			if rejecting {
 				l.Close(ErrClosed)
 			}
-			return context.WithValue(context.Background(), linkKey{}, netpoll.OnRequest(l.arrivedOn))
+			return context.WithValue(context.Background(), linkKey{}, netpoll.OnRequest(l.handleData))
 		}))
 	if err != nil {
 		return nil, err
@@ -95,17 +95,17 @@
 // close every connection on which nothing is being read, whatever is owed on it.)
 func (s *Server) RejectConnections() {
 	s.mu.Lock()
-	s.refusing = true
+	s.rejecting = true
 	s.mu.Unlock()
 }
 
 // CloseListener refuses new connections from now on, and calls closed on the poller then; or it calls it with false, since a
 // connection that the system had accepted was taken up meanwhile: it may have brought something.
 func (s *Server) CloseListenerIfIdle(closed func(bool)) {
-	began := s.accepted.Load()
+	before := s.acceptedCount.Load()
 	RunOnPoller(func() { // whatever the system had accepted by now is taken up before the next turn
 		RunOnPoller(func() {
-			if s.accepted.Load() != began {
+			if s.acceptedCount.Load() != before {
 				closed(false)
 				return
 			}
@@ -129,10 +129,10 @@
 }
 
 // stopWithin is how long a step of a server's end may take.
-const stopWithin = time.Second
+const stopTimeout = time.Second
 
 // all lists the links.
-func (s *Server) all() []*Link {
+func (s *Server) allLinks() []*Link {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Keys(s.links))
@@ -143,29 +143,29 @@
 	stopped := make(chan struct{})
 	RunOnPoller(func() {
 		defer close(stopped)
-		for _, l := range s.all() {
+		for _, l := range s.allLinks() {
 			l.stopAllReading()
 		}
 	})
 	select {
 	case <-stopped:
-	case <-time.After(stopWithin):
+	case <-time.After(stopTimeout):
 	}
 }
 
 // Finish ends all links as Link.Finish does, and waits for them.
-func (s *Server) FlushAndClose(linger, most time.Duration) {
-	for _, l := range s.all() {
-		l.FlushAndClose(ErrClosed, linger, most)
+func (s *Server) FlushAndClose(linger, maxLinger time.Duration) {
+	for _, l := range s.allLinks() {
+		l.FlushAndClose(ErrClosed, linger, maxLinger)
 	}
-	s.waitClosed()
+	s.waitSocketsClosed()
 }
 
 // waitClosed waits until no socket is open.
-func (s *Server) waitClosed() {
-	for end := time.Now().Add(stopWithin); time.Now().Before(end); time.Sleep(time.Millisecond) {
+func (s *Server) waitSocketsClosed() {
+	for end := time.Now().Add(stopTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
-		open := s.open
+		open := s.openSockets
 		s.mu.Unlock()
 		if open == 0 {
 			return
@@ -176,11 +176,11 @@
 // Close ends the server with all its links.
 func (s *Server) Close() {
 	s.RejectConnections()
-	for _, l := range s.all() {
+	for _, l := range s.allLinks() {
 		l.Close(ErrClosed)
 	}
-	s.waitClosed()
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	s.waitSocketsClosed()
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	_ = s.loop.Shutdown(ctx)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -114,7 +114,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var r AttributeReader
 		err := r.Read(data, func([]byte) bool { return true }, func(v *match.Carried) {
-			if len(v.Items) > mostItems {
+			if len(v.Items) > maxListItems {
 				t.Errorf("%d elements", len(v.Items))
 			}
 		})
@@ -145,9 +145,9 @@
 
 // Whatever bytes come, and however they are cut up, the same frames or the same fault come out.
 func FuzzSplit(f *testing.F) {
-	whole, at := begin(nil, KindAsk)
+	whole, at := beginFrame(nil, KindAsk)
 	whole = (&Ask{ID: 7, Key: []byte("k")}).appendTo(whole)
-	finish(whole, at)
+	finishFrame(whole, at)
 	f.Add(whole, 3)
 	f.Add(append(whole, 0, 0, 0, 0, 1), 9)
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 2}, 1)
@@ -161,7 +161,7 @@
 			for _, p := range parts {
 				carry = append(carry, p...)
 				for {
-					kind, body, rest, ok, err := split(carry, 1<<16)
+					kind, body, rest, ok, err := nextFrame(carry, 1<<16)
 					if err != nil {
 						return out, true
 					}
