--- a/internal/wire/attributes.go
+++ b/internal/wire/attributes.go
@@ -9,10 +9,10 @@
 	"scalechute/internal/match"
 )
 
-// Attributes as pb.Attributes has them, read and written without copies: the texts that a reader gives lie in the frame
-// and are good only as long as it is.
+// Attributes are encoded and decoded as pb.Attributes without copies: the texts that an AttributeReader returns point into the
+// frame, and are valid only as long as the frame is.
 
-// AppendAttribute adds one to a body of attributes.
+// AppendAttribute appends an attribute to an encoded pb.Attributes. An element of a list has an empty name.
 func AppendAttribute(b []byte, name string, value *match.Carried) []byte {
 	b = protowire.AppendTag(b, 1, protowire.BytesType)
 	b = protowire.AppendVarint(b, uint64(attributeSize(name, value)))
@@ -42,7 +42,7 @@
 	return b
 }
 
-// sizeAttribute is the bytes of one, without its own tag and length.
+// attributeSize returns the encoded size of an attribute in bytes, without its tag and length.
 func attributeSize(name string, value *match.Carried) (size int) {
 	if name != "" {
 		size = 1 + protowire.SizeBytes(len(name))
@@ -70,17 +70,18 @@
 	return size
 }
 
-// AttributeReader reads attributes and keeps what it needs for that from one body to the next.
+// AttributeReader decodes pb.Attributes. It reuses its memory from one call to the next.
 type AttributeReader struct {
 	value match.Carried
 	items []match.Carried
 }
 
-// mostItems bounds what is kept of a list: with more it is too long for any declared one.
+// maxListItems is the maximum number of elements that are kept of a list. A longer one exceeds every declared list type.
 const maxListItems = 1025
 
-// Read calls a function for each attribute of a body. Those whose name is not wanted, when it comes first as it does from
-// most senders, are passed over unread.
+// Read calls handle for each attribute of b whose name is wanted. The name is expected to come first, as most senders write
+// it; an attribute that is not wanted is then skipped without being decoded. An attribute with its name elsewhere is decoded
+// before its name is checked.
 func (r *AttributeReader) Read(b []byte, wanted func(name []byte) bool, handle func(v *match.Carried)) error {
 	return forEachAttribute(b, func(body []byte) error {
 		if len(body) > 1 && body[0] == 1<<3|byte(protowire.BytesType) && body[1] < 0x80 && len(body) >= 2+int(body[1]) {
@@ -103,12 +104,13 @@
 	})
 }
 
+// readTopLevel decodes an attribute that is not an element of a list into r.value.
 func (r *AttributeReader) readTopLevel(body []byte) (name []byte, err error) {
 	r.items = r.items[:0]
 	return r.readAttribute(body, &r.value, true)
 }
 
-// field is one field of a message. Short ones, which most are, are read without protowire's steps.
+// field is a decoded field of a message.
 type field struct {
 	number   protowire.Number
 	wireType protowire.Type
@@ -116,6 +118,8 @@
 	varint   uint64
 }
 
+// nextField decodes the first field of b into f and returns the bytes after it. It has a fast path without protowire for
+// one-byte tags with a one-byte varint or length, which most fields have.
 func nextField(b []byte, f *field) (rest []byte, err error) {
 	if len(b) > 1 && b[0] >= 8 && b[0] < 0x80 && b[1] < 0x80 {
 		f.number, f.wireType = protowire.Number(b[0]>>3), protowire.Type(b[0]&7)
@@ -149,7 +153,7 @@
 	return b[n:], nil
 }
 
-// eachEntry walks the entries of pb.Attributes.
+// forEachAttribute calls handle for each encoded attribute of a pb.Attributes.
 func forEachAttribute(b []byte, handle func([]byte) error) (err error) {
 	var f field
 	for len(b) > 0 {
@@ -165,9 +169,10 @@
 	return nil
 }
 
-// one reads an attribute. A list within a list has no elements for it: no declared type takes one.
+// readAttribute decodes an attribute into value. Without allowList, a list is decoded with no elements: no declared type is
+// a list of lists.
 func (r *AttributeReader) readAttribute(b []byte, value *match.Carried, allowList bool) (name []byte, err error) {
-	value.Kind, value.Text, value.Unit, value.Items = match.Text, "", "", nil // what else is left in it belongs to other kinds
+	value.Kind, value.Text, value.Unit, value.Items = match.Text, "", "", nil // fields left unchanged are not used by this kind
 	var f field
 	for len(b) > 0 {
 		if b, err = nextField(b, &f); err != nil {
@@ -220,4 +225,5 @@
 	})
 }
 
+// unsafeString returns a string that shares the memory of b.
 func unsafeString(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
--- a/internal/wire/detach.go
+++ b/internal/wire/detach.go
@@ -10,26 +10,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// The dependency reads a connection for as long as it has it, and knows no way to stop. So a link that is not to be read any
-// more, or not further than to the end of a message in part, is taken from it: the socket stays open, answers go on being
-// written to it, and a watcher of our own tells when the other side has closed.
+// Netpoll reads a connection for as long as it owns it, and offers no way to stop. To stop reading a link, or to read no further
+// than the end of a partial message, the link is detached from netpoll: the socket stays open, answers can still be written to
+// it, and the package's own watcher detects when the peer closes it.
 
-// readMode says who reads a link's socket, and how far.
+// readMode determines who reads a link's socket, and how far.
 type readMode uint8
 
 const (
-	readAll         readMode = iota // the dependency reads what comes
-	readMessageRest                 // the watcher reads the rest of a message in part
-	readNone                        // nothing is read
+	readAll     readMode = iota // netpoll reads everything
+	readPartial                 // the watcher reads the rest of a partial message
+	readNone                    // nothing is read
 )
 
-// mostReadAtOnce bounds one read of the watcher, in bytes.
+// maxWatcherReadBytes is the maximum size of a read by the watcher.
 const maxWatcherReadBytes = 64 << 10
 
-// watchRetry is the wait before the system is asked again to watch a socket, when it could not.
+// watchRetryDelay is the delay before a failed epoll call is retried.
 const watchRetryDelay = 10 * time.Millisecond
 
-// watcher tells of detached links whose other side has closed, and reads the rest of messages in part.
+// watcher detects when the peers of detached links close, and reads the rest of partial messages.
 type watcher struct {
 	epoll  int
 	mu     sync.Mutex
@@ -42,7 +42,7 @@
 	*watcher
 }
 
-// theWatcher gives the process's watcher, nil if the system is short of what it takes.
+// getWatcher returns the process's watcher, or nil if it can't be created.
 func getWatcher() *watcher {
 	globalWatcher.Lock()
 	defer globalWatcher.Unlock()
@@ -76,16 +76,16 @@
 	}
 }
 
-// interest is what the system is to tell of a link.
+// epollEvents returns the epoll events to watch for in a mode.
 func epollEvents(mode readMode) uint32 {
-	if mode == readMessageRest {
+	if mode == readPartial {
 		return unix.EPOLLIN | unix.EPOLLRDHUP
 	}
 	return unix.EPOLLRDHUP
 }
 
-// set has a detached link watched for what its mode asks for. The link's fdMu is held.
-func (w *watcher) watch(l *Link) {
+// update watches a detached link for the events of its mode. The link's fdMu is held.
+func (w *watcher) update(l *Link) {
 	operation := unix.EPOLL_CTL_MOD
 	w.mu.Lock()
 	if l.watchID == 0 {
@@ -95,7 +95,7 @@
 		w.links[l.watchID] = l
 	}
 	w.mu.Unlock()
-	// The event's number is ours and not the descriptor's, which may be another's by the time the event is taken up.
+	// The event carries the watch ID and not the descriptor, whose number may be reused by the time the event is handled.
 	event := unix.EpollEvent{Events: epollEvents(l.mode), Fd: l.watchID}
 	err := unix.EpollCtl(w.epoll, operation, l.fd, &event)
 	if err == unix.ENOENT {
@@ -106,13 +106,13 @@
 			l.fdMu.Lock()
 			defer l.fdMu.Unlock()
 			if l.detached && !l.fdClosed {
-				w.watch(l)
+				w.update(l)
 			}
 		})
 	}
 }
 
-// drop ends the watch of a link. The link's fdMu is held.
+// unwatch stops watching a link. The link's fdMu is held.
 func (w *watcher) unwatch(l *Link) {
 	w.mu.Lock()
 	delete(w.links, l.watchID)
@@ -121,9 +121,9 @@
 	_ = unix.EpollCtl(w.epoll, unix.EPOLL_CTL_DEL, l.fd, nil)
 }
 
-// detach takes a link from the dependency, on the poller, and says whether it is detached. What had been read by then has
-// gone through the reader. The link goes on with a descriptor of its own: the dependency may be closing its one just now, on
-// another goroutine, since the other side has ended the connection.
+// detach detaches a link from netpoll and reports whether it is detached; it is called on the poller. All data read by then has
+// passed through the handler. The link continues with a duplicate of the descriptor: netpoll may be closing its own at the same
+// time, on another goroutine, because the peer has closed the connection.
 func (l *Link) detach(mode readMode) bool {
 	w := getWatcher()
 	if w == nil {
@@ -144,7 +144,7 @@
 		}
 		previous, l.fd, l.detached = l.conn, duplicated, true
 	}
-	w.watch(l)
+	w.update(l)
 	l.fdMu.Unlock()
 	if previous != nil {
 		_ = previous.Close()
@@ -152,18 +152,20 @@
 	return true
 }
 
-// StopReading has nothing more read than the rest of the message that has come in part. It is called on the poller, once.
-// missing gives the bytes that a part lacks at the least. False says that the system can't do it now.
+// StopReadingAtMessageEnd stops reading after the rest of a partial message. It is called once, on the poller. missingBytes
+// returns the least number of bytes that a partial message still lacks. It returns false if the link could not be detached, for
+// want of a descriptor; the caller may retry.
 func (l *Link) StopReadingAtMessageEnd(missingBytes func(partial []byte) int) bool {
 	l.missingBytes, l.readStopped = missingBytes, true
 	mode := readNone
 	if len(l.partial) > 0 {
-		mode = readMessageRest
+		mode = readPartial
 	}
 	return l.detach(mode)
 }
 
-// stopReadingNow has nothing more read at all, on the poller. It waits for a read in hand.
+// stopAllReading stops reading for good, whether or not StopReadingAtMessageEnd was called. It is called on the poller, and waits
+// for a read in progress.
 func (l *Link) stopAllReading() {
 	if !l.readStopped {
 		l.readStopped = true
@@ -172,7 +174,7 @@
 	l.StopReadingNow()
 }
 
-// attach gives a detached link back to the dependency, on the poller.
+// attach gives a detached link back to netpoll. It is called on the poller.
 func (l *Link) attach() {
 	l.fdMu.Lock()
 	if l.fdClosed || !l.detached {
@@ -181,40 +183,40 @@
 	}
 	getWatcher().unwatch(l)
 	conn, err := netpoll.NewFDConnection(l.fd)
-	if err != nil || !conn.IsActive() { // the dependency has closed the socket
+	if err != nil || !conn.IsActive() { // netpoll has closed the socket
 		l.fdClosed = true
 		l.fdMu.Unlock()
 		l.markClosed(err)
-		l.socketClosed()
+		l.notifySocketClosed()
 		return
 	}
 	l.conn, l.detached = conn, false
 	l.fdMu.Unlock()
 	l.setConn(conn)
-	_ = conn.SetOnRequest(l.handleData) // nothing can have come before the poller's next turn
+	_ = conn.SetOnRequest(l.handleData) // no data can arrive before the poller's next iteration
 }
 
-// EndReading has nothing more read at all, after StopReading. It waits for a read in hand.
+// StopReadingNow stops all reading, also of a partial message, after StopReadingAtMessageEnd. It waits for a read in progress.
 func (l *Link) StopReadingNow() {
 	l.readMu.Lock()
 	defer l.readMu.Unlock()
-	l.stopRestRead()
+	l.stopPartialRead()
 }
 
-func (l *Link) stopRestRead() {
+func (l *Link) stopPartialRead() {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
-	if l.mode == readMessageRest {
+	if l.mode == readPartial {
 		l.mode = readNone
 		if !l.fdClosed {
-			getWatcher().watch(l)
+			getWatcher().update(l)
 		}
 	}
 }
 
-// watched takes what the system tells of a detached link, on the watcher.
+// handleEvents handles the epoll events of a detached link, on the watcher's goroutine.
 func (l *Link) handleEvents(events uint32) {
-	if events&unix.EPOLLIN != 0 && l.readMessageRest() {
+	if events&unix.EPOLLIN != 0 && l.readPartialMessage() {
 		return
 	}
 	if events&(unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
@@ -222,11 +224,11 @@
 	}
 }
 
-// readRest reads more of the message in part, never beyond its end, and says whether the link goes on.
-func (l *Link) readMessageRest() (open bool) {
+// readPartialMessage reads more of a partial message, never beyond its end, and reports whether the connection is still open.
+func (l *Link) readPartialMessage() (open bool) {
 	l.readMu.Lock()
 	defer l.readMu.Unlock()
-	if !l.isReadingRest() {
+	if !l.isReadingPartial() {
 		return true
 	}
 	part := make([]byte, min(maxWatcherReadBytes, max(1, l.missingBytes(l.partial))))
@@ -243,32 +245,33 @@
 		l.Close(err)
 	}
 	if len(l.partial) == 0 {
-		l.stopRestRead()
+		l.stopPartialRead()
 	}
 	return true
 }
 
-func (l *Link) isReadingRest() bool {
+func (l *Link) isReadingPartial() bool {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
-	return l.detached && !l.fdClosed && l.mode == readMessageRest
+	return l.detached && !l.fdClosed && l.mode == readPartial
 }
 
-// receive reads what there is, without waiting.
-func (l *Link) receive(into []byte) (int, error) {
+// receive reads available data without blocking.
+func (l *Link) receive(buf []byte) (int, error) {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
 	if l.fdClosed {
 		return 0, net.ErrClosed
 	}
-	n, _, err := syscall.Recvfrom(l.fd, into, syscall.MSG_DONTWAIT)
+	n, _, err := syscall.Recvfrom(l.fd, buf, syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// Finish ends this side's stream once all is written, so that the other side sees that no more comes, and closes once the
-// other side has ended its own. It is called after StopReading. A close over what stands unread resets the connection, and
-// would take answers with it that have not arrived: where the other side goes on, the close waits until it has acknowledged
-// all and linger has passed, and where something of it stands unread for most.
+// FlushAndClose shuts down the write direction once everything is written, so that the peer sees the end of the stream, and
+// closes the link once the peer closes its end. It is called after reading has stopped. Closing a socket with unread data resets
+// the connection, and loses answers that have not arrived. If the peer keeps its end open, the link is therefore closed only
+// after linger, once the peer has acknowledged everything and there is no unread data. Unread data delays the close for at most
+// maxLinger.
 func (l *Link) FlushAndClose(reason error, linger, maxLinger time.Duration) {
 	l.WhenWritten(func() {
 		l.fdMu.Lock()
@@ -289,8 +292,8 @@
 	})
 }
 
-// unacknowledged is how many bytes of what was written the other side's system has not acknowledged; 0 if the system can't
-// tell, or the link is gone.
+// unacknowledgedBytes returns how many written bytes the peer's kernel has not acknowledged, 0 if that is unknown or the
+// descriptor is closed.
 func (l *Link) unacknowledgedBytes() int {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
@@ -304,7 +307,7 @@
 	return n
 }
 
-// release closes a detached link's socket, once.
+// closeDetached closes a detached link's socket, once.
 func (l *Link) closeDetached(reason error) {
 	l.fdMu.Lock()
 	if l.fdClosed || !l.detached {
@@ -316,27 +319,27 @@
 	_ = syscall.Close(l.fd)
 	l.fdMu.Unlock()
 	l.markClosed(reason)
-	l.socketClosed()
+	l.notifySocketClosed()
 }
 
-// adopt makes a connection of the dependency's the link's.
+// setConn sets the close callback of the link's netpoll connection.
 func (l *Link) setConn(conn netpoll.Connection) {
 	conn.AddCloseCallback(func(netpoll.Connection) error {
 		l.fdMu.Lock()
-		if l.detached || l.conn != conn { // the link goes on without it
+		if l.detached || l.conn != conn { // the link no longer uses conn
 			l.fdMu.Unlock()
 			return nil
 		}
 		l.fdClosed = true
 		l.fdMu.Unlock()
 		l.markClosed(nil)
-		l.socketClosed()
+		l.notifySocketClosed()
 		return nil
 	})
 }
 
-// closed tells that the socket is closed.
-func (l *Link) socketClosed() {
+// notifySocketClosed calls onSocketClosed.
+func (l *Link) notifySocketClosed() {
 	if l.onSocketClosed != nil {
 		l.onSocketClosed()
 	}
--- a/internal/wire/detach_race_test.go
+++ b/internal/wire/detach_race_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Clients reset their connections while reading of these stops, starts and stops again: no socket is closed twice, none is
-// left open, and none is another's.
+// Clients reset their connections while reading from them stops and resumes repeatedly: no socket is closed twice, none is left
+// open, and no descriptor is used after its number was reused.
 //
-// What happened: the race detector found that a link was detached while the dependency closed it. Why: the dependency closes
-// connections that the other side has ended on a goroutine of its own, not on the poller, and it asks only as it closes the
-// socket whether the connection was detached. The evidence: TestBeyondTheBound in a CI run, Detach beside netFD.Close.
+// It guards against a data race that the race detector reported in TestBeyondTheBound, between Detach and netFD.Close: netpoll
+// closes connections that the peer has closed on a goroutine of its own, not on the poller, and checks only while it closes the
+// socket whether the connection was detached.
 func TestResetWhileReadingStops(t *testing.T) {
 	var mu sync.Mutex
 	links := map[*Link]bool{}
@@ -40,12 +40,12 @@
 	go func() {
 		defer close(done)
 		for range 400 {
-			onPoller(func() {
+			runOnPollerAndWait(func() {
 				for _, l := range open() {
 					l.detach(readNone)
 				}
 			})
-			onPoller(func() {
+			runOnPollerAndWait(func() {
 				for _, l := range open() {
 					l.attach()
 				}
@@ -76,10 +76,10 @@
 	clients.Wait()
 	for end := time.Now().Add(5 * time.Second); len(open()) > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d links are open after all clients have gone", len(open()))
+			t.Fatalf("%d links are open after all clients have closed", len(open()))
 		}
 	}
-	// A connection gets its own bytes alone: none of the descriptors that were closed is written to any more.
+	// A new connection receives only its own bytes: nothing is written to a closed descriptor whose number is reused.
 	c, err := net.Dial("tcp", server.Address)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/wire/detach_test.go
+++ b/internal/wire/detach_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// serveOne gives the first connection of a server of bytes, with a client's end of it whose socket takes little.
+// serveOne starts a server with a DataHandler, and returns its first link and the client's end of the connection, whose receive
+// buffer is small.
 func serveOne(t *testing.T, read DataHandler) (*Link, *net.TCPConn) {
 	t.Helper()
 	links := make(chan *Link, 1)
@@ -35,20 +36,20 @@
 	return <-links, conn.(*net.TCPConn)
 }
 
-// onPoller waits for f to have had its turn.
-func onPoller(f func()) {
+// runOnPollerAndWait runs f on the poller and waits for it.
+func runOnPollerAndWait(f func()) {
 	done := make(chan struct{})
 	RunOnPoller(func() { f(); close(done) })
 	<-done
 }
 
-// A server has written the last answer on a connection and closes it as idle. The client reads late, and sends its next
-// request meanwhile. The answer has to arrive all the same.
+// A server has written an answer and closes the connection as idle, while the client reads late and sends its next request. The
+// answer has to arrive all the same.
 //
-// What happened: the client got a part of the answer, or nothing, and a reset. Why: what is written to a socket is still on
-// its way, here because the client's socket is full; a request that comes after the close resets the connection, and the
-// system drops what had not arrived. The evidence, from the soak with seed 41: the client's system had received 629,455
-// bytes and no end of the stream, its connection was reset, and the process had written the answer to its system before.
+// It guards against a client that receives only part of the answer, or none, and then a reset: written data may still be on its
+// way, here because the client's receive buffer is full; a request that arrives after the close resets the connection, and the
+// kernel drops the data that had not arrived. Seen in the soak with seed 41: the client's kernel had received 629,455 bytes
+// and no end of the stream, and its connection was reset after the process had written the answer.
 func TestCloseKeepsWhatHasNotArrived(t *testing.T) {
 	l, conn := serveOne(t, func(*Link, []byte) ([]byte, error) { return nil, nil })
 	answer := bytes.Repeat([]byte("x"), 256<<10)
@@ -57,7 +58,7 @@
 	for l.HasPendingWrites() {
 		time.Sleep(time.Millisecond)
 	}
-	onPoller(func() { l.CloseIfIdle(ErrClosed, false) })
+	runOnPollerAndWait(func() { l.CloseIfIdle(ErrClosed, false) })
 	conn.Write([]byte("next"))
 	time.Sleep(50 * time.Millisecond)
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -67,15 +68,15 @@
 	}
 	closed := false
 	for end := time.Now().Add(5 * time.Second); !closed && time.Now().Before(end); time.Sleep(time.Millisecond) {
-		onPoller(func() { closed = l.CloseIfIdle(ErrClosed, false) })
+		runOnPollerAndWait(func() { closed = l.CloseIfIdle(ErrClosed, false) })
 	}
 	if !closed {
-		t.Error("the connection does not close though all has arrived")
+		t.Error("the connection does not close although everything has arrived")
 	}
 }
 
-// A link that stops reading reads the rest of the message in part and nothing beyond it; answers go on being written, and the
-// other side's close is told.
+// A link that stops reading reads the rest of a partial message and nothing beyond it. Answers are still written, and the peer's
+// close is detected.
 func TestStopReading(t *testing.T) {
 	const whole = 8
 	var got bytes.Buffer
@@ -90,11 +91,11 @@
 	conn.Write([]byte("11111111222"))
 	part := false
 	for !part {
-		onPoller(func() { part = l.HasPartialMessage() })
+		runOnPollerAndWait(func() { part = l.HasPartialMessage() })
 	}
-	onPoller(func() {
+	runOnPollerAndWait(func() {
 		if !l.StopReadingAtMessageEnd(func(part []byte) int { return whole - len(part) }) {
-			t.Error("it does not stop reading")
+			t.Error("the link does not stop reading")
 		}
 	})
 	conn.Write([]byte("2222233333333"))
@@ -115,26 +116,26 @@
 		t.Errorf("%v at the end of the stream", err)
 	}
 	if l.Dead() {
-		t.Error("it closed though the client has yet to see the end")
+		t.Error("the link closed before the client has closed its end")
 	}
 	conn.Close()
 	for end := time.Now().Add(500 * time.Millisecond); !l.Dead(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it does not see that the client has closed")
+			t.Fatal("the link does not detect that the client has closed")
 		}
 	}
 }
 
-// A client that closes while nothing is read of it is seen to have gone, though something stands unread.
+// The close of a client is detected while nothing is read from it, even if data is unread.
 func TestClientGoneWhileNothingIsRead(t *testing.T) {
 	l, conn := serveOne(t, func(*Link, []byte) ([]byte, error) { return nil, nil })
 	conn.Write([]byte("x"))
-	onPoller(func() { l.StopReadingAtMessageEnd(func([]byte) int { return 1 }) })
+	runOnPollerAndWait(func() { l.StopReadingAtMessageEnd(func([]byte) int { return 1 }) })
 	conn.Write([]byte("unread"))
 	conn.Close()
 	for end := time.Now().Add(time.Second); !l.Dead(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it does not see that the client has closed")
+			t.Fatal("the link does not detect that the client has closed")
 		}
 	}
 }
--- a/internal/wire/dial.go
+++ b/internal/wire/dial.go
@@ -11,16 +11,16 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Connections are opened here and given to the dependency once they stand. Its own dialer fails at once where a call is
-// interrupted or the system is short of buffers or ports, and tells each of these as a close by the other side.
+// Connections are opened here and passed to netpoll once they are established. Netpoll's own dialer fails at once when a call is
+// interrupted or the system is short of buffers or ports, and reports each of these as a close by the peer.
 
 const (
-	// Waits before another socket is tried, doubled up to the longest.
+	// Delays before dialling with another socket; the delay doubles up to the maximum.
 	minDialBackoff = time.Millisecond
 	maxDialBackoff = 20 * time.Millisecond
 )
 
-// dialCalls are the system calls that open a connection; tests put faults into them.
+// dialSyscallSet holds the system calls that open a connection. Tests replace them to inject faults.
 type dialSyscallSet struct {
 	socket  func() (int, error)
 	connect func(fd int, to syscall.Sockaddr) error
@@ -37,10 +37,10 @@
 	})
 }
 
-// dial opens a connection within a time.
+// dial opens a connection within the timeout.
 func dial(address string, timeout time.Duration) (netpoll.Connection, error) {
 	fd, err := openSocket(address, timeout)
-	if errors.Is(err, errNotIPv4) { // the platform has none of these; the dependency knows them
+	if errors.Is(err, errNotIPv4) { // IPv6 is not used by the platform, and netpoll can dial it
 		return netpoll.NewDialer().DialConnection("tcp", address, timeout)
 	}
 	if err != nil {
@@ -49,9 +49,9 @@
 	return netpollConn(fd)
 }
 
-var errNotIPv4 = errors.New("found an address that is not of IPv4")
+var errNotIPv4 = errors.New("not an IPv4 address")
 
-// open gives the descriptor of a connection that stands.
+// openSocket returns the descriptor of an established connection.
 func openSocket(address string, timeout time.Duration) (int, error) {
 	deadline := time.Now().Add(timeout)
 	resolved, err := net.ResolveTCPAddr("tcp", address)
@@ -75,7 +75,7 @@
 	}
 }
 
-// connectSocket makes one socket and connects it.
+// connectSocket creates one socket and connects it.
 func connectSocket(peer syscall.Sockaddr, deadline time.Time) (int, error) {
 	calls := dialSyscalls.Load()
 	fd, err := calls.socket()
@@ -83,7 +83,7 @@
 		return -1, os.NewSyscallError("socket", err)
 	}
 	if err = calls.startConnect(fd, peer); err == syscall.EINPROGRESS {
-		return calls.awaitConnect(fd, peer, deadline)
+		return calls.waitConnected(fd, peer, deadline)
 	}
 	if err != nil {
 		syscall.Close(fd)
@@ -92,7 +92,8 @@
 	return fd, nil
 }
 
-// begin calls for a connection, again if the call is interrupted: whether the system has begun all the same shows then.
+// startConnect calls connect, and calls it again if it is interrupted: the error of the next call shows whether the connection
+// has been started all the same.
 func (c *dialSyscallSet) startConnect(fd int, peer syscall.Sockaddr) error {
 	for interruptions := 0; ; interruptions++ {
 		switch err := c.connect(fd, peer); {
@@ -106,8 +107,9 @@
 	}
 }
 
-// finish waits on the runtime's poller until the connection stands or has failed. The descriptor is the caller's then.
-func (c *dialSyscallSet) awaitConnect(fd int, peer syscall.Sockaddr, deadline time.Time) (int, error) {
+// waitConnected waits on the runtime's poller until the connection is established or has failed. It closes fd, and returns a
+// duplicate that the caller owns.
+func (c *dialSyscallSet) waitConnected(fd int, peer syscall.Sockaddr, deadline time.Time) (int, error) {
 	file := os.NewFile(uintptr(fd), "")
 	defer file.Close()
 	if err := file.SetDeadline(deadline); err != nil {
@@ -136,7 +138,8 @@
 	return connected, err
 }
 
-// stands tells what has become of a connection that has not come up as far as the system says.
+// connectStatus returns the state of a connection attempt whose socket has no peer yet: EINPROGRESS while it is pending, nil if
+// it has succeeded.
 func (c *dialSyscallSet) connectStatus(fd int, peer syscall.Sockaddr) error {
 	code, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ERROR)
 	if err == nil && code != 0 {
@@ -145,7 +148,7 @@
 	return c.startConnect(fd, peer)
 }
 
-// duplicate keeps a connection beyond the file that waits for it.
+// duplicateFD duplicates a descriptor, with close-on-exec set.
 func duplicateFD(fd int) (int, error) {
 	kept, _, errno := syscall.Syscall(syscall.SYS_FCNTL, uintptr(fd), syscall.F_DUPFD_CLOEXEC, 0)
 	if errno != 0 {
@@ -154,7 +157,7 @@
 	return int(kept), nil
 }
 
-// adopt gives a connection that stands to the dependency.
+// netpollConn passes an established connection to netpoll.
 func netpollConn(fd int) (netpoll.Connection, error) {
 	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
 	conn, err := netpoll.NewFDConnection(fd)
@@ -164,18 +167,18 @@
 	return conn, err
 }
 
-// passesInDial says of an error that another socket may do better.
+// isTransientDialError reports whether a dial that failed with the error may succeed with another socket.
 func isTransientDialError(err error) bool {
 	return isTransient(err) || errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED)
 }
 
-// DialConn opens a connection for a library that reads and writes by itself, by the same calls.
+// DialConn opens a connection as Dial does, for a library that needs a net.Conn.
 func DialConn(address string, timeout time.Duration) (net.Conn, error) {
 	fd, err := openSocket(address, timeout)
 	if err != nil {
 		return nil, err
 	}
 	file := os.NewFile(uintptr(fd), "")
-	defer file.Close() // the connection has a descriptor of its own
+	defer file.Close() // net.FileConn duplicates the descriptor
 	return net.FileConn(file)
 }
--- a/internal/wire/dial_test.go
+++ b/internal/wire/dial_test.go
@@ -9,39 +9,39 @@
 	"time"
 )
 
-// faultyDials has the system calls that open connections fail as a test says of each call's number, from 1; done says that
-// the call is made all the same.
-func faultyDials(t *testing.T, socket func(n int64) error, connect func(n int64) (err error, done bool)) (sockets *atomic.Int64) {
-	real := dialSyscalls.Load()
+// injectDialErrors replaces the system calls that open connections. socket and connect are given the number of the call, from 1,
+// and return the error to inject; with done, connect is called all the same. It returns the counter of the socket calls.
+func injectDialErrors(t *testing.T, socket func(n int64) error, connect func(n int64) (err error, done bool)) (sockets *atomic.Int64) {
+	original := dialSyscalls.Load()
 	sockets = &atomic.Int64{}
-	var connects atomic.Int64
+	var calls atomic.Int64
 	dialSyscalls.Store(&dialSyscallSet{
 		socket: func() (int, error) {
 			if err := socket(sockets.Add(1)); err != nil {
 				return -1, err
 			}
-			return real.socket()
+			return original.socket()
 		},
 		connect: func(fd int, to syscall.Sockaddr) error {
-			err, done := connect(connects.Add(1))
+			err, done := connect(calls.Add(1))
 			if err == nil || done {
-				if made := real.connect(fd, to); err == nil {
+				if made := original.connect(fd, to); err == nil {
 					err = made
 				}
 			}
 			return err
 		},
 	})
-	t.Cleanup(func() { dialSyscalls.Store(real) })
+	t.Cleanup(func() { dialSyscalls.Store(original) })
 	return sockets
 }
 
-func fine(int64) error                   { return nil }
-func connects(int64) (err error, _ bool) { return nil, false }
+func noSocketError(int64) error                { return nil }
+func noConnectError(int64) (err error, _ bool) { return nil, false }
 
-// A connection comes up within its time whatever passing faults its calls have, and carries what it should.
+// A connection is established within its timeout and carries data, whatever transient errors its system calls return.
 func TestDialSurvivesFaults(t *testing.T) {
-	address, stop := echo(t)
+	address, stop := serveEcho(t)
 	defer stop()
 	once := func(fault error, done bool) func(int64) (error, bool) {
 		return func(n int64) (error, bool) {
@@ -63,19 +63,19 @@
 		socket  func(int64) error
 		connect func(int64) (error, bool)
 	}{
-		"socket: ENOBUFS":                          {few(syscall.ENOBUFS), connects},
-		"socket: ENOMEM":                           {few(syscall.ENOMEM), connects},
-		"socket: ENFILE":                           {few(syscall.ENFILE), connects},
-		"connect: EINTR, not begun":                {fine, once(syscall.EINTR, false)},
-		"connect: EINTR, begun":                    {fine, once(syscall.EINTR, true)},
-		"connect: EADDRNOTAVAIL":                   {fine, once(syscall.EADDRNOTAVAIL, false)},
-		"connect: EAGAIN":                          {fine, once(syscall.EAGAIN, false)},
-		"connect: EALREADY, begun":                 {fine, once(syscall.EALREADY, true)},
-		"connect: EINPROGRESS, though it has been": {fine, once(syscall.EINPROGRESS, true)},
-		"none": {fine, connects},
+		"socket: ENOBUFS":                          {few(syscall.ENOBUFS), noConnectError},
+		"socket: ENOMEM":                           {few(syscall.ENOMEM), noConnectError},
+		"socket: ENFILE":                           {few(syscall.ENFILE), noConnectError},
+		"connect: EINTR, not started":                {noSocketError, once(syscall.EINTR, false)},
+		"connect: EINTR, started":                    {noSocketError, once(syscall.EINTR, true)},
+		"connect: EADDRNOTAVAIL":                   {noSocketError, once(syscall.EADDRNOTAVAIL, false)},
+		"connect: EAGAIN":                          {noSocketError, once(syscall.EAGAIN, false)},
+		"connect: EALREADY, started":                 {noSocketError, once(syscall.EALREADY, true)},
+		"connect: EINPROGRESS, after success": {noSocketError, once(syscall.EINPROGRESS, true)},
+		"none": {noSocketError, noConnectError},
 	} {
 		t.Run(name, func(t *testing.T) {
-			faultyDials(t, c.socket, c.connect)
+			injectDialErrors(t, c.socket, c.connect)
 			for range 20 {
 				got := make(chan string, 1)
 				l, err := DialRaw(address, 5*time.Second, DefaultLimits, func(_ *Link, data []byte) ([]byte, error) {
@@ -91,7 +91,7 @@
 					t.Errorf("read %q, expected x", s)
 				}
 				if l.RemoteAddr() != address {
-					t.Errorf("other side %q, expected %q", l.RemoteAddr(), address)
+					t.Errorf("remote address %q, expected %q", l.RemoteAddr(), address)
 				}
 				l.Close(ErrClosed)
 			}
@@ -99,23 +99,24 @@
 	}
 }
 
-// What does not pass is told as what it is, at once; what passes but lasts ends with the time, not before and in few calls.
+// A permanent error is returned as it is, after one socket. A transient error that persists is returned at the timeout, after few
+// sockets.
 func TestDialTellsFaults(t *testing.T) {
-	address, stop := echo(t)
+	address, stop := serveEcho(t)
 	defer stop()
 	for _, fault := range []error{syscall.ECONNREFUSED, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ETIMEDOUT} {
-		sockets := faultyDials(t, fine, func(int64) (error, bool) { return fault, false })
+		sockets := injectDialErrors(t, noSocketError, func(int64) (error, bool) { return fault, false })
 		if _, err := DialRaw(address, time.Minute, DefaultLimits, nil, nil); !errors.Is(err, fault) || sockets.Load() != 1 {
 			t.Errorf("found %v after %d sockets, expected %v after one", err, sockets.Load(), fault)
 		}
 	}
-	sockets := faultyDials(t, func(int64) error { return syscall.ENOBUFS }, connects)
+	sockets := injectDialErrors(t, func(int64) error { return syscall.ENOBUFS }, noConnectError)
 	if _, err := DialRaw(address, 100*time.Millisecond, DefaultLimits, nil, nil); !errors.Is(err, syscall.ENOBUFS) || sockets.Load() > 20 {
 		t.Errorf("found %v after %d sockets, expected %v after few", err, sockets.Load(), syscall.ENOBUFS)
 	}
 }
 
-// Nobody listens, and nobody answers.
+// A dial to a port without a listener is refused.
 func TestDialNobody(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/wire/flow.go
+++ b/internal/wire/flow.go
@@ -5,25 +5,27 @@
 	"time"
 )
 
-// What waits for a client is bounded by reading no more from it, never by closing it: how much this process has put before
-// its writer had a turn says nothing about the client. That a client does not read shows on its own socket alone.
+// The data that waits to be written to a client is bounded by pausing the reads from it, never by closing its connection: how
+// much has been put before the writing goroutine ran says nothing about the client. Only the client's socket shows that it is not
+// reading.
 
-// slowReaderAfter is how long the other side may take nothing while something waits for it, where a link's bounds don't say.
+// defaultSlowReaderTimeout is how long a peer may receive nothing while data waits for it, unless the link's limits set it.
 const defaultSlowReaderTimeout = 10 * time.Second
 
-// Budget bounds what waits on the links of a server together.
+// BufferBudget counts the bytes that wait to be written on all links of a server against a maximum. It does not stop links from
+// buffering more: the server's owner checks Remaining.
 type BufferBudget struct {
 	used atomic.Int64
 	max  int64
 }
 
-// NewBudget makes a budget of so many bytes.
+// NewBufferBudget returns a budget of maxBytes.
 func NewBufferBudget(maxBytes int64) *BufferBudget { return &BufferBudget{max: maxBytes} }
 
-// Left is how many bytes more may wait; under 0 if more waits already.
+// Remaining returns how many more bytes may wait; it is negative if too many wait already.
 func (b *BufferBudget) Remaining() int64 { return b.max - b.used.Load() }
 
-// Hold says that the owner holds so many bytes more for the other side, or fewer, which it has not put yet.
+// AddBuffered adds delta, which may be negative, to the bytes that the owner buffers for the peer and has not put yet.
 func (l *Link) AddBuffered(delta int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,7 +33,7 @@
 	l.updateBuffered()
 }
 
-// account counts what waits, and has reading stop or go on by it. The lock is held.
+// updateBuffered counts the bytes that wait, and pauses or resumes reading accordingly. l.mu is held.
 func (l *Link) updateBuffered() {
 	unsent := l.putBytes - l.writtenBytes + l.buffered
 	if l.closed {
@@ -41,7 +43,7 @@
 		l.budget.used.Add(unsent - l.budgeted)
 	}
 	l.budgeted = unsent
-	wasFull := l.readPaused
+	wasPaused := l.readPaused
 	switch {
 	case !l.isServer || l.closed:
 	case unsent > int64(l.maxPending):
@@ -49,12 +51,12 @@
 	case unsent <= int64(l.maxPending)/2:
 		l.readPaused = false
 	}
-	if l.readPaused != wasFull {
+	if l.readPaused != wasPaused {
 		RunOnPoller(l.pauseOrResume)
 	}
 }
 
-// pauseOrResume has reading stop while too much waits, and go on after it, on the poller.
+// pauseOrResume pauses reading while too many bytes wait, and resumes it afterwards. It runs on the poller.
 func (l *Link) pauseOrResume() {
 	l.mu.Lock()
 	pause, closed := l.readPaused, l.closed
@@ -68,14 +70,14 @@
 	}
 }
 
-// Progress is how far the other side had come when it was last seen to take something.
+// ReadProgress is how much the peer had acknowledged when it was last seen to make progress.
 type ReadProgress struct {
 	acknowledged int64
-	since        time.Time // zero if it was not looked at
+	since        time.Time // zero before the first check
 }
 
-// Stalled says that the other side does not read: for its link's SlowReaderAfter something has waited for it, its socket took
-// nothing of that, and its system acknowledged nothing. A progress of its own belongs to each time that something waits.
+// PeerStalled reports whether the peer is not reading: for the link's SlowReaderTimeout, data has waited for it, its socket has
+// accepted none of it, and its kernel has acknowledged nothing. Each period in which data waits needs a new ReadProgress.
 func (l *Link) PeerStalled(progress *ReadProgress, now time.Time) bool {
 	unacknowledged := l.unacknowledgedBytes()
 	l.mu.Lock()
--- a/internal/wire/flow_test.go
+++ b/internal/wire/flow_test.go
@@ -9,23 +9,24 @@
 	"time"
 )
 
-// answering is a server that owes a great answer to each byte that it reads.
-func answering(t *testing.T, b Limits, bytes int) (address string, read *atomic.Int64, ended chan error) {
+// serveAnswers starts a server that puts an answer of so many bytes for each byte that it reads. It returns the server's address,
+// the number of bytes read, and the reasons for which its links close.
+func serveAnswers(t *testing.T, limits Limits, bytes int) (address string, read *atomic.Int64, ended chan error) {
 	t.Helper()
 	read, ended = &atomic.Int64{}, make(chan error, 10)
 	answer := make([]byte, bytes)
-	inRow := 0 // reads one after the other that found too much waiting; the poller's
-	server, err := ServeRaw("127.0.0.1:0", b, func(*Link) (DataHandler, func(*Link, error)) {
+	consecutive := 0 // consecutive reads that began while too much was pending; used only on the poller
+	server, err := ServeRaw("127.0.0.1:0", limits, func(*Link) (DataHandler, func(*Link, error)) {
 		return func(l *Link, data []byte) ([]byte, error) {
-			if inRow++; b.Budget.Remaining() >= 0 {
-				inRow = 0
+			if consecutive++; limits.Budget.Remaining() >= 0 {
+				consecutive = 0
 			}
-			if inRow > 1 { // the turn that stops the reading may come behind one more read
-				t.Errorf("%d reads in a row while too much waits", inRow)
+			if consecutive > 1 { // one more read may come before the poller pauses the reading
+				t.Errorf("%d consecutive reads while too much is pending", consecutive)
 			}
 			for range data {
 				if !l.PutRawUnbounded(answer) {
-					t.Error("an answer was refused on a link that stands")
+					t.Error("an answer was refused on an open link")
 				}
 			}
 			read.Add(int64(len(data)))
@@ -40,12 +41,12 @@
 	return server.Address, read, ended
 }
 
-// From a client for which much waits nothing more is read, whatever it sends; once it reads, it gets everything, and is read
-// again.
+// Reading from a client pauses while too many bytes wait to be written to it. Once the client reads, it receives everything, and
+// reading from it resumes.
 func TestReadingStopsWhileMuchWaits(t *testing.T) {
 	const answer, requests, most = 64 << 10, 400, 1 << 20
 	budget := NewBufferBudget(most)
-	address, read, _ := answering(t, Limits{MaxPendingBytes: most, Budget: budget}, answer)
+	address, read, _ := serveAnswers(t, Limits{MaxPendingBytes: most, Budget: budget}, answer)
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -76,12 +77,12 @@
 	}
 }
 
-// A client that takes nothing for as long as the bounds say is let go; one that takes a little now and then is not. What
-// waited for a client that has gone is no more in the budget.
-func TestSlowReaderIsLetGo(t *testing.T) {
+// A client that reads nothing for SlowReaderTimeout is disconnected, and one that reads a little now and then is not. The bytes
+// that waited for a disconnected client are returned to the budget.
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	const answer = 16 << 20
 	budget := NewBufferBudget(answer)
-	address, _, ended := answering(t, Limits{MaxPendingBytes: 1 << 20, Budget: budget, SlowReaderTimeout: 300 * time.Millisecond}, answer)
+	address, _, ended := serveAnswers(t, Limits{MaxPendingBytes: 1 << 20, Budget: budget, SlowReaderTimeout: 300 * time.Millisecond}, answer)
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -94,16 +95,16 @@
 	}
 	select {
 	case reason := <-ended:
-		t.Fatalf("a client that reads was let go: %v", reason)
+		t.Fatalf("a client that reads was disconnected: %v", reason)
 	default:
 	}
 	select {
 	case reason := <-ended:
 		if !errors.Is(reason, ErrSlowReader) {
-			t.Errorf("it was let go for %v", reason)
+			t.Errorf("disconnected for %v", reason)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("a client that takes nothing was not let go")
+		t.Fatal("a client that reads nothing was not disconnected")
 	}
 	if budget.Remaining() != answer {
 		t.Errorf("%d bytes of the budget are left, expected all", budget.Remaining())
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,8 +1,11 @@
-// Package wire is the frame layer that clients, workers, sentries, the list's service and the desk share: kinds of
-// frames, their messages, and links that carry them over netpoll. It decides nothing.
+// Package wire implements the framed protocol between clients, sentries, workers, discovery and the control plane.
 //
-// A frame is four bytes, big-endian, with the length of what follows; one byte with its kind; the message, in
-// Protobuf. The first frame from the side that opened a connection is a Hello.
+// It defines the kinds of frames, encodes and decodes their messages, and carries them over TCP connections: a Link is one
+// connection, opened by Dial or accepted by a Server. DialRaw and ServeRaw give links that carry plain bytes, for other
+// protocols. Connections are read by netpoll's single poller, and written by the package itself.
+//
+// A frame consists of the length of what follows (four bytes, big-endian), its kind (one byte) and the message in Protobuf.
+// The first frame from the side that opened a connection is a Hello.
 package wire
 
 import (
@@ -10,12 +13,13 @@
 	"fmt"
 )
 
-// Version is that of the protocol.
+// ProtocolVersion is the version of the protocol.
 const ProtocolVersion = 1
 
-// Kind says which message a frame carries.
+// Kind is the type of the message that a frame carries.
 type Kind uint8
 
+// The kinds of frames. Each is named after its message in package pb.
 const (
 	KindHello Kind = 1 + iota
 	KindAsk
@@ -39,11 +43,11 @@
 
 const (
 	headerSize = 5
-	// MostFrame bounds the message of any frame, in bytes: a list of some tens of thousands of workers fits.
+	// MaxFrameBytes is the maximum size of a frame's message. A list of some tens of thousands of workers fits.
 	MaxFrameBytes = 4 << 20
 )
 
-// FrameFault is what was wrong with a frame.
+// FrameError reports a frame whose header is invalid.
 type FrameError struct {
 	Found, Expected string
 }
@@ -52,8 +56,8 @@
 	return fmt.Sprintf("frame: found %s, expected %s", f.Found, f.Expected)
 }
 
-// split takes the first frame off data. Where data does not hold a whole one, ok is false; a fault means that no
-// frame can begin here.
+// nextFrame returns the first frame of data and the bytes after it. ok is false if data does not hold a whole frame. An error
+// means that the header is invalid.
 func nextFrame(data []byte, maxBytes int) (kind Kind, body, rest []byte, ok bool, err error) {
 	if len(data) < headerSize {
 		return 0, nil, data, false, nil
@@ -71,7 +75,7 @@
 	return kind, data[headerSize : 4+size], data[4+size:], true, nil
 }
 
-// begin leaves room for a header; finish fills it in.
+// beginFrame appends a header without its length and returns the frame's start; finishFrame fills in the length.
 func beginFrame(buf []byte, kind Kind) ([]byte, int) {
 	start := len(buf)
 	return append(buf, 0, 0, 0, 0, byte(kind)), start
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -16,31 +16,32 @@
 )
 
 func init() {
-	netpoll.SetLoggerOutput(io.Discard) // it writes a line for each connection that is reset
-	// What arrives is handled on the poller itself: a handler that waits for room stops the reading, so that the
-	// senders' sockets fill up and hold them back. (On a goroutine of its own the handler would wait while netpoll went
-	// on reading into memory without a bound.) Handlers wait for nothing else. The price: a connection must never be
-	// closed by netpoll's Close, which in a handler would wait for the poller that it runs on; see Link.Close.
+	netpoll.SetLoggerOutput(io.Discard) // netpoll logs a line for each connection that is reset
+	// Handlers run on the poller itself: a handler that blocks because a queue is full stops all reading, so that TCP flow
+	// control slows down the senders. (If handlers ran on goroutines of their own, netpoll would go on reading into unbounded
+	// memory while they block.) Handlers block for no other reason. As a consequence a handler must never call the Close of
+	// its netpoll connection, which waits for the poller that the handler runs on; see Link.Close.
 	err := netpoll.Configure(netpoll.Config{PollerNum: 1, Runner: func(_ context.Context, f func()) { f() }})
 	if err != nil {
-		panic(err) // only wrong figures are refused
+		panic(err) // Configure fails only for invalid values
 	}
 }
 
-// ErrClosed is the reason of a link that its own side closed.
-var ErrClosed = errors.New("closed here")
+// ErrClosed is the reason for closing a link that this process closed.
+var ErrClosed = errors.New("closed locally")
 
-// ErrSlowReader is the reason of a link whose other side has taken nothing for slowReaderAfter while something waited for it.
-var ErrSlowReader = errors.New("the other side does not read")
+// ErrSlowReader is the reason for closing a link whose peer has received nothing for the link's SlowReaderTimeout while data
+// waited for it.
+var ErrSlowReader = errors.New("peer is not reading")
 
-// Handler takes a frame. The body is good only during the call. An error closes the link with it as the reason.
+// Handler handles a received frame. The body is valid only during the call. An error closes the link with it as the reason.
 type Handler func(l *Link, kind Kind, body []byte) error
 
-// Reader takes what has come, beginning with what it left of it before, and gives back what it can't use yet. An error
-// closes the link with it as the reason.
+// DataHandler handles received data. The data begins with the rest that the previous call returned; rest is what can't be
+// handled until more has arrived. An error closes the link with it as the reason.
 type DataHandler func(l *Link, data []byte) (rest []byte, err error)
 
-// frames reads frames.
+// frameDecoder returns a DataHandler that splits data into frames.
 func frameDecoder(maxBytes int, handle Handler) DataHandler {
 	return func(l *Link, data []byte) ([]byte, error) {
 		for {
@@ -56,16 +57,16 @@
 	}
 }
 
-// Link carries frames, or bytes that its reader knows, both ways over one connection. Put, Flush and Close may be called
-// from any goroutine. The closed callback is called once, by whoever closes it or on the poller; the handler may still be
-// at work then.
+// Link is a connection that carries frames, or bytes that its DataHandler interprets, in both directions. Put, Flush and Close
+// may be called from any goroutine. The onClosed callback is called once, on the goroutine that closes the link or on the
+// poller; the handler may still be running then.
 type Link struct {
 	conn       netpoll.Connection
 	handle     DataHandler
 	onClosed   func(*Link, error)
-	partial    []byte // what has not come whole
-	maxPending int
-	// the other side's address, empty where this side was dialled
+	partial    []byte // received bytes of an incomplete message
+	maxPending int    // bytes
+	// the dialled address, empty for an accepted connection
 	remote string
 	peer   net.Addr
 
@@ -74,45 +75,45 @@
 	reusable     []byte
 	flushing     bool
 	closed       bool
-	whenWritten  []func() // to be called once all is written
-	putBytes     int64    // bytes so far
-	buffered     int64    // bytes that the owner holds for the other side and has not put yet
-	budgeted     int64    // bytes that the budget was told of
-	readPaused   bool     // so much waits that nothing more is to be read
-	sendingBytes int64    // of these, up to where the system is being given them
-	writtenBytes int64    // and up to where the system has them
-	writeFailed  bool     // what was taken last was not written whole
+	whenWritten  []func() // called once everything is written
+	putBytes     int64    // total bytes put
+	buffered     int64    // bytes that the owner buffers for the peer and has not put yet
+	budgeted     int64    // bytes that the budget accounts for this link
+	readPaused   bool     // too much waits to be written for reading to go on
+	sendingBytes int64    // of putBytes, those passed to the kernel or being passed to it
+	writtenBytes int64    // of putBytes, those that the kernel has accepted
+	writeFailed  bool     // the last write was incomplete
 	closeOnce    sync.Once
 	flushFn      func()
 
 	fdMu     sync.Mutex
 	fd       int
-	fdClosed bool     // the descriptor is closed or about to be, and may soon be another's
-	detached bool     // the dependency has it no more
+	fdClosed bool     // the descriptor is closed or about to be, and its number may be reused
+	detached bool     // netpoll no longer owns the connection
 	mode     readMode // how far a detached link is read
-	watchID  int32    // its number at the watcher, 0 if it has none
+	watchID  int32    // its ID at the watcher, 0 if it is not watched
 
-	readMu            sync.Mutex // held over a read of the watcher
+	readMu            sync.Mutex // held during a read by the watcher
 	missingBytes      func(part []byte) int
-	readStopped       bool // reading does not begin again; the poller's
-	isServer          bool // of a server: reading stops while too much waits
+	readStopped       bool // reading never resumes; used only on the poller
+	isServer          bool // accepted by a server: reading pauses while too much waits to be written
 	budget            *BufferBudget
 	slowReaderTimeout time.Duration
-	onSocketClosed    func() // called once the socket is closed, nil if nobody asks
+	onSocketClosed    func() // called once the socket is closed; may be nil
 }
 
-// Bounds of a link, in bytes.
+// Limits are the limits of a link.
 type Limits struct {
-	MaxFrameBytes int // greatest message of a frame
-	// What may wait to be written. A dialled link takes no more than that; a server's link takes all that is owed to its client,
-	// and reads nothing while more waits.
+	MaxFrameBytes int // maximum size of a frame's message
+	// Maximum number of bytes that wait to be written. A dialled link refuses to put more. A server's link accepts every answer
+	// put with PutUnbounded or PutRawUnbounded, but pauses reading while more than this waits.
 	MaxPendingBytes int
-	Budget          *BufferBudget // of a server's links together, nil if there is none
-	// How long the other side may take nothing while something waits for it; slowReaderAfter if 0.
+	Budget          *BufferBudget // shared by a server's links; nil if there is none
+	// How long the peer may receive nothing while data waits for it; 0 means defaultSlowReaderTimeout.
 	SlowReaderTimeout time.Duration
 }
 
-// DefaultBounds suit every role.
+// DefaultLimits are limits that suit every role.
 var DefaultLimits = Limits{MaxFrameBytes: MaxFrameBytes, MaxPendingBytes: 8 << 20}
 
 func newLink(conn netpoll.Connection, limits Limits, handle DataHandler, onClosed func(*Link, error)) *Link {
@@ -126,12 +127,12 @@
 	return l
 }
 
-// Dial opens a link of frames. It blocks for at most the limit.
+// Dial opens a link that carries frames. It blocks for at most the timeout.
 func Dial(address string, timeout time.Duration, limits Limits, handle Handler, onClosed func(*Link, error)) (*Link, error) {
 	return DialRaw(address, timeout, limits, frameDecoder(limits.MaxFrameBytes, handle), onClosed)
 }
 
-// DialRaw opens a link whose reader takes the bytes as they come.
+// DialRaw is Dial for a link whose DataHandler handles plain bytes.
 func DialRaw(address string, timeout time.Duration, limits Limits, handle DataHandler, onClosed func(*Link, error)) (*Link, error) {
 	conn, err := dial(address, timeout)
 	if err != nil {
@@ -143,14 +144,14 @@
 		conn.Close()
 		return nil, err
 	}
-	if !conn.IsActive() { // closed before anyone could be told of it
+	if !conn.IsActive() { // closed before the close callback was set
 		l.markClosed(net.ErrClosed)
 		conn.Close()
 	}
 	return l, nil
 }
 
-// arrivedOn gives the reader what has come. It always takes all that is there and waits for nothing.
+// handleData passes all received data to the handler, on the poller. It never blocks itself.
 func (l *Link) handleData(_ context.Context, conn netpoll.Connection) error {
 	r := conn.Reader()
 	data, err := r.Next(r.Len())
@@ -179,7 +180,8 @@
 	return r.Release()
 }
 
-// add has something appended to what waits to be written. What is owed is taken however much waits.
+// enqueue lets encode append to the bytes that wait to be written. Without unbounded, it refuses once more than maxPending
+// bytes wait.
 func (l *Link) enqueue(unbounded bool, encode func(buf []byte) ([]byte, error)) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -195,7 +197,7 @@
 	return err == nil
 }
 
-// frame is add for a frame of a kind.
+// enqueueFrame is enqueue for a frame, whose message appendMessage appends.
 func (l *Link) enqueueFrame(unbounded bool, kind Kind, appendMessage func(buf []byte) ([]byte, error)) bool {
 	return l.enqueue(unbounded, func(buf []byte) ([]byte, error) {
 		buf, start := beginFrame(buf, kind)
@@ -207,13 +209,13 @@
 	})
 }
 
-// Put adds a frame to what waits to be written. False says that nothing of it will ever leave: the link has
-// closed or too much waits already.
+// Put appends a frame to the bytes that wait to be written. It returns false if the link has closed or too many bytes wait
+// already; nothing of the frame is sent then.
 func (l *Link) Put(kind Kind, m Message) bool {
 	return l.enqueueFrame(false, kind, func(to []byte) ([]byte, error) { return m.appendTo(to), nil })
 }
 
-// PutOwed is Put for an answer: it is refused only where the link has ended.
+// PutUnbounded is Put for an answer: it ignores the limit on pending bytes, and returns false only if the link has closed.
 func (l *Link) PutUnbounded(kind Kind, m Message) bool {
 	return l.enqueueFrame(true, kind, func(to []byte) ([]byte, error) { return m.appendTo(to), nil })
 }
@@ -223,51 +225,52 @@
 	return l.enqueueFrame(false, kind, func(to []byte) ([]byte, error) { return proto.MarshalOptions{}.MarshalAppend(to, m) })
 }
 
-// PutFrame is Put for a message that is encoded already.
+// PutEncoded is Put for a message that is already encoded.
 func (l *Link) PutEncoded(kind Kind, body []byte) bool {
 	return l.enqueueFrame(false, kind, func(to []byte) ([]byte, error) { return append(to, body...), nil })
 }
 
-// PutRaw adds bytes that are frames already, or are meant to be none.
+// PutRaw is Put for bytes that are not to be framed.
 func (l *Link) PutRaw(b []byte) bool {
 	return l.enqueue(false, func(to []byte) ([]byte, error) { return append(to, b...), nil })
 }
 
-// PutRawOwed is PutRaw for an answer: it is refused only where the link has ended.
+// PutRawUnbounded is PutRaw for an answer: it ignores the limit on pending bytes, and returns false only if the link has closed.
 func (l *Link) PutRawUnbounded(b []byte) bool {
 	return l.enqueue(true, func(to []byte) ([]byte, error) { return append(to, b...), nil })
 }
 
-// Mark is how many bytes were put so far, for MayHave.
+// PutOffset returns how many bytes were put so far, for MayHaveSent.
 func (l *Link) PutOffset() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.putBytes
 }
 
-// MayHave says whether the other side may have all that was put up to a mark. It has not, as is proven, while the system was
-// not given the last byte, or once it has refused it.
+// MayHaveSent reports whether the peer may have received everything that was put up to an offset. It returns false only if
+// that is impossible: the last byte was not passed to the kernel yet, or its write has failed.
 func (l *Link) MayHaveSent(offset int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return offset <= l.writtenBytes || offset <= l.sendingBytes && !l.writeFailed
 }
 
-// Send is PutProto and Flush.
+// Send calls PutProto and Flush.
 func (l *Link) Send(kind Kind, m proto.Message) bool {
 	ok := l.PutProto(kind, m)
 	l.Flush()
 	return ok
 }
 
-// Waiting says whether something waits to be written.
+// HasPendingWrites reports whether bytes wait to be written or are being written.
 func (l *Link) HasPendingWrites() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.closed && (l.flushing || len(l.pending) > 0)
 }
 
-// Flush has written what waits, on a goroutine of its own, since a socket that is full makes the writer wait.
+// Flush starts writing the pending bytes and returns. The writing has a goroutine of its own, since it blocks while the socket's
+// buffer is full.
 func (l *Link) Flush() {
 	l.mu.Lock()
 	start := !l.flushing && !l.closed && len(l.pending) > 0
@@ -309,7 +312,7 @@
 	}
 }
 
-// WhenWritten calls a function once what waits has been written, or the link has ended.
+// WhenWritten calls a function once all pending bytes have been written or the link has closed.
 func (l *Link) WhenWritten(then func()) {
 	l.mu.Lock()
 	written := !l.flushing && (l.closed || len(l.pending) == 0)
@@ -324,20 +327,21 @@
 	}
 }
 
-// CloseUnread ends the link at once, on the poller, and says whether it did: not if something stands unread, has come in part
-// (unless parts are given up), waits to be written or has not arrived: what comes after a close resets the connection, and what
-// is on its way to the other side is gone with it. What comes from then on is never read, and its sender sees that.
+// CloseIfIdle closes the link and reports whether it did; it is called on the poller. It does not close the link if there is
+// unread data in the socket, a partial message (unless discardPartial is set), a pending write, or written data that the peer
+// has not acknowledged: data that arrives after the close resets the connection, and data on its way to the peer would be lost
+// with it. Data that arrives after the close is never read, and the reset tells its sender so.
 func (l *Link) CloseIfIdle(reason error, discardPartial bool) bool {
 	if l.isDetached() || !discardPartial && len(l.partial) > 0 || l.HasPendingWrites() || l.unacknowledgedBytes() > 0 || !l.IsReadIdle() {
 		return false
 	}
 	l.markClosed(reason)
-	_ = l.conn.Close() // not of the connection whose handler is at work, if any: see init
+	_ = l.conn.Close() // must not be the connection whose handler is running, see init
 	return true
 }
 
-// Close ends the link for a reason. What waits to be written may be lost. The handler may still be at work on another
-// goroutine, and must take what it does then for nothing. The socket is shut down and left to the poller to close.
+// Close closes the link for a reason. Pending writes may be lost. The handler may still be running on another goroutine, and
+// what it does then has no effect. The socket is shut down here, and closed by the poller.
 func (l *Link) Close(reason error) {
 	l.markClosed(reason)
 	if l.isDetached() {
@@ -375,17 +379,17 @@
 	})
 }
 
-// InPart says that a message has come in part, on the poller.
+// HasPartialMessage reports whether an incomplete message has been received. It is called on the poller.
 func (l *Link) HasPartialMessage() bool { return len(l.partial) > 0 }
 
-// Dead says whether the link has ended.
+// Dead reports whether the link has closed.
 func (l *Link) Dead() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed
 }
 
-// Quiet says that nothing stands in the socket unread and the other side has not ended it, as far as has come here.
+// IsReadIdle reports whether the socket holds no unread data and no end of the stream from the peer.
 func (l *Link) IsReadIdle() bool {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
@@ -398,10 +402,10 @@
 			return err == syscall.EAGAIN
 		}
 	}
-	return false // it could not be told
+	return false // unknown
 }
 
-// RemoteAddr names the other side.
+// RemoteAddr returns the address that was dialled, or that the connection was accepted from.
 func (l *Link) RemoteAddr() string {
 	if l.remote != "" {
 		return l.remote
--- a/internal/wire/listen.go
+++ b/internal/wire/listen.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// listenWithin is how long a listener is tried for while the system is short of what it takes.
+// listenTimeout is how long listening is retried while the system is short of resources.
 const listenTimeout = 5 * time.Second
 
 func listen(address string) (net.Listener, error) {
@@ -21,26 +21,26 @@
 	}
 }
 
-// listener is what a server accepts connections from. The dependency's own closes its descriptor twice, and in between the
-// number may have become that of another file.
+// listener is a TCP listener for netpoll's event loop. Netpoll's own listener closes its descriptor twice, and between the two
+// closes the number may be reused by another file.
 type listener struct {
 	file      *os.File
 	fd        int
 	addr      net.Addr
 	readyOnce sync.Once
-	ready     chan struct{} // closed once the event loop has taken it up
+	ready     chan struct{} // closed once the event loop uses the listener
 
 	mu     sync.Mutex
 	closed bool
 }
 
-// newListener listens at an address.
+// newListener listens on an address.
 func newListener(address string) (*listener, error) {
 	l, err := listen(address)
 	if err != nil {
 		return nil, err
 	}
-	defer l.Close() // the file below goes on listening
+	defer l.Close() // the file below is a duplicate, which goes on listening
 	file, err := l.(*net.TCPListener).File()
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	return &listener{file: file, fd: fd, addr: l.Addr(), ready: make(chan struct{})}, nil
 }
 
-// Accept takes up a connection, none and no error where there is none.
+// Accept accepts a connection. It returns nil and no error if there is none.
 func (l *listener) Accept() (net.Conn, error) {
 	fd, peer, err := syscall.Accept4(l.fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	if err == syscall.EAGAIN {
@@ -66,16 +66,16 @@
 	return &acceptedConn{fd: fd, local: l.addr, remote: tcpAddr(peer)}, nil
 }
 
-// Addr is where it listens.
+// Addr returns the listener's address.
 func (l *listener) Addr() net.Addr { return l.addr }
 
-// Fd is its descriptor, for the event loop.
+// Fd returns the descriptor, for the event loop.
 func (l *listener) Fd() int {
 	l.readyOnce.Do(func() { close(l.ready) })
 	return l.fd
 }
 
-// Close closes its descriptor, once.
+// Close closes the descriptor. Later calls do nothing.
 func (l *listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +86,7 @@
 	return l.file.Close()
 }
 
-// shutdown refuses new connections. The descriptor stays.
+// shutdown refuses new connections. The descriptor stays open.
 func (l *listener) shutdown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,9 +95,9 @@
 	}
 }
 
-// accepted is a connection that was taken up, for the event loop to read and close.
+// acceptedConn is an accepted connection, for the event loop to read and close.
 type acceptedConn struct {
-	net.Conn      // none: the event loop uses the descriptor
+	net.Conn      // nil: the event loop uses only the descriptor
 	fd            int
 	local, remote net.Addr
 }
@@ -106,7 +106,7 @@
 func (a *acceptedConn) LocalAddr() net.Addr  { return a.local }
 func (a *acceptedConn) RemoteAddr() net.Addr { return a.remote }
 
-// addressOf gives the address of a peer.
+// tcpAddr converts a socket address.
 func tcpAddr(peer syscall.Sockaddr) net.Addr {
 	switch p := peer.(type) {
 	case *syscall.SockaddrInet4:
--- a/internal/wire/listen_test.go
+++ b/internal/wire/listen_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// Servers begin and end while other goroutines open and read files: the end of a server closes its own descriptor alone.
+// Servers start and close while other goroutines open and read files: closing a server closes no descriptor but its own.
 //
-// What happened: a test's clean-up failed in a CI run with "readdirent: bad file descriptor". Why: the dependency's listener
-// closes its descriptor twice, once by number and once by the file that holds it, and in between the number may have become
-// another's. The evidence: net_listener.go of the dependency, and this test, which fails without the mend.
+// It guards against "readdirent: bad file descriptor", as a test's clean-up failed in a CI run: netpoll's listener
+// (net_listener.go) closes its descriptor twice, once by number and once through its os.File, and between the two closes the
+// number may be reused by another file.
 func TestServerClosesItsDescriptorOnce(t *testing.T) {
 	done := make(chan struct{})
 	var readers sync.WaitGroup
--- a/internal/wire/hot.go
+++ b/internal/wire/messages.go
@@ -4,11 +4,12 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// The four messages of a transaction's path, read and written without the copies that generated code makes. The
-// bytes are those of the generated messages (a test holds both against each other). Byte slices point into the
-// frame they were read from and are good only as long as it is.
+// The messages on a transaction's path have hand-written codecs, which avoid the copies that generated code makes. Their
+// encoding equals that of the generated messages, which a test checks. Byte slices of a message that was read point into the
+// frame, and are valid only as long as the frame is. All durations are in microseconds. The fields correspond by number to
+// those of the message in package pb, whose comments in scalechute.proto describe them.
 
-// Ask is pb.Ask.
+// Ask is a client's request to run a transaction (pb.Ask).
 type Ask struct {
 	ID                 uint64
 	Profile            uint32
@@ -20,10 +21,10 @@
 	DeduplicationToken []byte
 	Payload            []byte
 
-	Attributes []byte // pb.Attributes, nil if there are none
+	Attributes []byte // an encoded pb.Attributes, nil if the field is absent
 }
 
-// Answer is pb.Answer.
+// Answer is the sentry's answer to an Ask (pb.Answer).
 type Answer struct {
 	ID         uint64
 	Outcome    uint32
@@ -33,7 +34,7 @@
 	Profile    uint32
 }
 
-// Work is pb.Work.
+// Work is a hand-off to a worker (pb.Work).
 type Work struct {
 	ID                 uint64
 	Profile            uint32
@@ -46,7 +47,8 @@
 	ExpectedWork       uint64
 }
 
-// Done is pb.Done.
+// Done is a worker's report of how a hand-off ended (pb.Done). InFlight, CPUUse (thousandths of the cores) and ServedRate
+// (transactions in 1000 s) are the reported value plus one, 0 if the worker does not report it.
 type Done struct {
 	ID         uint64
 	Ending     uint32
@@ -56,10 +58,10 @@
 	ServedRate uint32
 }
 
-// Plain is pb.Leave, pb.Cancel and pb.Probe: one number.
+// IDMessage is a message that consists of an ID: pb.Leave, pb.Cancel and pb.Probe.
 type IDMessage struct{ ID uint64 }
 
-// Message is what a link can put into a frame.
+// Message is a message that Link.Put can encode.
 type Message interface{ appendTo([]byte) []byte }
 
 func appendNumber(b []byte, field protowire.Number, v uint64) []byte {
@@ -86,7 +88,7 @@
 	b = appendNumber(b, 7, protowire.EncodeBool(m.Retry))
 	b = appendBytes(b, 8, m.DeduplicationToken)
 	b = appendBytes(b, 9, m.Payload)
-	if m.Attributes != nil { // that there are none is said too
+	if m.Attributes != nil { // an empty list is encoded too: it means that routes decide profile, account and key
 		b = protowire.AppendBytes(protowire.AppendTag(b, 10, protowire.BytesType), m.Attributes)
 	}
 	return b
@@ -124,8 +126,8 @@
 
 func (m *IDMessage) appendTo(b []byte) []byte { return appendNumber(b, 1, m.ID) }
 
-// each walks the fields of a message. What has another type than the schema gives it is passed over, as generated
-// code does with unknown fields.
+// forEachField calls varint or bytes for each field of a message. Fields of other wire types are skipped, as generated code
+// skips unknown fields.
 func forEachField(b []byte, varint func(protowire.Number, uint64), bytes func(protowire.Number, []byte)) error {
 	for len(b) > 0 {
 		field, wireType, n := protowire.ConsumeTag(b)
@@ -159,7 +161,7 @@
 	return nil
 }
 
-// Read takes the message from a frame's body.
+// Read decodes the message from a frame's body.
 func (m *Ask) Read(b []byte) error {
 	*m = Ask{}
 	return forEachField(b, func(f protowire.Number, v uint64) {
@@ -191,7 +193,7 @@
 	})
 }
 
-// Read takes the message from a frame's body.
+// Read decodes the message from a frame's body.
 func (m *Answer) Read(b []byte) error {
 	*m = Answer{}
 	return forEachField(b, func(f protowire.Number, v uint64) {
@@ -215,7 +217,7 @@
 	})
 }
 
-// Read takes the message from a frame's body.
+// Read decodes the message from a frame's body.
 func (m *Work) Read(b []byte) error {
 	*m = Work{}
 	return forEachField(b, func(f protowire.Number, v uint64) {
@@ -245,7 +247,7 @@
 	})
 }
 
-// Read takes the message from a frame's body.
+// Read decodes the message from a frame's body.
 func (m *Done) Read(b []byte) error {
 	*m = Done{}
 	return forEachField(b, func(f protowire.Number, v uint64) {
@@ -268,7 +270,7 @@
 	})
 }
 
-// Read takes the message from a frame's body.
+// Read decodes the message from a frame's body.
 func (m *IDMessage) Read(b []byte) error {
 	*m = IDMessage{}
 	return forEachField(b, func(f protowire.Number, v uint64) {
--- a/internal/wire/poller.go
+++ b/internal/wire/poller.go
@@ -9,9 +9,9 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// turns are functions that wait for their turn on the poller.
+// pollerQueue holds functions that are to run on the poller. An eventfd, which the poller reads, wakes it up.
 type pollerQueue struct {
-	conn    netpoll.Connection // of the eventfd, kept from the collector
+	conn    netpoll.Connection // of the eventfd; keeps it from being garbage collected
 	fd      int
 	mu      sync.Mutex
 	pending []func()
@@ -34,11 +34,11 @@
 	return q
 })
 
-// OnPoller calls f on the poller, soon. What any connection has brought until then has gone through its reader, or has not
-// been read at all: only there can it be told which. f must wait for nothing.
+// RunOnPoller calls f on the poller and does not wait for it. While f runs, no handler runs: all data that was read has passed
+// through the handlers, and all other data is still unread in the sockets. f must not block.
 func RunOnPoller(f func()) {
 	q := getPollerQueue()
-	if q == nil { // no descriptor is left
+	if q == nil { // the eventfd could not be created: no descriptor was left
 		go f()
 		return
 	}
@@ -48,7 +48,7 @@
 	q.mu.Unlock()
 	if first {
 		one := binary.NativeEndian.AppendUint64(nil, 1)
-		_, _ = syscall.Write(q.fd, one) // a counter that is full wakes it as well
+		_, _ = syscall.Write(q.fd, one) // a write fails if the counter is full, which wakes the poller as well
 	}
 }
 
--- a/internal/wire/reset_test.go
+++ b/internal/wire/reset_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Connections that are reset while they are written to end; nothing is written to what netpoll has given back.
+// Links close when their connections are reset during a write. Nothing is written to memory that netpoll has released.
 func TestResetWhileWriting(t *testing.T) {
 	var writers sync.WaitGroup
 	server, err := ServeRaw("127.0.0.1:0", DefaultLimits, func(l *Link) (DataHandler, func(*Link, error)) {
@@ -39,8 +39,8 @@
 	writers.Wait()
 }
 
-// What the other side may have is told by how far the writing has come: not what was not given to be written, nor what
-// broke off before its last byte; what was written whole, or may just be.
+// MayHaveSent depends on the progress of the writes: it is false for data that was not passed to the kernel and for data whose
+// write failed before the last byte, and true for data that was written or is being written.
 func TestMayHave(t *testing.T) {
 	links := make(chan *Link, 1)
 	server, err := ServeRaw("127.0.0.1:0", Limits{MaxPendingBytes: 64 << 20}, func(l *Link) (DataHandler, func(*Link, error)) {
@@ -57,37 +57,37 @@
 	c.Write([]byte("x"))
 	l := <-links
 	put := func(n int) int64 { l.PutRaw(make([]byte, n)); return l.PutOffset() }
-	holds := func(when string, marks []int64, want ...bool) {
+	check := func(when string, offsets []int64, want ...bool) {
 		t.Helper()
-		for i, m := range marks {
-			if l.MayHaveSent(m) != want[i] {
-				t.Errorf("%s: mark %d may be there: %v", when, i, !want[i])
+		for i, offset := range offsets {
+			if l.MayHaveSent(offset) != want[i] {
+				t.Errorf("%s: MayHaveSent of offset %d: %v", when, i, !want[i])
 			}
 		}
 	}
-	marks := []int64{put(100)}
-	holds("not flushed", marks, false)
+	offsets := []int64{put(100)}
+	check("not flushed", offsets, false)
 	l.Flush()
 	if n, err := c.Read(make([]byte, 100)); n != 100 || err != nil {
 		t.Fatal(n, err)
 	}
-	marks = append(marks, put(32<<20)) // more than the sockets take
+	offsets = append(offsets, put(32<<20)) // more than the sockets take
 	l.Flush()
-	for !l.MayHaveSent(marks[1]) {
+	for !l.MayHaveSent(offsets[1]) {
 		time.Sleep(time.Millisecond)
 	}
-	marks = append(marks, put(100))
-	holds("while it is written", marks, true, true, false)
+	offsets = append(offsets, put(100))
+	check("during the write", offsets, true, true, false)
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
-	for l.MayHaveSent(marks[1]) {
+	for l.MayHaveSent(offsets[1]) {
 		time.Sleep(time.Millisecond)
 	}
-	holds("broken off", marks, true, false, false)
+	check("after the reset", offsets, true, false, false)
 }
 
-// A listener closes only after a turn in which it has taken up no connection; from then on new ones are refused, and links
-// that are open stay so.
+// A listener closes only after an iteration of the poller in which it has accepted no connection. From then on new connections
+// are refused, and open links stay open.
 func TestCloseListener(t *testing.T) {
 	server, err := ServeRaw("127.0.0.1:0", DefaultLimits, func(l *Link) (DataHandler, func(*Link, error)) {
 		return func(l *Link, data []byte) ([]byte, error) {
@@ -100,25 +100,25 @@
 		t.Fatal(err)
 	}
 	defer server.Close()
-	held, gate := make(chan struct{}), make(chan struct{})
-	RunOnPoller(func() { close(held); <-gate })
-	<-held
-	c, err := net.Dial("tcp", server.Address) // the system accepts it
+	pollerBlocked, unblockPoller := make(chan struct{}), make(chan struct{})
+	RunOnPoller(func() { close(pollerBlocked); <-unblockPoller })
+	<-pollerBlocked
+	c, err := net.Dial("tcp", server.Address) // the kernel accepts it
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	closed := make(chan bool, 1)
 	server.CloseListenerIfIdle(func(ok bool) { closed <- ok })
-	close(gate)
+	close(unblockPoller)
 	if <-closed {
-		t.Error("the listener closed over a connection that the system had accepted")
+		t.Error("the listener closed despite a connection that the kernel had accepted")
 	}
 	for server.CloseListenerIfIdle(func(ok bool) { closed <- ok }); !<-closed; server.CloseListenerIfIdle(func(ok bool) { closed <- ok }) {
 	}
 	if c, err := net.DialTimeout("tcp", server.Address, time.Second); err == nil {
 		c.Close()
-		t.Error("a connection came up after the listener had closed")
+		t.Error("a connection was established after the listener had closed")
 	}
 	echo := make([]byte, 1)
 	c.SetDeadline(time.Now().Add(5 * time.Second))
@@ -126,6 +126,6 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Read(echo); err != nil || echo[0] != 'x' {
-		t.Errorf("%q, %v on the link that was open, expected x", echo, err)
+		t.Errorf("%q, %v on the open link, expected x", echo, err)
 	}
 }
--- a/internal/wire/send.go
+++ b/internal/wire/send.go
@@ -8,22 +8,23 @@
 	"time"
 )
 
-// Links write to their sockets themselves. The dependency's writer ends a connection when a call is interrupted (EINTR) or the
-// system is short of buffers (ENOBUFS, ENOMEM), and with it the answers that are owed on it; both pass. It also tells no one
-// how much of a write the system took.
+// Links write to their sockets themselves. Netpoll's writer closes a connection, and loses the answers that wait on it, when a
+// call is interrupted (EINTR) or the system is short of buffers (ENOBUFS, ENOMEM); both errors are transient. It also does not
+// report how much of a write the kernel accepted.
 
 const (
-	// Waits while a socket takes nothing more, doubled up to the longest. The loop that fills the link never waits.
+	// Delays before a write to a full socket is retried; the delay doubles up to the maximum. Only the link's writing goroutine
+	// waits, not the code that puts frames.
 	minSendBackoff = 500 * time.Microsecond
 	maxSendBackoff = 10 * time.Millisecond
-	// A call that is interrupted so often in a row is made again after a wait.
+	// A write that is interrupted more often than this in a row is retried after a delay.
 	maxInterruptions = 16
 )
 
-// sendCall is a system call that writes to a socket.
+// sendCall is the signature of the system call that writes to a socket.
 type sendCall func(fd int, p []byte) (int, error)
 
-// sendTo is the one that links make; tests put faults into it.
+// sendSyscall is the system call that links use. Tests replace it to inject faults.
 var sendSyscall atomic.Pointer[sendCall]
 
 func init() {
@@ -33,7 +34,8 @@
 	sendSyscall.Store(&call)
 }
 
-// sendAll writes what a link has put, however the system takes it, and ends with an error once the connection has.
+// sendAll writes all of out, retrying after partial writes and transient errors. It returns an error once the connection has
+// failed or closed, or the peer has stalled.
 func (l *Link) sendAll(out []byte) error {
 	backoff, interruptions := minSendBackoff, 0
 	var progress ReadProgress
@@ -66,7 +68,7 @@
 	return nil
 }
 
-// sendSome makes one call, unless the descriptor may be another's by now.
+// sendOnce makes one call, unless the descriptor is closed and its number may be reused.
 func (l *Link) sendOnce(out []byte) (int, error) {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
@@ -77,7 +79,7 @@
 	return max(0, n), err
 }
 
-// passes says of an error of a system call on a socket that a later call may do better.
+// isTransient reports whether a system call on a socket that failed with the error may succeed later.
 func isTransient(err error) bool {
 	for _, passing := range []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, passing) {
--- a/internal/wire/send_test.go
+++ b/internal/wire/send_test.go
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// faultySends has the system call that writes fail or take less, as a test says of its n-th call, from 1.
-func faultySends(t *testing.T, fault func(n int64, p []byte) (take int, err error)) {
-	real := sendSyscall.Load()
+// injectSendErrors replaces the system call that writes. inject is given the number of the call, from 1, and returns how many
+// bytes to write or the error to return.
+func injectSendErrors(t *testing.T, inject func(n int64, p []byte) (take int, err error)) {
+	original := sendSyscall.Load()
 	var calls atomic.Int64
 	faulty := sendCall(func(fd int, p []byte) (int, error) {
-		take, err := fault(calls.Add(1), p)
+		take, err := inject(calls.Add(1), p)
 		if err != nil {
 			return -1, err
 		}
-		return (*real)(fd, p[:take])
+		return (*original)(fd, p[:take])
 	})
 	sendSyscall.Store(&faulty)
-	t.Cleanup(func() { sendSyscall.Store(real) })
+	t.Cleanup(func() { sendSyscall.Store(original) })
 }
 
-// echo serves a link that sends back what comes.
-func echo(t *testing.T) (address string, stop func()) {
+// serveEcho starts a server that sends back what it receives.
+func serveEcho(t *testing.T) (address string, stop func()) {
 	server, err := ServeRaw("127.0.0.1:0", DefaultLimits, func(*Link) (DataHandler, func(*Link, error)) {
 		return func(l *Link, data []byte) ([]byte, error) {
 			l.PutRaw(data)
@@ -40,8 +41,8 @@
 	return server.Address, server.Close
 }
 
-// Everything put on a link arrives, in order and once, whatever the system makes of single calls: interrupted, short of
-// buffers, full, taking one byte at a time, each once, in rows, one in a few, or for long.
+// Everything put on a link arrives once and in order, whatever single writes return: an interruption, a lack of buffers, a full
+// socket or one byte written, once, repeatedly or alternating with success.
 func TestSendsSurviveFaults(t *testing.T) {
 	all := func(p []byte) (int, error) { return len(p), nil }
 	for name, fault := range map[string]func(n int64, p []byte) (int, error){
@@ -51,7 +52,7 @@
 			}
 			return all(p)
 		},
-		"interrupted in rows": func(n int64, p []byte) (int, error) {
+		"interrupted repeatedly": func(n int64, p []byte) (int, error) {
 			if n%100 < 60 {
 				return 0, syscall.EINTR
 			}
@@ -72,9 +73,9 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address, stop := echo(t)
+			address, stop := serveEcho(t)
 			defer stop()
-			faultySends(t, fault)
+			injectSendErrors(t, fault)
 			sent := bytes.Repeat([]byte("0123456789abcdef"), 40)
 			for range 5 {
 				c, err := net.Dial("tcp", address)
@@ -95,8 +96,8 @@
 	}
 }
 
-// A fault that lasts ends with the link: nobody is left that tries for ever, and what was not written is not taken for
-// something that the other side may have.
+// Writes whose error persists stop when the link closes: no goroutine goes on trying, and MayHaveSent is false for the data that
+// was not written.
 func TestSendEndsWithTheLink(t *testing.T) {
 	for _, lasting := range []error{syscall.EINTR, syscall.ENOBUFS, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
 		links, ended := make(chan *Link, 1), make(chan struct{}, 1)
@@ -109,7 +110,7 @@
 		}
 		var calls atomic.Int64
 		t.Run(lasting.Error(), func(t *testing.T) {
-			faultySends(t, func(n int64, p []byte) (int, error) { calls.Store(n); return 0, lasting })
+			injectSendErrors(t, func(n int64, p []byte) (int, error) { calls.Store(n); return 0, lasting })
 			c, err := net.Dial("tcp", server.Address)
 			if err != nil {
 				t.Fatal(err)
@@ -117,22 +118,22 @@
 			c.Write([]byte("x"))
 			l := <-links
 			l.PutRaw([]byte("answer"))
-			mark := l.PutOffset()
+			offset := l.PutOffset()
 			l.Flush()
 			for isTransient(lasting) && calls.Load() < maxInterruptions+3 {
 				time.Sleep(time.Millisecond)
 			}
 			c.Close()
 			<-ended
-			for l.MayHaveSent(mark) {
+			for l.MayHaveSent(offset) {
 				time.Sleep(time.Millisecond)
 			}
 		})
 		server.Close()
-		made := calls.Load()
+		callsAtClose := calls.Load()
 		time.Sleep(30 * time.Millisecond)
-		if calls.Load() != made {
-			t.Errorf("%v: calls go on after the link has ended", lasting)
+		if calls.Load() != callsAtClose {
+			t.Errorf("%v: calls go on after the link has closed", lasting)
 		}
 	}
 }
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -11,21 +11,21 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Server takes connections.
+// Server accepts connections on an address and makes a link of each.
 type Server struct {
-	Address     string
+	Address     string // that the server listens on, with the chosen port
 	loop        netpoll.EventLoop
 	listener    *listener
 	mu          sync.Mutex
 	links       map[*Link]struct{}
-	openSockets int // sockets
+	openSockets int
 
 	acceptedCount atomic.Int64
 
-	rejecting bool
+	rejecting bool // new connections are closed at once
 }
 
-// Serve listens and makes a link of each connection. The handler that accept returns takes its frames.
+// Serve listens on an address and makes a link of each connection. accept returns the link's handler and its onClosed callback.
 func Serve(address string, limits Limits, accept func(*Link) (Handler, func(*Link, error))) (*Server, error) {
 	return ServeRaw(address, limits, func(l *Link) (DataHandler, func(*Link, error)) {
 		handle, onClosed := accept(l)
@@ -33,7 +33,7 @@
 	})
 }
 
-// ServeRaw is Serve for readers of bytes.
+// ServeRaw is Serve for links whose DataHandler handles plain bytes.
 func ServeRaw(address string, limits Limits, accept func(*Link) (DataHandler, func(*Link, error))) (*Server, error) {
 	listener, err := newListener(address)
 	if err != nil {
@@ -79,11 +79,11 @@
 	}
 	s.loop = loop
 	go loop.Serve(listener)
-	<-listener.ready // else a Close that comes at once would find nothing to close
+	<-listener.ready // otherwise an immediate Close would find nothing to close
 	return s, nil
 }
 
-// CloseListenerNow refuses new connections, and closes those that the system had accepted with nothing of them read.
+// CloseListenerNow refuses new connections. Connections that the kernel has accepted and the server has not are closed unread.
 func (s *Server) CloseListenerNow() {
 	RunOnPoller(func() {
 		s.RejectConnections()
@@ -91,19 +91,19 @@
 	})
 }
 
-// StopListening closes each new connection at once and keeps those that are open. (Netpoll's own shutdown would
-// close every connection on which nothing is being read, whatever is owed on it.)
+// RejectConnections closes each new connection at once and keeps the open ones. (Netpoll's own shutdown would close every
+// connection on which nothing is being read, even if answers are still to be sent on it.)
 func (s *Server) RejectConnections() {
 	s.mu.Lock()
 	s.rejecting = true
 	s.mu.Unlock()
 }
 
-// CloseListener refuses new connections from now on, and calls closed on the poller then; or it calls it with false, since a
-// connection that the system had accepted was taken up meanwhile: it may have brought something.
+// CloseListenerIfIdle refuses new connections from now on, unless a connection that the kernel had accepted is accepted in the
+// meantime: it may carry a request. It calls closed on the poller and tells it whether the listener has closed.
 func (s *Server) CloseListenerIfIdle(closed func(bool)) {
 	before := s.acceptedCount.Load()
-	RunOnPoller(func() { // whatever the system had accepted by now is taken up before the next turn
+	RunOnPoller(func() { // whatever the kernel has accepted by now is accepted before the next turn
 		RunOnPoller(func() {
 			if s.acceptedCount.Load() != before {
 				closed(false)
@@ -116,7 +116,7 @@
 	})
 }
 
-// Waiting counts the links on which something waits to be written.
+// LinksWithPendingWrites returns the number of links with bytes that wait to be written.
 func (s *Server) LinksWithPendingWrites() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,17 +128,18 @@
 	return n
 }
 
-// stopWithin is how long a step of a server's end may take.
+// stopTimeout is how long each step of closing a server may take.
 const stopTimeout = time.Second
 
-// all lists the links.
+// allLinks returns the server's links.
 func (s *Server) allLinks() []*Link {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Keys(s.links))
 }
 
-// StopReading has nothing more read on any link. What was read has gone through the readers when it returns.
+// StopReading stops reading on all links. When it returns, all data that was read has passed through the handlers; it waits for
+// at most stopTimeout.
 func (s *Server) StopReading() {
 	stopped := make(chan struct{})
 	RunOnPoller(func() {
@@ -153,7 +154,7 @@
 	}
 }
 
-// Finish ends all links as Link.Finish does, and waits for them.
+// FlushAndClose calls FlushAndClose on all links and waits until their sockets are closed, for at most stopTimeout.
 func (s *Server) FlushAndClose(linger, maxLinger time.Duration) {
 	for _, l := range s.allLinks() {
 		l.FlushAndClose(ErrClosed, linger, maxLinger)
@@ -161,7 +162,7 @@
 	s.waitSocketsClosed()
 }
 
-// waitClosed waits until no socket is open.
+// waitSocketsClosed waits until no socket is open, for at most stopTimeout.
 func (s *Server) waitSocketsClosed() {
 	for end := time.Now().Add(stopTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
@@ -173,7 +174,7 @@
 	}
 }
 
-// Close ends the server with all its links.
+// Close closes the server and all its links.
 func (s *Server) Close() {
 	s.RejectConnections()
 	for _, l := range s.allLinks() {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,38 +14,38 @@
 	"scalechute/internal/wire/pb"
 )
 
-// The hand-written codec and the generated one read and write the same bytes' meaning.
-func TestHotIsTheSchema(t *testing.T) {
+// The hand-written codecs and the generated ones encode and decode the same messages.
+func TestMessagesMatchSchema(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := rapid.SliceOfN(rapid.Byte(), 0, 40)
 		n64, n32 := rapid.Uint64(), rapid.Uint32()
 		ask := Ask{n64.Draw(t, "id"), n32.Draw(t, "p"), n32.Draw(t, "a"), data.Draw(t, "k"), n64.Draw(t, "l"), n64.Draw(t, "h"),
 			rapid.Bool().Draw(t, "again"), data.Draw(t, "m"), data.Draw(t, "pl"), nil}
-		var carried *pb.Attributes
+		var attributes *pb.Attributes
 		if rapid.Bool().Draw(t, "attributes") {
-			ask.Attributes, carried = []byte{}, &pb.Attributes{}
+			ask.Attributes, attributes = []byte{}, &pb.Attributes{}
 			for range rapid.IntRange(0, 4).Draw(t, "n") {
-				name, v := rapid.StringMatching("[a-z]{0,9}").Draw(t, "name"), drawCarried(t, true)
+				name, v := rapid.StringMatching("[a-z]{0,9}").Draw(t, "name"), drawValue(t, true)
 				ask.Attributes = AppendAttribute(ask.Attributes, name, &v)
-				carried.All = append(carried.All, generated(name, &v))
+				attributes.All = append(attributes.All, toProto(name, &v))
 			}
-			readBack(t, ask.Attributes, carried)
+			checkDecoded(t, ask.Attributes, attributes)
 		}
-		same(t, &ask, &pb.Ask{Attributes: carried, Id: ask.ID, Profile: ask.Profile, Account: ask.Account, Key: ask.Key, Left: ask.Timeout,
+		checkCodec(t, &ask, &pb.Ask{Attributes: attributes, Id: ask.ID, Profile: ask.Profile, Account: ask.Account, Key: ask.Key, Left: ask.Timeout,
 			Hint: ask.ExpectedWork, Again: ask.Retry, Mark: ask.DeduplicationToken, Payload: ask.Payload}, &Ask{}, (*Ask).Read)
 		answer := Answer{n64.Draw(t, "id"), uint32(rapid.IntRange(0, 4).Draw(t, "o")), n64.Draw(t, "c"), data.Draw(t, "p"), data.Draw(t, "w"), n32.Draw(t, "profile")}
-		same(t, &answer, &pb.Answer{Id: answer.ID, Outcome: pb.Outcome(answer.Outcome), ComeBack: answer.RetryAfter,
+		checkCodec(t, &answer, &pb.Answer{Id: answer.ID, Outcome: pb.Outcome(answer.Outcome), ComeBack: answer.RetryAfter,
 			Payload: answer.Payload, Worker: answer.Worker, Profile: answer.Profile}, &Answer{}, (*Answer).Read)
 		work := Work{n64.Draw(t, "id"), n32.Draw(t, "p"), data.Draw(t, "k"), n64.Draw(t, "l"), data.Draw(t, "m"), data.Draw(t, "pl"),
 			data.Draw(t, "t"), n32.Draw(t, "n"), n64.Draw(t, "h")}
-		same(t, &work, &pb.Work{Id: work.ID, Profile: work.Profile, Key: work.Key, Left: work.Timeout, Mark: work.DeduplicationToken,
+		checkCodec(t, &work, &pb.Work{Id: work.ID, Profile: work.Profile, Key: work.Key, Left: work.Timeout, Mark: work.DeduplicationToken,
 			Payload: work.Payload, Transaction: work.Transaction, Number: work.HandOffNumber, Hint: work.ExpectedWork}, &Work{}, (*Work).Read)
 		done := Done{n64.Draw(t, "id"), uint32(rapid.IntRange(0, 2).Draw(t, "e")), n32.Draw(t, "h"), data.Draw(t, "p"), n32.Draw(t, "b"), n32.Draw(t, "s")}
-		same(t, &done, &pb.Done{Id: done.ID, Ended: pb.Ended(done.Ending), Held: done.InFlight, Payload: done.Payload, Busy: done.CPUUse, Served: done.ServedRate}, &Done{}, (*Done).Read)
+		checkCodec(t, &done, &pb.Done{Id: done.ID, Ended: pb.Ended(done.Ending), Held: done.InFlight, Payload: done.Payload, Busy: done.CPUUse, Served: done.ServedRate}, &Done{}, (*Done).Read)
 	})
 }
 
-func drawCarried(t *rapid.T, lists bool) (v match.Carried) {
+func drawValue(t *rapid.T, lists bool) (v match.Carried) {
 	kinds := []match.Kind{match.Text, match.Whole, match.Measure, match.Flag, match.Span}
 	if lists {
 		kinds = append(kinds, match.List)
@@ -62,13 +62,13 @@
 		v.Fig, v.Unit = rapid.Float64().Draw(t, "figure"), rapid.SampledFrom([]string{"", "kg"}).Draw(t, "unit")
 	case match.List:
 		for range rapid.IntRange(0, 3).Draw(t, "items") {
-			v.Items = append(v.Items, drawCarried(t, false))
+			v.Items = append(v.Items, drawValue(t, false))
 		}
 	}
 	return v
 }
 
-func generated(name string, v *match.Carried) *pb.Attribute {
+func toProto(name string, v *match.Carried) *pb.Attribute {
 	a := &pb.Attribute{Name: name, Unit: v.Unit}
 	switch v.Kind {
 	case match.Text:
@@ -84,19 +84,19 @@
 	case match.List:
 		list := &pb.Attributes{}
 		for i := range v.Items {
-			list.All = append(list.All, generated("", &v.Items[i]))
+			list.All = append(list.All, toProto("", &v.Items[i]))
 		}
 		a.Value = &pb.Attribute_List{List: list}
 	}
 	return a
 }
 
-// readBack holds what the reader gives against what was written.
-func readBack(t *rapid.T, body []byte, written *pb.Attributes) {
+// checkDecoded compares what an AttributeReader decodes with what was encoded.
+func checkDecoded(t *rapid.T, body []byte, written *pb.Attributes) {
 	var r AttributeReader
 	n, name := 0, ""
 	err := r.Read(body, func(b []byte) bool { name = string(b); return true }, func(v *match.Carried) {
-		if want := written.All[n]; !proto.Equal(generated(name, v), want) {
+		if want := written.All[n]; !proto.Equal(toProto(name, v), want) {
 			t.Fatalf("read %s %+v, wrote %v", name, v, want)
 		}
 		n++
@@ -106,8 +106,8 @@
 	}
 }
 
-// Whatever bytes come, the reader ends, gives no more elements than it keeps, and agrees with the schema on what is
-// no message.
+// Whatever the input, the reader terminates, returns at most maxListItems elements, and rejects nothing that the generated code
+// accepts.
 func FuzzAttributes(f *testing.F) {
 	f.Add(AppendAttribute(nil, "a", &match.Carried{Kind: match.List, Items: []match.Carried{{Kind: match.Measure, Fig: 1, Unit: "kg"}}}))
 	f.Add([]byte{10, 4, 58, 2, 10, 0})
@@ -119,12 +119,12 @@
 			}
 		})
 		if good := proto.Unmarshal(data, &pb.Attributes{}) == nil; good && err != nil {
-			t.Errorf("the schema reads %x, the reader says %v", data, err)
+			t.Errorf("the generated code decodes %x, the reader returns %v", data, err)
 		}
 	})
 }
 
-func same[M any, P interface {
+func checkCodec[M any, P interface {
 	*M
 	Message
 }](t *rapid.T, m P, generated proto.Message, into P, read func(P, []byte) error) {
@@ -133,42 +133,42 @@
 		t.Fatal(err)
 	}
 	if got := m.appendTo(nil); !bytes.Equal(got, wire) {
-		t.Fatalf("wrote %x, the schema writes %x", got, wire)
+		t.Fatalf("encoded %x, the generated code encodes %x", got, wire)
 	}
 	if err := read(into, wire); err != nil {
 		t.Fatal(err)
 	}
 	if got := into.appendTo(nil); !bytes.Equal(got, wire) {
-		t.Fatalf("read back as %x from %x", got, wire)
+		t.Fatalf("re-encoded as %x from %x", got, wire)
 	}
 }
 
-// Whatever bytes come, and however they are cut up, the same frames or the same fault come out.
+// Whatever the input, and wherever it is cut in two, the same frames are read, or the same error occurs.
 func FuzzSplit(f *testing.F) {
-	whole, at := beginFrame(nil, KindAsk)
-	whole = (&Ask{ID: 7, Key: []byte("k")}).appendTo(whole)
-	finishFrame(whole, at)
-	f.Add(whole, 3)
-	f.Add(append(whole, 0, 0, 0, 0, 1), 9)
+	encoded, start := beginFrame(nil, KindAsk)
+	encoded = (&Ask{ID: 7, Key: []byte("k")}).appendTo(encoded)
+	finishFrame(encoded, start)
+	f.Add(encoded, 3)
+	f.Add(append(encoded, 0, 0, 0, 0, 1), 9)
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 2}, 1)
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
 		type frame struct {
 			kind Kind
 			body string
 		}
-		frames := func(parts ...[]byte) (out []frame, fault bool) {
-			var carry []byte
+		splitAll := func(parts ...[]byte) (out []frame, invalid bool) {
+			var data []byte
 			for _, p := range parts {
-				carry = append(carry, p...)
+				data = append(data, p...)
 				for {
-					kind, body, rest, ok, err := nextFrame(carry, 1<<16)
+					kind, body, rest, ok, err := nextFrame(data, 1<<16)
 					if err != nil {
 						return out, true
 					}
 					if !ok {
 						break
 					}
-					out, carry = append(out, frame{kind, string(body)}), rest
+					out, data = append(out, frame{kind, string(body)}), rest
 				}
 			}
 			return out, false
@@ -177,23 +177,23 @@
 			return
 		}
 		cut = max(0, cut) % len(data)
-		one, fault := frames(data)
-		two, other := frames(data[:cut], data[cut:])
-		if len(one) != len(two) || fault != other {
-			t.Fatalf("whole: %d frames, fault %v; cut at %d: %d, %v", len(one), fault, cut, len(two), other)
+		whole, invalid := splitAll(data)
+		cutFrames, cutInvalid := splitAll(data[:cut], data[cut:])
+		if len(whole) != len(cutFrames) || invalid != cutInvalid {
+			t.Fatalf("whole: %d frames, error %v; cut at %d: %d, %v", len(whole), invalid, cut, len(cutFrames), cutInvalid)
 		}
-		for i := range one {
-			if one[i] != two[i] {
-				t.Fatalf("frame %d: %v and %v", i, one[i], two[i])
+		for i := range whole {
+			if whole[i] != cutFrames[i] {
+				t.Fatalf("frame %d: %v and %v", i, whole[i], cutFrames[i])
 			}
 			var a Ask
 			var d Done
-			_, _ = a.Read([]byte(one[i].body)), d.Read([]byte(one[i].body))
+			_, _ = a.Read([]byte(whole[i].body)), d.Read([]byte(whole[i].body))
 		}
 	})
 }
 
-// A link whose other side reads nothing takes no more than its bound, says so, and blocks nobody.
+// A dialled link whose peer reads nothing refuses frames beyond its limit of pending bytes, and does not block.
 func TestSlowReader(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -223,11 +223,12 @@
 		link.Flush()
 	}
 	if !refused {
-		t.Error("50 MB were taken for a side that reads nothing")
+		t.Error("50 MB were accepted for a peer that reads nothing")
 	}
 }
 
-// Frames cross in order, both ways; each side learns once that the other has closed; a fault names what was wrong.
+// Frames arrive in order in both directions, each side is told once that the other has closed, and an error names what is wrong
+// with a frame.
 func TestLink(t *testing.T) {
 	type end struct {
 		l      *Link
@@ -276,7 +277,7 @@
 	}
 	l.Close(ErrClosed)
 	if e := <-ended; e.reason != nil {
-		t.Errorf("other side closed: reason %v", e.reason)
+		t.Errorf("peer closed: reason %v", e.reason)
 	}
 	for _, c := range []struct {
 		raw  []byte
@@ -290,8 +291,8 @@
 		l.PutRaw(c.raw)
 		l.Flush()
 		e := <-ended
-		var fault *FrameError
-		if !errors.As(e.reason, &fault) || e.reason.Error() != c.want {
+		var frameErr *FrameError
+		if !errors.As(e.reason, &frameErr) || e.reason.Error() != c.want {
 			t.Errorf("%x: %v, expected %s", c.raw, e.reason, c.want)
 		}
 		l.Close(ErrClosed)
@@ -302,7 +303,7 @@
 	time.Sleep(20 * time.Millisecond)
 	half.Close(ErrClosed)
 	if e := <-ended; e.reason != nil {
-		t.Errorf("half a frame, then closed: %v", e.reason)
+		t.Errorf("half a frame, then a close: %v", e.reason)
 	}
 	if len(got) != 0 {
 		t.Error("half a frame was handled")
