--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,7 @@
-// Package clock keeps the two kinds of time apart. Spans (deadlines, windows, waits, graces, ages) are told by the monotonic
-// clock, which nobody can set. The wall clock may be stepped by an hour at any time; it serves for what people read and for
-// stamps that another machine has made.
+// Package clock computes the age of timestamps from other machines, and detects steps of the wall clock.
+//
+// Durations (deadlines, windows, delays, grace periods, ages) are measured by the monotonic clock, which can't be set. The wall
+// clock may be stepped by an hour at any time; it is used only for times that people read and for timestamps from other machines.
 package clock
 
 import (
@@ -10,30 +11,30 @@
 )
 
 const (
-	// A wall clock that has moved against the monotonic one by more than this has been stepped. Clocks that are only slewed
-	// drift by at most 0.5 ms a second.
+	// A wall clock whose offset from the monotonic clock has changed by more than this has been stepped. A clock that is only
+	// slewed drifts by at most 0.5 ms a second.
 	minStep = 500 * time.Millisecond
-	// So many offsets of the wall clock are kept, for stamps from before a step.
+	// Maximum number of past offsets that are kept, for timestamps from before a step.
 	maxOffsets = 16
 )
 
-// Reading is one look at both clocks.
+// Reading is a reading of both clocks.
 type Reading struct {
 	Wall      time.Time
-	Monotonic time.Duration // since any fixed moment
+	Monotonic time.Duration // since an arbitrary fixed time
 }
 
-// Wall reads both clocks, remembers how far apart they have been, and tells how old another machine's stamp is. It is safe
-// for use by several goroutines.
+// WallClock tracks the offset between the wall clock and the monotonic clock, and computes the age of timestamps from other
+// machines. It is safe for concurrent use.
 type WallClock struct {
 	read func() Reading
 
 	mu      sync.Mutex
-	offsets []time.Time // what the wall clock would have shown as the monotonic one began, the latest last
+	offsets []time.Time // wall clock time at monotonic time 0, the latest offset last
 	steps   int
 }
 
-// NewWall begins with the offset that the clocks have now.
+// NewWallClock returns a WallClock that starts with the current offset.
 func NewWallClock() *WallClock {
 	start := time.Now()
 	return newWallClock(func() Reading {
@@ -49,15 +50,16 @@
 	return w
 }
 
-// look reads the clocks, and keeps their offset if it is a new one. The lock need not be held.
-func (w *WallClock) readClocks() (now Reading, stepped time.Duration) {
+// readClocks reads the clocks and records their offset if it is new. It returns by how much the wall clock has been stepped, 0 if
+// it has not. It takes the lock.
+func (w *WallClock) readClocks() (now Reading, step time.Duration) {
 	now = w.read()
 	offset := now.Wall.Add(-now.Monotonic)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	last := len(w.offsets) - 1
 	if last >= 0 {
-		if stepped = offset.Sub(w.offsets[last]); stepped.Abs() <= minStep {
+		if step = offset.Sub(w.offsets[last]); step.Abs() <= minStep {
 			return now, 0
 		}
 	}
@@ -67,25 +69,25 @@
 	if len(w.offsets) > maxOffsets {
 		w.offsets = w.offsets[1:]
 	}
-	return now, stepped
+	return now, step
 }
 
-// Step tells by how much the wall clock has been stepped since the last look, 0 if it has not.
+// DetectStep returns by how much the wall clock has been stepped since the clocks were last read, 0 if it has not.
 func (w *WallClock) DetectStep() time.Duration {
-	_, stepped := w.readClocks()
-	return stepped
+	_, step := w.readClocks()
+	return step
 }
 
-// Steps counts the steps of the wall clock so far.
+// StepCount returns the number of steps of the wall clock so far.
 func (w *WallClock) StepCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.steps
 }
 
-// Age is how long ago something happened that another machine has stamped. The stamp may be from before a step of the clock
-// or from after it, so it counts by the offset that makes it the youngest: taken for too young, a server is spared; taken
-// for too old, it would be overloaded. A stamp from the future is of now.
+// Age returns the age of a timestamp from another machine. The timestamp may be from before or after a step of the clock, so Age
+// uses the offset that gives the lowest age: a server whose age is underestimated gets less traffic than it could take, one whose
+// age is overestimated would be overloaded. The age of a timestamp in the future is 0.
 func (w *WallClock) Age(stamp time.Time) time.Duration {
 	now, _ := w.readClocks()
 	w.mu.Lock()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// clocks are two clocks that a test moves.
-type clocks struct{ now Reading }
+// fakeClocks are a wall clock and a monotonic clock that a test controls.
+type fakeClocks struct{ now Reading }
 
-func (c *clocks) read() Reading { return c.now }
+func (c *fakeClocks) read() Reading { return c.now }
 
-func (c *clocks) pass(d time.Duration) {
+func (c *fakeClocks) advance(d time.Duration) {
 	c.now.Monotonic += d
 	c.now.Wall = c.now.Wall.Add(d)
 }
 
-func (c *clocks) step(d time.Duration) { c.now.Wall = c.now.Wall.Add(d) }
+func (c *fakeClocks) step(d time.Duration) { c.now.Wall = c.now.Wall.Add(d) }
 
-func newClocks() (*clocks, *WallClock) {
-	c := &clocks{Reading{time.Unix(1_800_000_000, 0), 5 * time.Second}}
+func newFakeClocks() (*fakeClocks, *WallClock) {
+	c := &fakeClocks{Reading{time.Unix(1_800_000_000, 0), 5 * time.Second}}
 	return c, newWallClock(c.read)
 }
 
-// An age is right for stamps from before a step and from after it, whichever way and however far the clock was stepped, and
-// is never too old.
+// Age is correct for timestamps from before a step and from after it, in either direction and for any size of the
+// step, and is never overestimated.
 func TestAgeOverSteps(t *testing.T) {
 	for _, step := range []time.Duration{time.Second, -time.Second, time.Hour, -time.Hour} {
-		c, w := newClocks()
+		c, w := newFakeClocks()
 		before := c.now.Wall
-		c.pass(700 * time.Millisecond)
+		c.advance(700 * time.Millisecond)
 		c.step(step)
 		if got := w.DetectStep(); got != step {
-			t.Errorf("step of %v: told %v", step, got)
+			t.Errorf("step of %v: detected %v", step, got)
 		}
 		if w.DetectStep() != 0 || w.StepCount() != 1 {
-			t.Errorf("step of %v: told again, or %d steps", step, w.StepCount())
+			t.Errorf("step of %v: detected twice, or %d steps", step, w.StepCount())
 		}
-		c.pass(100 * time.Millisecond)
+		c.advance(100 * time.Millisecond)
 		after := c.now.Wall
-		c.pass(100 * time.Millisecond)
+		c.advance(100 * time.Millisecond)
 		if got := w.Age(before); got != 900*time.Millisecond {
 			t.Errorf("step of %v: a stamp from before it is %v old, expected 900ms", step, got)
 		}
@@ -48,11 +48,11 @@
 	}
 }
 
-// The step is seen by whoever asks first, also by a question for an age.
+// A step is detected by the next call of any method that reads the clocks, including Age.
 func TestAgeSeesAStep(t *testing.T) {
-	c, w := newClocks()
+	c, w := newFakeClocks()
 	stamp := c.now.Wall
-	c.pass(2 * time.Second)
+	c.advance(2 * time.Second)
 	c.step(time.Hour)
 	if got := w.Age(stamp); got != 2*time.Second {
 		t.Errorf("found %v, expected 2s", got)
@@ -63,21 +63,21 @@
 }
 
 func TestAgeOfTheFuture(t *testing.T) {
-	c, w := newClocks()
+	c, w := newFakeClocks()
 	if got := w.Age(c.now.Wall.Add(time.Minute)); got != 0 {
 		t.Errorf("found %v, expected 0", got)
 	}
 }
 
-// A clock that is only slewed has not been stepped, and offsets stay bounded however often it is.
+// Slewing a clock is not counted as a step, and the number of offsets stays bounded however often the clock is stepped.
 func TestSlewAndManySteps(t *testing.T) {
-	c, w := newClocks()
+	c, w := newFakeClocks()
 	for range 1000 {
-		c.pass(time.Second)
+		c.advance(time.Second)
 		c.step(400 * time.Microsecond)
 		w.DetectStep()
 	}
-	if w.StepCount() > 1 { // 0.4 s in all
+	if w.StepCount() > 1 { // 0.4 s in total
 		t.Errorf("%d steps for a slew, expected none", w.StepCount())
 	}
 	for i := range 100 {
@@ -89,7 +89,7 @@
 	}
 }
 
-// The clock of the machine is read as it is.
+// Age is correct with the machine's clocks.
 func TestRealClock(t *testing.T) {
 	w := NewWallClock()
 	if age := w.Age(time.Now().Add(-time.Minute)); age < time.Minute || age > 2*time.Minute {
--- a/internal/wire/detach.go
+++ b/internal/wire/detach.go
@@ -153,8 +153,8 @@
 }
 
 // StopReadingAtMessageEnd stops reading after the rest of a partial message. It is called once, on the poller. missingBytes
-// returns the least number of bytes that a partial message still lacks. It returns false if the link could not be detached, for
-// want of a descriptor; the caller may retry.
+// returns the least number of bytes that a partial message still lacks. StopReadingAtMessageEnd returns false if the link could
+// not be detached, because its descriptor is closed or the system has none left; the caller may retry.
 func (l *Link) StopReadingAtMessageEnd(missingBytes func(partial []byte) int) bool {
 	l.missingBytes, l.readStopped = missingBytes, true
 	mode := readNone
--- a/internal/wire/dial_test.go
+++ b/internal/wire/dial_test.go
@@ -63,16 +63,16 @@
 		socket  func(int64) error
 		connect func(int64) (error, bool)
 	}{
-		"socket: ENOBUFS":                          {few(syscall.ENOBUFS), noConnectError},
-		"socket: ENOMEM":                           {few(syscall.ENOMEM), noConnectError},
-		"socket: ENFILE":                           {few(syscall.ENFILE), noConnectError},
-		"connect: EINTR, not started":                {noSocketError, once(syscall.EINTR, false)},
-		"connect: EINTR, started":                    {noSocketError, once(syscall.EINTR, true)},
-		"connect: EADDRNOTAVAIL":                   {noSocketError, once(syscall.EADDRNOTAVAIL, false)},
-		"connect: EAGAIN":                          {noSocketError, once(syscall.EAGAIN, false)},
-		"connect: EALREADY, started":                 {noSocketError, once(syscall.EALREADY, true)},
+		"socket: ENOBUFS":                     {few(syscall.ENOBUFS), noConnectError},
+		"socket: ENOMEM":                      {few(syscall.ENOMEM), noConnectError},
+		"socket: ENFILE":                      {few(syscall.ENFILE), noConnectError},
+		"connect: EINTR, not started":         {noSocketError, once(syscall.EINTR, false)},
+		"connect: EINTR, started":             {noSocketError, once(syscall.EINTR, true)},
+		"connect: EADDRNOTAVAIL":              {noSocketError, once(syscall.EADDRNOTAVAIL, false)},
+		"connect: EAGAIN":                     {noSocketError, once(syscall.EAGAIN, false)},
+		"connect: EALREADY, started":          {noSocketError, once(syscall.EALREADY, true)},
 		"connect: EINPROGRESS, after success": {noSocketError, once(syscall.EINPROGRESS, true)},
-		"none": {noSocketError, noConnectError},
+		"none":                                {noSocketError, noConnectError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			injectDialErrors(t, c.socket, c.connect)
