--- a/standin/client.go
+++ b/standin/client.go
@@ -14,133 +14,135 @@
 	"scalechute/logic"
 )
 
-// Load is what clients do.
+// Workload describes the transactions that clients send.
 type Workload struct {
-	PerSecond       float64
+	PerSecond       float64       // transactions
 	Profiles        []ProfileLoad // by profile
 	KeyCount        int
-	ZipfExponent    float64 // popularity of the n-th key falls with this power of n
+	ZipfExponent    float64 // the n-th key's share is proportional to n to the power of minus this
 	MaxRetries      int
 	Backoff         time.Duration
-	TryTimeoutShare float64 // of the outer limit, after which a try is given up
-	AbandonShare    float64 // share of tries that are given up early, at a random time
-	AccountShares   []float64
+	TryTimeoutShare float64   // timeout of a try, as a share of the profile's maximum deadline
+	AbandonShare    float64   // share of tries that are abandoned at a random time before their timeout
+	AccountShares   []float64 // by account; the rest of the transactions have none
 
-	UseAttributes bool // transactions carry attributes only, and routes must make of them what the client means
+	UseAttributes bool // transactions carry only attributes, from which the sentries' routes derive profile, account and key
 	ProfileNames  []string
 	AccountNames  []string
 }
 
-// Mix is one profile's part of the load.
+// ProfileLoad is a profile's share of the workload.
 type ProfileLoad struct {
 	Share    float64
-	MeanWork logic.Micros // mean, on a core of speed one
+	MeanWork logic.Micros // on a core of speed one
 }
 
-// Callers are the clients of a zone's sentries: transactions come whether or not earlier ones are answered.
+// ClientPool is an open-loop load generator that sends transactions to a zone's sentries: new transactions start whether or not
+// earlier ones have been answered.
 type ClientPool struct {
-	// Troubles.
-	LoadFactor      float64 // times the load, 1 if none
-	HotKeyShare     float64 // share of transactions that carry one key
-	HotAccountShare float64 // share of transactions that are of the first account
+	// Injected faults.
+	LoadFactor      float64 // multiplies the workload; 1 without a fault
+	HotKeyShare     float64 // share of transactions that carry the same key
+	HotAccountShare float64 // share of transactions that belong to the first account
 
-	env          *Environment
-	load         Workload
-	loadShare    float64 // of the whole load that these make
-	reach        map[logic.SentryID]string
-	order        []logic.SentryID
-	mu           sync.Mutex
-	chance       *rand.Rand
-	zipf         []float64 // cumulative
-	lines        []*callLine
-	dialing      map[logic.SentryID]bool
-	name         string
-	seq          int
-	transactions []*Transaction
-	done         chan struct{}
-	ended        sync.WaitGroup
+	env             *Environment
+	workload        Workload
+	loadShare       float64 // of the workload that this pool generates
+	addresses       map[logic.SentryID]string
+	sentryIDs       []logic.SentryID
+	mu              sync.Mutex
+	random          *rand.Rand
+	keyWeights      []float64 // cumulative
+	connections     []*sentryConn
+	dialing         map[logic.SentryID]bool
+	name            string
+	lastTransaction int
+	transactions    []*Transaction
+	done            chan struct{}
+	running         sync.WaitGroup
 }
 
-// First is a transaction as the user sees it, with all its tries.
+// Transaction is a transaction from the user's view, with all its tries.
 type Transaction struct {
 	Profile        logic.ProfileID
 	StartedAt      logic.Micros
-	SatisfiedAfter logic.Micros // to satisfaction, 0 if none came
-	Outcomes       [4]int       // tries that ended satisfied, deferred, written off, otherwise
+	SatisfiedAfter logic.Micros // time until the first satisfied answer, 0 if there was none
+	Outcomes       [4]int       // number of tries that ended satisfied, deferred, written off, or otherwise
 	Tries          int
 	key            logic.Key
-	mark           string
+	token          string
 	account        int
 	work           float64
 }
 
-// callLine is a connection to a sentry.
-type callLine struct {
-	to   logic.SentryID
-	link *wire.Link
-	seq  uint64
-	open map[uint64]*callTry
-	all  map[uint64]string // names of all tries, so that a second answer is told of the right one
+// sentryConn is a connection to a sentry.
+type sentryConn struct {
+	sentry   logic.SentryID
+	link     *wire.Link
+	lastID   uint64
+	open     map[uint64]*clientTry
+	tryNames map[uint64]string // names of all tries by ID, to record a second answer under the right name
 }
 
-type callTry struct {
-	name  string
-	first *Transaction
-	line  *callLine
-	id    uint64
-	over  bool
-	timer *time.Timer
+// clientTry is one request for a transaction to a sentry.
+type clientTry struct {
+	name        string
+	transaction *Transaction
+	conn        *sentryConn
+	id          uint64
+	ended       bool
+	timer       *time.Timer
 }
 
-// NewCallers makes clients that reach the given sentries.
-func NewClientPool(s *Environment, name string, load Workload, part float64, reach map[logic.SentryID]string, order []logic.SentryID,
+// NewClientPool returns a pool that generates a share of the workload for the given sentries at the given addresses.
+func NewClientPool(env *Environment, name string, workload Workload, loadShare float64, addresses map[logic.SentryID]string, sentryIDs []logic.SentryID,
 	seed int64) *ClientPool {
-	c := &ClientPool{LoadFactor: 1, env: s, load: load, loadShare: part, reach: reach, order: order, name: name,
-		chance: rand.New(rand.NewSource(seed)), done: make(chan struct{}), dialing: map[logic.SentryID]bool{}}
+	c := &ClientPool{LoadFactor: 1, env: env, workload: workload, loadShare: loadShare, addresses: addresses, sentryIDs: sentryIDs, name: name,
+		random: rand.New(rand.NewSource(seed)), done: make(chan struct{}), dialing: map[logic.SentryID]bool{}}
 	sum := 0.0
-	for n := 1; n <= max(1, load.KeyCount); n++ {
-		sum += math.Pow(float64(n), -load.ZipfExponent)
-		c.zipf = append(c.zipf, sum)
+	for n := 1; n <= max(1, workload.KeyCount); n++ {
+		sum += math.Pow(float64(n), -workload.ZipfExponent)
+		c.keyWeights = append(c.keyWeights, sum)
 	}
 	return c
 }
 
-// Set changes their troubles.
+// Set calls f with the lock held, to change the injected faults.
 func (c *ClientPool) Set(f func(*ClientPool)) {
 	c.mu.Lock()
 	f(c)
 	c.mu.Unlock()
 }
 
-// SetPart changes their part of the whole load.
-func (c *ClientPool) SetLoadShare(part float64) { c.Set(func(c *ClientPool) { c.loadShare = part }) }
+// SetLoadShare sets the share of the workload that the pool generates.
+func (c *ClientPool) SetLoadShare(share float64) { c.Set(func(c *ClientPool) { c.loadShare = share }) }
 
-// Part is their part of the whole load.
+// LoadShare returns the share of the workload that the pool generates.
 func (c *ClientPool) LoadShare() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.loadShare
 }
 
-// Start has them begin.
+// Start connects to the sentries and starts sending transactions.
 func (c *ClientPool) Start() {
-	for _, to := range c.order {
-		c.dial(to)
+	for _, id := range c.sentryIDs {
+		c.dial(id)
 	}
-	c.ended.Add(1)
+	c.running.Add(1)
 	go func() {
-		defer c.ended.Done()
-		at := time.Now()
+		defer c.running.Done()
+		next := time.Now()
 		for {
 			c.mu.Lock()
-			rate := c.load.PerSecond * c.loadShare * c.LoadFactor
+			rate := c.workload.PerSecond * c.loadShare * c.LoadFactor
 			gap := time.Hour
 			if rate > 0 {
-				gap = time.Duration(c.chance.ExpFloat64() / rate * float64(time.Second))
+				gap = time.Duration(c.random.ExpFloat64() / rate * float64(time.Second))
 			}
 			c.mu.Unlock()
-			at = at.Add(min(gap, 100*time.Millisecond))
-			if wait := time.Until(at); wait > 0 {
+			next = next.Add(min(gap, 100*time.Millisecond))
+			if wait := time.Until(next); wait > 0 {
 				select {
 				case <-time.After(wait):
 				case <-c.done:
@@ -154,219 +156,221 @@
 				}
 			}
 			if gap <= 100*time.Millisecond {
-				c.begin()
+				c.startTransaction()
 			}
 		}
 	}()
 }
 
-// Stop ends the arrivals; Firsts then tells what became of them.
+// Stop stops starting transactions and retries. Open tries may still be answered.
 func (c *ClientPool) Stop() {
 	close(c.done)
-	c.ended.Wait()
+	c.running.Wait()
 }
 
-// Close ends the connections.
+// Close closes the connections.
 func (c *ClientPool) Close() {
 	c.mu.Lock()
-	lines := c.lines
-	c.lines = nil
+	connections := c.connections
+	c.connections = nil
 	c.mu.Unlock()
-	for _, l := range lines {
-		l.link.Close(wire.ErrClosed)
+	for _, conn := range connections {
+		conn.link.Close(wire.ErrClosed)
 	}
 }
 
-// Firsts are all transactions that were asked for.
+// Transactions returns all transactions so far.
 func (c *ClientPool) Transactions() []*Transaction {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.transactions
 }
 
-// Open counts the tries that await an answer.
+// OpenTries returns the number of tries without an answer.
 func (c *ClientPool) OpenTries() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, l := range c.lines {
-		n += len(l.open)
+	for _, conn := range c.connections {
+		n += len(conn.open)
 	}
 	return n
 }
 
-func (c *ClientPool) begin() {
+func (c *ClientPool) startTransaction() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := &Transaction{StartedAt: c.env.Now()}
-	x := c.chance.Float64()
-	for i, m := range c.load.Profiles {
-		if x -= m.Share; x < 0 || i == len(c.load.Profiles)-1 {
-			f.Profile = logic.ProfileID(i)
+	t := &Transaction{StartedAt: c.env.Now()}
+	draw := c.random.Float64()
+	for i, m := range c.workload.Profiles {
+		if draw -= m.Share; draw < 0 || i == len(c.workload.Profiles)-1 {
+			t.Profile = logic.ProfileID(i)
 			break
 		}
 	}
-	f.work = max(200, float64(c.load.Profiles[f.Profile].MeanWork)*min(4, c.chance.ExpFloat64()*0.5+0.5))
-	k := c.chance.Float64() * c.zipf[len(c.zipf)-1]
-	n := 0
-	for lo, hi := 0, len(c.zipf)-1; lo <= hi; {
-		if mid := (lo + hi) / 2; c.zipf[mid] < k {
+	t.work = max(200, float64(c.workload.Profiles[t.Profile].MeanWork)*min(4, c.random.ExpFloat64()*0.5+0.5))
+	weight := c.random.Float64() * c.keyWeights[len(c.keyWeights)-1]
+	key := 0
+	for lo, hi := 0, len(c.keyWeights)-1; lo <= hi; {
+		if mid := (lo + hi) / 2; c.keyWeights[mid] < weight {
 			lo = mid + 1
-			n = lo
+			key = lo
 		} else {
 			hi = mid - 1
 		}
 	}
-	if c.chance.Float64() < c.HotKeyShare {
-		n = 0
+	if c.random.Float64() < c.HotKeyShare {
+		key = 0
 	}
-	f.key = logic.Key(fmt.Sprintf("%016x", uint64(n+1)*0x9e3779b97f4a7c15))
-	x = c.chance.Float64()
-	if c.chance.Float64() < c.HotAccountShare {
-		x = 0
+	t.key = logic.Key(fmt.Sprintf("%016x", uint64(key+1)*0x9e3779b97f4a7c15))
+	draw = c.random.Float64()
+	if c.random.Float64() < c.HotAccountShare {
+		draw = 0
 	}
-	for i, share := range c.load.AccountShares {
-		if x -= share; x < 0 {
-			f.account = i + 1
+	for i, share := range c.workload.AccountShares {
+		if draw -= share; draw < 0 {
+			t.account = i + 1
 			break
 		}
 	}
-	c.seq++
-	f.mark = fmt.Sprintf("%s%d", c.name, c.seq)
-	c.transactions = append(c.transactions, f)
-	c.try(f)
+	c.lastTransaction++
+	t.token = fmt.Sprintf("%s%d", c.name, c.lastTransaction)
+	c.transactions = append(c.transactions, t)
+	c.sendTry(t)
 }
 
-// line is an open connection to one of the sentries, or nil. One that is missing is opened behind its back: a dial under
-// the lock would wait for the poller, and answers that come there wait for the lock.
-func (c *ClientPool) line() (found *callLine) {
-	for _, at := range c.chance.Perm(len(c.order)) {
-		to, has := c.order[at], false
-		for _, l := range c.lines {
-			if l.to == to && !l.link.Dead() {
-				has = true
+// pickConn returns an open connection to a random sentry, or nil if there is none. It dials missing connections on other
+// goroutines: a dial under the lock would wait for the poller, while the handling of answers on the poller waits for the lock.
+func (c *ClientPool) pickConn() (found *sentryConn) {
+	for _, i := range c.random.Perm(len(c.sentryIDs)) {
+		id, connected := c.sentryIDs[i], false
+		for _, conn := range c.connections {
+			if conn.sentry == id && !conn.link.Dead() {
+				connected = true
 				if found == nil {
-					found = l
+					found = conn
 				}
 			}
 		}
-		if !has && !c.dialing[to] {
-			c.dialing[to] = true
-			go c.dial(to)
+		if !connected && !c.dialing[id] {
+			c.dialing[id] = true
+			go c.dial(id)
 		}
 	}
 	return found
 }
 
-func (c *ClientPool) dial(to logic.SentryID) {
-	l := &callLine{to: to, open: map[uint64]*callTry{}, all: map[uint64]string{}}
-	link, err := wire.Dial(c.reach[to], 100*time.Millisecond, wire.DefaultLimits,
-		func(_ *wire.Link, kind wire.Kind, body []byte) error { return c.answered(l, kind, body) },
-		func(*wire.Link, error) { go c.lost(l) })
+func (c *ClientPool) dial(id logic.SentryID) {
+	conn := &sentryConn{sentry: id, open: map[uint64]*clientTry{}, tryNames: map[uint64]string{}}
+	link, err := wire.Dial(c.addresses[id], 100*time.Millisecond, wire.DefaultLimits,
+		func(_ *wire.Link, kind wire.Kind, body []byte) error { return c.handleFrame(conn, kind, body) },
+		func(*wire.Link, error) { go c.connectionLost(conn) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dialing[to] = false
+	c.dialing[id] = false
 	if err != nil {
 		return
 	}
-	l.link = link
+	conn.link = link
 	link.PutProto(wire.KindHello, &pb.Hello{Version: wire.ProtocolVersion, Role: pb.Hello_CLIENT})
-	c.lines = append(c.lines, l)
+	c.connections = append(c.connections, conn)
 }
 
-// try asks a sentry, with the lock held.
-func (c *ClientPool) try(f *Transaction) {
-	p := &c.env.Config.Profiles[f.Profile]
-	f.Tries++
-	l := c.line()
-	if l == nil {
-		f.Outcomes[3]++
-		c.again(f, true)
+// sendTry sends a try to a sentry. The lock is held.
+func (c *ClientPool) sendTry(transaction *Transaction) {
+	profile := &c.env.Config.Profiles[transaction.Profile]
+	transaction.Tries++
+	conn := c.pickConn()
+	if conn == nil {
+		transaction.Outcomes[3]++
+		c.retry(transaction, true)
 		return
 	}
 	now := c.env.Now()
-	left := min(logic.Micros(float64(p.MaxDeadline)*c.load.TryTimeoutShare), f.StartedAt+p.MaxDeadline-now)
-	if left <= 0 {
+	timeout := min(logic.Micros(float64(profile.MaxDeadline)*c.workload.TryTimeoutShare), transaction.StartedAt+profile.MaxDeadline-now)
+	if timeout <= 0 {
 		return
 	}
-	l.seq++
-	t := &callTry{name: fmt.Sprintf("%s.%d", f.mark, f.Tries), first: f, line: l, id: l.seq}
-	l.open[t.id], l.all[t.id] = t, t.name
-	c.env.Record(audit.Event{Kind: audit.Asked, Sentry: l.to, Try: t.name, Profile: f.Profile, Key: f.key, Span: left})
-	m := &wire.Ask{ID: t.id, Timeout: uint64(left), ExpectedWork: uint64(f.work), Retry: f.Tries > 1,
-		Payload: []byte(fmt.Sprintf("%s %d", t.name, int(f.work)))}
-	if c.load.UseAttributes {
-		m.Attributes = c.attributes(f)
+	conn.lastID++
+	t := &clientTry{name: fmt.Sprintf("%s.%d", transaction.token, transaction.Tries), transaction: transaction, conn: conn, id: conn.lastID}
+	conn.open[t.id], conn.tryNames[t.id] = t, t.name
+	c.env.Record(audit.Event{Kind: audit.Asked, Sentry: conn.sentry, Try: t.name, Profile: transaction.Profile, Key: transaction.key, Span: timeout})
+	m := &wire.Ask{ID: t.id, Timeout: uint64(timeout), ExpectedWork: uint64(transaction.work), Retry: transaction.Tries > 1,
+		Payload: []byte(fmt.Sprintf("%s %d", t.name, int(transaction.work)))}
+	if c.workload.UseAttributes {
+		m.Attributes = c.encodeAttributes(transaction)
 	} else {
-		m.Profile, m.Account, m.Key = uint32(f.Profile), uint32(f.account), []byte(f.key)
+		m.Profile, m.Account, m.Key = uint32(transaction.Profile), uint32(transaction.account), []byte(transaction.key)
 	}
-	if p.Repeatability == logic.Deduplicated {
-		m.DeduplicationToken = []byte(f.mark)
+	if profile.Repeatability == logic.Deduplicated {
+		m.DeduplicationToken = []byte(transaction.token)
 	}
-	l.link.Put(wire.KindAsk, m)
-	l.link.Flush()
-	wait := span(left + p.MaxDeadline/2 + c.env.Config.AnswerGrace) // an answer that comes late is still seen
-	if c.chance.Float64() < c.load.AbandonShare {
-		wait = time.Duration(c.chance.Float64() * float64(span(left)))
+	conn.link.Put(wire.KindAsk, m)
+	conn.link.Flush()
+	wait := duration(timeout + profile.MaxDeadline/2 + c.env.Config.AnswerGrace) // a late answer is still recorded
+	if c.random.Float64() < c.workload.AbandonShare {
+		wait = time.Duration(c.random.Float64() * float64(duration(timeout)))
 	}
-	t.timer = time.AfterFunc(wait, func() { c.leave(t) })
+	t.timer = time.AfterFunc(wait, func() { c.abandon(t) })
 }
 
-// attributes are eight that say what a transaction is without naming it, with the lock held.
-func (c *ClientPool) attributes(f *Transaction) (b []byte) {
+// encodeAttributes returns the eight attributes from which routes derive a transaction's profile, account and key. The lock is
+// held.
+func (c *ClientPool) encodeAttributes(t *Transaction) (b []byte) {
 	add := func(name string, v match.Carried) { b = wire.AppendAttribute(b, name, &v) }
-	add("kind", match.Carried{Text: c.load.ProfileNames[f.Profile]})
-	add("truck", match.Carried{Text: string(f.key)})
-	if f.account > 0 {
-		add("region", match.Carried{Text: c.load.AccountNames[f.account-1]})
+	add("kind", match.Carried{Text: c.workload.ProfileNames[t.Profile]})
+	add("truck", match.Carried{Text: string(t.key)})
+	if t.account > 0 {
+		add("region", match.Carried{Text: c.workload.AccountNames[t.account-1]})
 	}
-	add("temp", match.Carried{Kind: match.Measure, Fig: float64(c.chance.Intn(30)), Unit: "celsius"})
-	add("urgent", match.Carried{Kind: match.Flag, Num: int64(c.chance.Intn(2))})
-	add("size", match.Carried{Kind: match.Whole, Num: int64(f.work)})
-	add("age", match.Carried{Kind: match.Span, Num: int64(c.env.Now() - f.StartedAt)})
+	add("temp", match.Carried{Kind: match.Measure, Fig: float64(c.random.Intn(30)), Unit: "celsius"})
+	add("urgent", match.Carried{Kind: match.Flag, Num: int64(c.random.Intn(2))})
+	add("size", match.Carried{Kind: match.Whole, Num: int64(t.work)})
+	add("age", match.Carried{Kind: match.Span, Num: int64(c.env.Now() - t.StartedAt)})
 	add("legs", match.Carried{Kind: match.List, Items: []match.Carried{{Kind: match.Whole, Num: 4}, {Kind: match.Whole, Num: 9}}})
 	return b
 }
 
-func (c *ClientPool) leave(t *callTry) {
+// abandon ends a try whose client no longer waits for the answer.
+func (c *ClientPool) abandon(t *clientTry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t.over {
+	if t.ended {
 		return
 	}
 	c.close(t)
-	c.env.Record(audit.Event{Kind: audit.Left, Sentry: t.line.to, Try: t.name})
-	t.line.link.Put(wire.KindLeave, &wire.IDMessage{ID: t.id})
-	t.line.link.Flush()
-	t.first.Outcomes[3]++
+	c.env.Record(audit.Event{Kind: audit.Left, Sentry: t.conn.sentry, Try: t.name})
+	t.conn.link.Put(wire.KindLeave, &wire.IDMessage{ID: t.id})
+	t.conn.link.Flush()
+	t.transaction.Outcomes[3]++
 }
 
-func (c *ClientPool) close(t *callTry) {
-	t.over = true
+func (c *ClientPool) close(t *clientTry) {
+	t.ended = true
 	t.timer.Stop()
-	delete(t.line.open, t.id)
+	delete(t.conn.open, t.id)
 }
 
-// lost ends what was open on a connection.
-func (c *ClientPool) lost(l *callLine) {
+// connectionLost ends the open tries of a connection that has closed, and retries their transactions.
+func (c *ClientPool) connectionLost(conn *sentryConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i, x := range c.lines {
-		if x == l {
-			c.lines = append(c.lines[:i:i], c.lines[i+1:]...)
+	for i, other := range c.connections {
+		if other == conn {
+			c.connections = append(c.connections[:i:i], c.connections[i+1:]...)
 			break
 		}
 	}
-	for _, t := range l.open {
+	for _, t := range conn.open {
 		c.close(t)
-		c.env.Record(audit.Event{Kind: audit.Left, Sentry: l.to, Try: t.name})
-		t.first.Outcomes[3]++
-		c.again(t.first, false)
+		c.env.Record(audit.Event{Kind: audit.Left, Sentry: conn.sentry, Try: t.name})
+		t.transaction.Outcomes[3]++
+		c.retry(t.transaction, false)
 	}
 }
 
-func (c *ClientPool) answered(l *callLine, kind wire.Kind, body []byte) error {
+func (c *ClientPool) handleFrame(conn *sentryConn, kind wire.Kind, body []byte) error {
 	if kind != wire.KindAnswer {
-		return fmt.Errorf("client: frame of kind %d", kind)
+		return fmt.Errorf("client: unexpected frame of kind %d", kind)
 	}
 	var m wire.Answer
 	if err := m.Read(body); err != nil {
@@ -374,57 +378,57 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := l.open[m.ID]
+	t := conn.open[m.ID]
 	if t == nil {
-		// The record shows it: the second answer of a try, or one to a try that was left.
-		c.env.Record(audit.Event{Kind: audit.Answered, Sentry: l.to, Try: l.all[m.ID], Outcome: audit.Outcome(m.Outcome % 3)})
+		// A second answer, or an answer to an abandoned try; the auditor finds it in the record.
+		c.env.Record(audit.Event{Kind: audit.Answered, Sentry: conn.sentry, Try: conn.tryNames[m.ID], Outcome: audit.Outcome(m.Outcome % 3)})
 		return nil
 	}
 	c.close(t)
-	f := t.first
+	transaction := t.transaction
 	if m.Outcome == uint32(pb.Outcome_NOT_TAKEN) || m.Outcome == uint32(pb.Outcome_NO_ROUTE) {
-		c.env.Record(audit.Event{Kind: audit.NotTaken, Sentry: l.to, Try: t.name})
-		f.Outcomes[3]++
-		c.again(f, true)
+		c.env.Record(audit.Event{Kind: audit.NotTaken, Sentry: conn.sentry, Try: t.name})
+		transaction.Outcomes[3]++
+		c.retry(transaction, true)
 		return nil
 	}
-	c.env.Record(audit.Event{Kind: audit.Answered, Sentry: l.to, Try: t.name, Outcome: audit.Outcome(m.Outcome % 3)})
-	f.Outcomes[m.Outcome%3]++
+	c.env.Record(audit.Event{Kind: audit.Answered, Sentry: conn.sentry, Try: t.name, Outcome: audit.Outcome(m.Outcome % 3)})
+	transaction.Outcomes[m.Outcome%3]++
 	if m.Outcome == uint32(pb.Outcome_SATISFIED) {
-		if f.SatisfiedAfter == 0 {
-			f.SatisfiedAfter = max(1, c.env.Now()-f.StartedAt)
+		if transaction.SatisfiedAfter == 0 {
+			transaction.SatisfiedAfter = max(1, c.env.Now()-transaction.StartedAt)
 		}
 		return nil
 	}
-	wait := span(logic.Micros(m.RetryAfter))
+	wait := duration(logic.Micros(m.RetryAfter))
 	deferred := m.Outcome == uint32(pb.Outcome_DEFERRED)
 	time.AfterFunc(wait, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.again(f, deferred)
+		c.retry(transaction, deferred)
 	})
 	return nil
 }
 
-// again tries once more where a client may, with the lock held. Harmless says that nothing has run, by the word of
-// the sentry or since it was not reached.
-func (c *ClientPool) again(f *Transaction, harmless bool) {
-	p := &c.env.Config.Profiles[f.Profile]
-	labelled := p.Repeatability == logic.Deduplicated && p.DedupScope == logic.ScopeAll && c.env.Now()-f.StartedAt < p.DedupWindow/2
-	may := p.Repeatability == logic.Idempotent || p.Repeatability == logic.NonIdempotent && harmless || labelled
+// retry schedules another try of a transaction if the client may retry it. notRun means that no worker has run the last try:
+// the sentry said so, or was not reached. The lock is held.
+func (c *ClientPool) retry(t *Transaction, notRun bool) {
+	profile := &c.env.Config.Profiles[t.Profile]
+	deduplicated := profile.Repeatability == logic.Deduplicated && profile.DedupScope == logic.ScopeAll && c.env.Now()-t.StartedAt < profile.DedupWindow/2
+	allowed := profile.Repeatability == logic.Idempotent || profile.Repeatability == logic.NonIdempotent && notRun || deduplicated
 	select {
 	case <-c.done:
 		return
 	default:
 	}
-	if !may || f.SatisfiedAfter > 0 || f.Tries > c.load.MaxRetries || c.env.Now()+logic.Micros(c.load.Backoff/time.Microsecond) >= f.StartedAt+p.MaxDeadline {
+	if !allowed || t.SatisfiedAfter > 0 || t.Tries > c.workload.MaxRetries || c.env.Now()+logic.Micros(c.workload.Backoff/time.Microsecond) >= t.StartedAt+profile.MaxDeadline {
 		return
 	}
-	time.AfterFunc(c.load.Backoff, func() {
+	time.AfterFunc(c.workload.Backoff, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if f.SatisfiedAfter == 0 && c.env.Now() < f.StartedAt+p.MaxDeadline {
-			c.try(f)
+		if t.SatisfiedAfter == 0 && c.env.Now() < t.StartedAt+profile.MaxDeadline {
+			c.sendTry(t)
 		}
 	})
 }
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -7,59 +7,59 @@
 	"time"
 )
 
-// Weather is what happens on the links between two places, one way.
+// Impairment is the delay or the interruption of the network between two places, in one direction.
 type Impairment struct {
-	mu    sync.Mutex
-	delay time.Duration
-	cut   chan struct{} // closed when the cut is over, nil if there is none
+	mu      sync.Mutex
+	delay   time.Duration
+	blocked chan struct{} // closed when the interruption ends, nil if there is none
 }
 
-// Set changes it.
-func (w *Impairment) Set(delay time.Duration, cut bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.delay = delay
+// Set sets the delay, and whether the network is interrupted.
+func (i *Impairment) Set(delay time.Duration, blocked bool) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.delay = delay
 	switch {
-	case cut && w.cut == nil:
-		w.cut = make(chan struct{})
-	case !cut && w.cut != nil:
-		close(w.cut)
-		w.cut = nil
+	case blocked && i.blocked == nil:
+		i.blocked = make(chan struct{})
+	case !blocked && i.blocked != nil:
+		close(i.blocked)
+		i.blocked = nil
 	}
 }
 
-// Now tells it: the delay, and whether nothing passes.
-func (w *Impairment) Current() (time.Duration, bool) {
-	delay, cut := w.current()
-	return delay, cut != nil
+// Current returns the delay, and whether the network is interrupted.
+func (i *Impairment) Current() (time.Duration, bool) {
+	delay, blocked := i.current()
+	return delay, blocked != nil
 }
 
-func (w *Impairment) current() (time.Duration, chan struct{}) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.delay, w.cut
+func (i *Impairment) current() (time.Duration, chan struct{}) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.delay, i.blocked
 }
 
-// Relay passes connections on to one address, delayed or cut off as the weather says: there on the way out, back on
-// the way in. What a cut holds up never arrives: its connection is closed when the cut is over, as by a middlebox that
-// has lost its state. So a hand-off arrives within the delay or not at all, which the auditor relies on.
+// Relay forwards connections to an address, delayed or interrupted by an outbound and an inbound Impairment. Data that an
+// interruption holds up never arrives: its connection is closed when the interruption ends, as by a middlebox that has lost its
+// state. A hand-off therefore arrives within the delay or not at all, on which the auditor relies.
 type Relay struct {
-	Address     string
-	to          string
-	there, back *Impairment
-	listener    net.Listener
-	mu          sync.Mutex
-	open        map[net.Conn]struct{}
-	closed      chan struct{}
+	Address           string
+	target            string
+	outbound, inbound *Impairment
+	listener          net.Listener
+	mu                sync.Mutex
+	open              map[net.Conn]struct{}
+	closed            chan struct{}
 }
 
-// NewRelay listens for an address.
-func NewRelay(to string, there, back *Impairment) (*Relay, error) {
+// NewRelay returns a relay that listens on loopback and forwards connections to the target.
+func NewRelay(target string, outbound, inbound *Impairment) (*Relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{Address: listener.Addr().String(), to: to, there: there, back: back, listener: listener,
+	r := &Relay{Address: listener.Addr().String(), target: target, outbound: outbound, inbound: inbound, listener: listener,
 		open: map[net.Conn]struct{}{}, closed: make(chan struct{})}
 	go r.serve()
 	return r, nil
@@ -73,7 +73,7 @@
 		}
 		go func() {
 			defer in.Close()
-			out, err := net.DialTimeout("tcp", r.to, time.Second)
+			out, err := net.DialTimeout("tcp", r.target, time.Second)
 			if err != nil {
 				return
 			}
@@ -82,8 +82,8 @@
 			r.open[in], r.open[out] = struct{}{}, struct{}{}
 			r.mu.Unlock()
 			ended := make(chan struct{}, 2)
-			go r.pass(in, out, r.there, ended)
-			go r.pass(out, in, r.back, ended)
+			go r.forward(in, out, r.outbound, ended)
+			go r.forward(out, in, r.inbound, ended)
 			<-ended
 			r.mu.Lock()
 			delete(r.open, in)
@@ -93,24 +93,25 @@
 	}
 }
 
-type parcel struct {
+// delayedChunk is received data that is forwarded when it is due.
+type delayedChunk struct {
 	due  time.Time
 	data []byte
 }
 
-// pass copies one way. Each piece waits out its delay; the cut holds everything up.
-func (r *Relay) pass(from io.Reader, to io.Writer, w *Impairment, ended chan<- struct{}) {
+// forward copies data in one direction, each chunk after its delay. An interruption ends it.
+func (r *Relay) forward(from io.Reader, to io.Writer, impairment *Impairment, ended chan<- struct{}) {
 	defer func() { ended <- struct{}{} }()
-	line := make(chan parcel, 256)
+	chunks := make(chan delayedChunk, 256)
 	go func() {
-		defer close(line)
+		defer close(chunks)
 		for {
 			buffer := make([]byte, 16<<10)
 			n, err := from.Read(buffer)
 			if n > 0 {
-				delay, _ := w.current()
+				delay, _ := impairment.current()
 				select {
-				case line <- parcel{time.Now().Add(delay), buffer[:n]}:
+				case chunks <- delayedChunk{time.Now().Add(delay), buffer[:n]}:
 				case <-r.closed:
 					return
 				}
@@ -120,24 +121,24 @@
 			}
 		}
 	}()
-	for p := range line {
-		if wait := time.Until(p.due); wait > 0 {
+	for chunk := range chunks {
+		if wait := time.Until(chunk.due); wait > 0 {
 			time.Sleep(wait)
 		}
-		if _, cut := w.current(); cut != nil {
+		if _, unblocked := impairment.current(); unblocked != nil {
 			select {
-			case <-cut:
+			case <-unblocked:
 			case <-r.closed:
 			}
 			return
 		}
-		if _, err := to.Write(p.data); err != nil {
+		if _, err := to.Write(chunk.data); err != nil {
 			return
 		}
 	}
 }
 
-// Close ends it with all it passes on.
+// Close closes the relay and all its connections.
 func (r *Relay) Close() {
 	close(r.closed)
 	r.listener.Close()
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -12,76 +12,78 @@
 	"scalechute/logic"
 )
 
-// Worker is a stand-in for one worker. Its address stays over a restart.
+// Worker is a stand-in for a worker. It keeps its address when it is restarted.
 type Worker struct {
 	Entry          logic.Worker
 	Cores          int
 	Speed          float64
-	WarmUp         logic.Micros // until warm after a start
-	ColdSpeedShare float64      // of its speed, at a start
-	MaxQueue       int
+	WarmUp         logic.Micros // time from a start until the worker has its full speed
+	ColdSpeedShare float64      // share of the speed that the worker has at a start
+	MaxQueue       int          // hand-offs that wait for a core; more are turned away
 
-	// Troubles.
-	SlowFactor     float64 // 1 if none
-	FastErrorShare float64 // share that fails at once
+	// Injected faults.
+	SlowFactor     float64 // multiplies the time of hand-offs; 1 without a fault
+	FastErrorShare float64 // share of hand-offs that fail at once
 	HandshakeDelay time.Duration
-	IgnoresFrames  bool // takes connections and reads nothing of them
+	IgnoresFrames  bool // accepts connections and ignores all frames
 	IgnoresProbes  bool
 
 	env           *Environment
 	Address       string
 	mu            sync.Mutex
 	server        *wire.Server
-	life          uint64
+	runNumber     uint64
 	up            bool
-	drain         bool
-	fell          bool
+	draining      bool
+	overloaded    bool
 	started       logic.Micros
-	busy          int
+	busyCores     int
 	queue         []*job
 	running       map[*job]struct{}
-	got           uint64
-	recent        []arrival
-	ended         []logic.Micros // answers of the last second
-	OmitsInFlight bool           // tells what it serves and how busy it is, not how many it has
+	handOffCount  uint64
+	arrivals      []arrival
+	recentEnds    []logic.Micros // times of the hand-offs that ended in the last second
+	OmitsInFlight bool           // load reports carry the CPU use and the served rate only
 }
 
+// arrival is a received hand-off.
 type arrival struct {
 	at   logic.Micros
 	work float64
 }
 
+// job is a hand-off at a worker.
 type job struct {
-	w      *Worker
-	life   uint64
-	link   *wire.Link
-	from   logic.SentryID
-	id     uint64
-	number uint64 // at this worker
-	try    string
-	mark   string
-	work   float64
-	p      logic.ProfileID
-	came   logic.Micros
-	until  logic.Micros
-	over   bool
+	w          *Worker
+	runNumber  uint64
+	link       *wire.Link
+	sentry     logic.SentryID
+	id         uint64
+	number     uint64 // sequence number at this worker
+	try        string
+	token      string
+	work       float64
+	profile    logic.ProfileID
+	receivedAt logic.Micros
+	deadline   logic.Micros
+	ended      bool
 }
 
-// NewWorker makes a worker that is down.
-func NewWorker(s *Environment, line logic.Worker, cores int, speed float64) *Worker {
-	return &Worker{Entry: line, Cores: cores, Speed: speed, ColdSpeedShare: 1, MaxQueue: 16 * cores, SlowFactor: 1, env: s}
+// NewWorker returns a worker that is not running.
+func NewWorker(env *Environment, entry logic.Worker, cores int, speed float64) *Worker {
+	return &Worker{Entry: entry, Cores: cores, Speed: speed, ColdSpeedShare: 1, MaxQueue: 16 * cores, SlowFactor: 1, env: env}
 }
 
-// Start has it listen. A worker that has run before comes back cold, one whose start is given as old is warm.
+// Start starts the worker. With warm, it counts as started long enough ago to have its full speed.
 func (w *Worker) Start(warm bool) error {
 	w.mu.Lock()
 	if w.up {
 		w.mu.Unlock()
 		return nil
 	}
-	w.life++
+	w.runNumber++
 	address := w.Address
-	w.mu.Unlock() // whoever asks whether it is up does not wait for the socket
+	w.mu.Unlock() // RunState must not wait for the socket
 	var err error
 	if address == "" {
 		if address, err = FreeAddress(); err != nil {
@@ -98,8 +100,8 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.server, w.Address, w.up, w.drain, w.fell = server, server.Address, true, false, false
-	w.busy, w.queue, w.recent, w.running = 0, nil, nil, map[*job]struct{}{}
+	w.server, w.Address, w.up, w.draining, w.overloaded = server, server.Address, true, false, false
+	w.busyCores, w.queue, w.arrivals, w.running = 0, nil, nil, map[*job]struct{}{}
 	w.started = w.env.Now()
 	e := audit.Event{Kind: audit.WorkerUp, Worker: w.Entry.ID, Build: w.Entry.Build, Speed: w.Speed * float64(w.Cores),
 		From: w.ColdSpeedShare, Warm: w.WarmUp}
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// Stop ends it at once: what it holds is lost.
+// Stop stops the worker at once. Its hand-offs are lost.
 func (w *Worker) Stop() {
 	w.mu.Lock()
 	server := w.server
@@ -120,51 +122,52 @@
 		return
 	}
 	w.up, w.server = false, nil
-	w.life++
+	w.runNumber++
 	w.mu.Unlock()
 	w.env.Record(audit.Event{Kind: audit.WorkerDown, Worker: w.Entry.ID})
 	server.Close()
 }
 
-// Drain has it take nothing new.
+// Drain makes the worker turn away new hand-offs.
 func (w *Worker) Drain() {
 	w.mu.Lock()
-	w.drain = true
+	w.draining = true
 	w.mu.Unlock()
 }
 
-// Up says whether it runs, since when, and which run that is.
-func (w *Worker) RunState() (up bool, started logic.Micros, life uint64) {
+// RunState returns whether the worker is running, when it was started, and the number of its current run.
+func (w *Worker) RunState() (up bool, started logic.Micros, runNumber uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.up, w.started, w.life
+	return w.up, w.started, w.runNumber
 }
 
-// Set changes its troubles.
+// Set calls f with the lock held, to change the injected faults.
 func (w *Worker) Set(f func(*Worker)) {
 	w.mu.Lock()
 	f(w)
 	w.mu.Unlock()
 }
 
-func (w *Worker) warmth(now logic.Micros) float64 {
+// relativeSpeed returns the share of its speed that the worker has while it warms up.
+func (w *Worker) relativeSpeed(now logic.Micros) float64 {
 	if w.WarmUp <= 0 {
 		return 1
 	}
 	return w.ColdSpeedShare + (1-w.ColdSpeedShare)*min(1, float64(now-w.started)/float64(w.WarmUp))
 }
 
-var errDeaf = errors.New("reads nothing")
+var errIgnoresFrames = errors.New("reads nothing")
 
 func (w *Worker) accept(l *wire.Link) (wire.Handler, func(*wire.Link, error)) {
 	w.mu.Lock()
-	life, from := w.life, logic.SentryID(-1)
+	runNumber, sentry := w.runNumber, logic.SentryID(-1)
 	w.mu.Unlock()
 	return func(l *wire.Link, kind wire.Kind, body []byte) error {
 			w.mu.Lock()
-			deaf, welcome, noProbes := w.IgnoresFrames, w.HandshakeDelay, w.IgnoresProbes
+			ignoresFrames, handshakeDelay, ignoresProbes := w.IgnoresFrames, w.HandshakeDelay, w.IgnoresProbes
 			w.mu.Unlock()
-			if deaf {
+			if ignoresFrames {
 				return nil
 			}
 			switch kind {
@@ -173,42 +176,42 @@
 				if err := unmarshal(body, m); err != nil {
 					return err
 				}
-				from = logic.SentryID(m.Position)
-				time.AfterFunc(welcome, func() { l.Send(wire.KindWelcome, &pb.Welcome{Version: wire.ProtocolVersion}) })
+				sentry = logic.SentryID(m.Position)
+				time.AfterFunc(handshakeDelay, func() { l.Send(wire.KindWelcome, &pb.Welcome{Version: wire.ProtocolVersion}) })
 			case wire.KindWork:
 				var m wire.Work
 				if err := m.Read(body); err != nil {
 					return err
 				}
-				return w.work(l, life, from, &m)
+				return w.handleWork(l, runNumber, sentry, &m)
 			case wire.KindCancel:
 				var m wire.IDMessage
 				if err := m.Read(body); err != nil {
 					return err
 				}
-				w.cancel(l, m.ID)
+				w.cancelJob(l, m.ID)
 			case wire.KindProbe:
 				var m wire.IDMessage
 				if err := m.Read(body); err != nil {
 					return err
 				}
-				if !noProbes {
-					l.Send(wire.KindProbed, &pb.Probed{Id: m.ID, Held: w.held() + 1})
+				if !ignoresProbes {
+					l.Send(wire.KindProbed, &pb.Probed{Id: m.ID, Held: w.inFlight() + 1})
 				}
 			default:
-				return fmt.Errorf("worker: frame of kind %d", kind)
+				return fmt.Errorf("worker: unexpected frame of kind %d", kind)
 			}
 			return nil
 		}, func(l *wire.Link, _ error) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			for _, j := range w.queue {
-				if j.link == l && !j.over {
-					j.over = true
+				if j.link == l && !j.ended {
+					j.ended = true
 					w.env.Record(j.event(audit.Dropped))
 				}
 			}
-			for j := range w.running { // it runs on, but the sentry awaits it no longer
+			for j := range w.running { // it runs to its end, but the sentry no longer waits for it
 				if j.link == l {
 					w.env.Record(j.event(audit.Dropped))
 				}
@@ -216,120 +219,121 @@
 		}
 }
 
-func (w *Worker) held() uint32 {
+func (w *Worker) inFlight() uint32 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return uint32(w.busy + len(w.queue))
+	return uint32(w.busyCores + len(w.queue))
 }
 
 func (j *job) event(k audit.Kind) audit.Event {
-	return audit.Event{Kind: k, Try: j.try, Worker: j.w.Entry.ID, HandOff: j.number, Sentry: j.from, Profile: j.p}
+	return audit.Event{Kind: k, Try: j.try, Worker: j.w.Entry.ID, HandOff: j.number, Sentry: j.sentry, Profile: j.profile}
 }
 
-// work takes a hand-off. The payload names the client's try, the work, and how long it takes on a core of speed one.
-func (w *Worker) work(l *wire.Link, life uint64, from logic.SentryID, m *wire.Work) error {
-	j := &job{w: w, life: life, link: l, from: from, id: m.ID, p: logic.ProfileID(m.Profile), mark: string(m.DeduplicationToken),
-		came: w.env.Now()}
-	j.until = j.came + logic.Micros(m.Timeout)
-	if _, err := fmt.Sscan(string(m.Payload), &j.try, &j.work); err != nil || int(m.Profile) >= len(w.env.Config.Profiles) {
-		return fmt.Errorf("worker: payload %q: expected a try and its work", m.Payload)
+// handleWork handles a hand-off. The payload consists of the client's try and the work, in microseconds on a core of speed one.
+func (w *Worker) handleWork(l *wire.Link, runNumber uint64, sentry logic.SentryID, message *wire.Work) error {
+	j := &job{w: w, runNumber: runNumber, link: l, sentry: sentry, id: message.ID, profile: logic.ProfileID(message.Profile), token: string(message.DeduplicationToken),
+		receivedAt: w.env.Now()}
+	j.deadline = j.receivedAt + logic.Micros(message.Timeout)
+	if _, err := fmt.Sscan(string(message.Payload), &j.try, &j.work); err != nil || int(message.Profile) >= len(w.env.Config.Profiles) {
+		return fmt.Errorf("worker: payload %q, expected the name of a try and its work", message.Payload)
 	}
-	w.env.handed(w.Entry.Build)
+	w.env.noteHandOff(w.Entry.Build)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.up || w.life != life || w.fell {
+	if !w.up || w.runNumber != runNumber || w.overloaded {
 		return nil
 	}
-	w.got++
-	j.number = w.got
+	w.handOffCount++
+	j.number = w.handOffCount
 	e := j.event(audit.Got)
-	e.Key, e.Span, e.Work, e.Build = logic.Key(m.Key), logic.Micros(m.Timeout), logic.Micros(j.work), w.Entry.Build
+	e.Key, e.Span, e.Work, e.Build = logic.Key(message.Key), logic.Micros(message.Timeout), logic.Micros(j.work), w.Entry.Build
 	e.Zone, e.Cell = w.Entry.Zone, w.Entry.Cell
 	w.env.Record(e)
 	now := w.env.Now()
-	if w.falls(now, j.work) {
-		w.fell = true
+	if w.isOverloaded(now, j.work) {
+		w.overloaded = true
 		w.env.Record(audit.Event{Kind: audit.Fell, Worker: w.Entry.ID})
 		go w.Stop()
 		return nil
 	}
 	switch {
-	case w.drain || len(w.queue) >= w.MaxQueue:
-		w.end(j, pb.Ended_TURNED_AWAY)
-	case w.env.draw() < w.FastErrorShare:
-		w.end(j, pb.Ended_ERRORED)
-	case w.busy < w.Cores:
-		w.run(j)
+	case w.draining || len(w.queue) >= w.MaxQueue:
+		w.endJob(j, pb.Ended_TURNED_AWAY)
+	case w.env.randomFloat() < w.FastErrorShare:
+		w.endJob(j, pb.Ended_ERRORED)
+	case w.busyCores < w.Cores:
+		w.runJob(j)
 	default:
 		w.queue = append(w.queue, j)
 	}
 	return nil
 }
 
-// falls books what has come and says whether it pushes a cold worker over.
-func (w *Worker) falls(now logic.Micros, work float64) bool {
+// isOverloaded records an arrival and reports whether the work that arrived recently makes a cold worker crash.
+func (w *Worker) isOverloaded(now logic.Micros, work float64) bool {
 	if now-w.started >= w.WarmUp {
-		w.recent = nil
+		w.arrivals = nil
 		return false
 	}
-	o := w.env.Config
-	w.recent = append(w.recent, arrival{now, work})
-	sum := 0.0
-	for len(w.recent) > 0 && w.recent[0].at <= now-o.ColdLoadWindow {
-		w.recent = w.recent[1:]
+	config := w.env.Config
+	w.arrivals = append(w.arrivals, arrival{now, work})
+	totalWork := 0.0
+	for len(w.arrivals) > 0 && w.arrivals[0].at <= now-config.ColdLoadWindow {
+		w.arrivals = w.arrivals[1:]
 	}
-	for _, a := range w.recent {
-		sum += a.work
+	for _, a := range w.arrivals {
+		totalWork += a.work
 	}
-	return sum > o.ColdLoadMultiple*w.Speed*float64(w.Cores)*w.warmth(now)*float64(o.ColdLoadWindow)
+	return totalWork > config.ColdLoadMultiple*w.Speed*float64(w.Cores)*w.relativeSpeed(now)*float64(config.ColdLoadWindow)
 }
 
-func (w *Worker) run(j *job) {
+func (w *Worker) runJob(j *job) {
 	now := w.env.Now()
-	m, slowed := w.env.makeOf(w.Entry.Build)
-	if m.SlowAfterAge > 0 && now-w.started > m.SlowAfterAge {
-		slowed *= m.SlowFactor
+	behavior, slowdown := w.env.behavior(w.Entry.Build)
+	if behavior.SlowAfterAge > 0 && now-w.started > behavior.SlowAfterAge {
+		slowdown *= behavior.SlowFactor
 	}
-	w.busy++
+	w.busyCores++
 	w.running[j] = struct{}{}
-	took := j.work * w.SlowFactor * slowed / (w.Speed * m.RelativeSpeed * w.warmth(now))
-	time.AfterFunc(span(logic.Micros(took)), func() { w.finish(j, m) })
+	runTime := j.work * w.SlowFactor * slowdown / (w.Speed * behavior.RelativeSpeed * w.relativeSpeed(now))
+	time.AfterFunc(duration(logic.Micros(runTime)), func() { w.finishJob(j, behavior) })
 }
 
-func (w *Worker) finish(j *job, m BuildBehavior) {
-	fails := (m.FailingProfile < 0 || m.FailingProfile == j.p) && w.env.draw() < m.ErrorShare
+func (w *Worker) finishJob(j *job, behavior BuildBehavior) {
+	failed := (behavior.FailingProfile < 0 || behavior.FailingProfile == j.profile) && w.env.randomFloat() < behavior.ErrorShare
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.up || w.life != j.life {
+	if !w.up || w.runNumber != j.runNumber {
 		return
 	}
-	w.busy--
+	w.busyCores--
 	delete(w.running, j)
-	p := &w.env.Config.Profiles[j.p]
-	if p.Repeatability != logic.Deduplicated || w.env.firstRun(w.group(p), j.mark, p.DedupWindow) {
+	profile := &w.env.Config.Profiles[j.profile]
+	if profile.Repeatability != logic.Deduplicated || w.env.isFirstRun(w.dedupGroup(profile), j.token, profile.DedupWindow) {
 		w.env.Record(j.event(audit.Ran))
 	}
-	if fails {
-		w.end(j, pb.Ended_ERRORED)
+	if failed {
+		w.endJob(j, pb.Ended_ERRORED)
 	} else {
-		w.end(j, pb.Ended_ANSWERED)
+		w.endJob(j, pb.Ended_ANSWERED)
 	}
-	for len(w.queue) > 0 && w.busy < w.Cores {
+	for len(w.queue) > 0 && w.busyCores < w.Cores {
 		next := w.queue[0]
 		w.queue = w.queue[1:]
 		switch {
-		case next.over:
-		case w.env.Now() >= next.until: // nobody waits for it any more
-			next.over = true
+		case next.ended:
+		case w.env.Now() >= next.deadline: // the sentry no longer waits for it
+			next.ended = true
 			w.env.Record(next.event(audit.Dropped))
 		default:
-			w.run(next)
+			w.runJob(next)
 		}
 	}
 }
 
-func (w *Worker) group(p *logic.Profile) string {
-	switch p.DedupScope {
+// dedupGroup names the group of workers within which a profile's retries are deduplicated.
+func (w *Worker) dedupGroup(profile *logic.Profile) string {
+	switch profile.DedupScope {
 	case logic.ScopeZone:
 		return fmt.Sprintf("zone %d ", w.Entry.Zone)
 	case logic.ScopeCell:
@@ -338,22 +342,22 @@
 	return ""
 }
 
-func (w *Worker) end(j *job, how pb.Ended) {
-	j.over = true
+func (w *Worker) endJob(j *job, ending pb.Ended) {
+	j.ended = true
 	e := j.event(audit.Ended)
-	if how == pb.Ended_TURNED_AWAY {
+	if ending == pb.Ended_TURNED_AWAY {
 		e.Kind = audit.Turned
 	}
-	e.Good, e.Build = how == pb.Ended_ANSWERED, w.Entry.Build
+	e.Good, e.Build = ending == pb.Ended_ANSWERED, w.Entry.Build
 	w.env.Record(e)
 	now := w.env.Now()
-	w.env.count(w.Entry.Build, j.p, how != pb.Ended_ANSWERED, now-j.came)
-	w.ended = append(w.ended, now)
-	for w.ended[0] <= now-1_000_000 {
-		w.ended = w.ended[1:]
+	w.env.countHandOff(w.Entry.Build, j.profile, ending != pb.Ended_ANSWERED, now-j.receivedAt)
+	w.recentEnds = append(w.recentEnds, now)
+	for w.recentEnds[0] <= now-1_000_000 {
+		w.recentEnds = w.recentEnds[1:]
 	}
-	done := &wire.Done{ID: j.id, Ending: uint32(how), InFlight: uint32(w.busy+len(w.queue)) + 1,
-		CPUUse: uint32(1000*w.busy/w.Cores) + 1, ServedRate: uint32(1000*len(w.ended)) + 1}
+	done := &wire.Done{ID: j.id, Ending: uint32(ending), InFlight: uint32(w.busyCores+len(w.queue)) + 1,
+		CPUUse: uint32(1000*w.busyCores/w.Cores) + 1, ServedRate: uint32(1000*len(w.recentEnds)) + 1}
 	if w.OmitsInFlight {
 		done.InFlight = 0
 	}
@@ -361,13 +365,13 @@
 	j.link.Flush()
 }
 
-// cancel drops a hand-off that still waits.
-func (w *Worker) cancel(l *wire.Link, id uint64) {
+// cancelJob drops a hand-off that is still queued.
+func (w *Worker) cancelJob(l *wire.Link, id uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, j := range w.queue {
-		if j.link == l && j.id == id && !j.over {
-			j.over = true
+		if j.link == l && j.id == id && !j.ended {
+			j.ended = true
 			w.env.Record(j.event(audit.Dropped))
 		}
 	}
--- a/standin/worker_test.go
+++ b/standin/worker_test.go
@@ -11,15 +11,15 @@
 	"scalechute/logic"
 )
 
-func testStage() *Environment {
+func newTestEnvironment() *Environment {
 	return NewEnvironment(&logic.Config{ColdLoadMultiple: 2, ColdLoadWindow: 1_000_000, Profiles: []logic.Profile{
 		{Repeatability: logic.Idempotent}, {Repeatability: logic.Deduplicated, DedupWindow: 150_000}}}, []string{"z"}, 1)
 }
 
-// hand gives a worker hand-offs over one connection and counts how they end.
-func hand(t *testing.T, w *Worker, works ...wire.Work) (ended map[pb.Ended]int) {
+// sendHandOffs sends hand-offs to a worker over one connection and counts how they end.
+func sendHandOffs(t *testing.T, w *Worker, handOffs ...wire.Work) (ended map[pb.Ended]int) {
 	t.Helper()
-	done := make(chan pb.Ended, len(works))
+	done := make(chan pb.Ended, len(handOffs))
 	l, err := wire.Dial(w.Address, time.Second, wire.DefaultLimits, func(_ *wire.Link, kind wire.Kind, body []byte) error {
 		var m wire.Done
 		if kind != wire.KindDone {
@@ -34,13 +34,13 @@
 	}
 	defer l.Close(wire.ErrClosed)
 	l.Send(wire.KindHello, &pb.Hello{Version: wire.ProtocolVersion, Role: pb.Hello_SENTRY})
-	for i := range works {
-		works[i].ID, works[i].Timeout = uint64(i+1), 1_000_000
-		l.Put(wire.KindWork, &works[i])
+	for i := range handOffs {
+		handOffs[i].ID, handOffs[i].Timeout = uint64(i+1), 1_000_000
+		l.Put(wire.KindWork, &handOffs[i])
 	}
 	l.Flush()
 	ended = map[pb.Ended]int{}
-	for range works {
+	for range handOffs {
 		select {
 		case e := <-done:
 			ended[e]++
@@ -51,10 +51,10 @@
 	return ended
 }
 
-func count(s *Environment, k audit.Kind) (n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, e := range s.events {
+func countEvents(env *Environment, k audit.Kind) (n int) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, e := range env.events {
 		if e.Kind == k {
 			n++
 		}
@@ -62,68 +62,70 @@
 	return n
 }
 
-func work(mark string, profile uint32, us int) wire.Work {
-	return wire.Work{Profile: profile, DeduplicationToken: []byte(mark), Payload: []byte(fmt.Sprintf("try %d", us))}
+func newWork(token string, profile uint32, us int) wire.Work {
+	return wire.Work{Profile: profile, DeduplicationToken: []byte(token), Payload: []byte(fmt.Sprintf("try %d", us))}
 }
 
-// Repeats of a labelled transaction run once within its window, on any worker of the group, and again after it.
-func TestRepeatsAreDropped(t *testing.T) {
-	s := testStage()
-	var both []*Worker
+// A deduplicated transaction runs once within its window, on any worker of the group, and again after the window. An idempotent
+// one runs each time.
+func TestDeduplication(t *testing.T) {
+	env := newTestEnvironment()
+	var workers []*Worker
 	for _, id := range []logic.WorkerID{"a", "b"} {
-		w := NewWorker(s, logic.Worker{ID: id, Build: 10}, 1, 1)
+		w := NewWorker(env, logic.Worker{ID: id, Build: 10}, 1, 1)
 		if err := w.Start(true); err != nil {
 			t.Fatal(err)
 		}
 		defer w.Stop()
-		both = append(both, w)
+		workers = append(workers, w)
 	}
-	for _, w := range both {
-		if got := hand(t, w, work("m", 1, 1000), work("m", 1, 1000)); got[pb.Ended_ANSWERED] != 2 {
+	for _, w := range workers {
+		if got := sendHandOffs(t, w, newWork("m", 1, 1000), newWork("m", 1, 1000)); got[pb.Ended_ANSWERED] != 2 {
 			t.Errorf("ended %v", got)
 		}
 	}
-	if n := count(s, audit.Ran); n != 1 {
+	if n := countEvents(env, audit.Ran); n != 1 {
 		t.Errorf("ran %d times within the window", n)
 	}
 	time.Sleep(200 * time.Millisecond)
-	hand(t, both[0], work("m", 1, 1000))
-	if n := count(s, audit.Ran); n != 2 {
+	sendHandOffs(t, workers[0], newWork("m", 1, 1000))
+	if n := countEvents(env, audit.Ran); n != 2 {
 		t.Errorf("ran %d times, expected once more after the window", n)
 	}
-	hand(t, both[0], work("m", 0, 1000), work("m", 0, 1000))
-	if n := count(s, audit.Ran); n != 4 {
-		t.Errorf("ran %d times, expected what is redoable to run each time", n)
+	sendHandOffs(t, workers[0], newWork("m", 0, 1000), newWork("m", 0, 1000))
+	if n := countEvents(env, audit.Ran); n != 4 {
+		t.Errorf("ran %d times, expected an idempotent transaction to run each time", n)
 	}
 }
 
-// A cold worker that gets more than the multiple of what it can do falls over and stays down; a warm one turns away.
-func TestColdWorkerFalls(t *testing.T) {
+// A cold worker that receives more than ColdLoadMultiple times what it can process crashes and stays down. A warm one
+// turns hand-offs away.
+func TestColdWorkerOverload(t *testing.T) {
 	for _, c := range []struct {
-		warm bool
-		us   int
-		fell int
+		warm    bool
+		us      int
+		crashes int
 	}{{false, 60_000, 1}, {false, 40_000, 0}, {true, 60_000, 0}} {
-		s := testStage()
-		w := NewWorker(s, logic.Worker{ID: "w", Build: 10}, 1, 1)
+		env := newTestEnvironment()
+		w := NewWorker(env, logic.Worker{ID: "w", Build: 10}, 1, 1)
 		w.WarmUp, w.ColdSpeedShare, w.MaxQueue = 60_000_000, 0.5, 3
 		if err := w.Start(c.warm); err != nil {
 			t.Fatal(err)
 		}
-		var works []wire.Work
-		for range 20 { // 2 x half a core x 1 s bear 1,000,000 us of work
-			works = append(works, work("", 0, c.us))
+		var handOffs []wire.Work
+		for range 20 { // the limit is 2 x half a core x 1 s, 1,000,000 us of work
+			handOffs = append(handOffs, newWork("", 0, c.us))
 		}
-		ended := hand(t, w, works...)
+		ended := sendHandOffs(t, w, handOffs...)
 		time.Sleep(20 * time.Millisecond)
-		if n := count(s, audit.Fell); n != c.fell {
-			t.Errorf("warm %v, %d us each: fell %d times", c.warm, c.us, n)
+		if n := countEvents(env, audit.Fell); n != c.crashes {
+			t.Errorf("warm %v, %d us each: crashed %d times", c.warm, c.us, n)
 		}
-		if up, _, _ := w.RunState(); up != (c.fell == 0) {
+		if up, _, _ := w.RunState(); up != (c.crashes == 0) {
 			t.Errorf("warm %v, %d us each: up %v", c.warm, c.us, up)
 		}
-		if c.fell == 0 && ended[pb.Ended_TURNED_AWAY] != 16 {
-			t.Errorf("ended %v, expected 16 beyond one core and a queue of 3 turned away", ended)
+		if c.crashes == 0 && ended[pb.Ended_TURNED_AWAY] != 16 {
+			t.Errorf("ended %v, expected the 16 beyond one core and a queue of 3 to be turned away", ended)
 		}
 		w.Stop()
 	}
