--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// Fate is what became of a request.
+// Outcome is the outcome of a request.
 type Outcome uint8
 
-// The fates of a request. Those from late on break a promise.
+// The outcomes of a request. Those from Late on violate a guarantee of the platform's protocol.
 const (
-	Unanswered Outcome = iota // to be told by how its connection ended
-	Unsent                    // not written whole
-	Served                    // by its own answer
-	Refused                   // a later try is harmless
-	Failed                    // answered, not served
-	Unread                    // the process did not read it, and its client sees that
-	Cut                       // found by the kill, and so old that the protocol allows it
-	Late                      // answered after its deadline and the half second
-	Skipped                   // got another request's answer, and its own came nowhere
-	Swapped                   // got another request's answer, and its own came in another place
-	Dropped                   // read, or come, and its connection ended by the process with no answer
-	Killed                    // found unanswered by the kill
-	fates
+	Unanswered Outcome = iota // not answered; replaced by another outcome when its connection ends
+	Unsent                    // not written completely
+	Served                    // answered with its own value
+	Refused                   // answered with BUSY: it can be retried safely
+	Failed                    // answered with an error
+	Unread                    // not read by the process, and the client can tell
+	Cut                       // unanswered at the kill, but sent so early that the protocol allows it
+	Late                      // answered more than maxLateness after its deadline
+	Skipped                   // answered with another request's value; its own value never arrived
+	Swapped                   // answered with another request's value; its own value arrived for another request
+	Dropped                   // read or received by the process, which closed the connection without an answer
+	Killed                    // unanswered at the kill
+	outcomeCount
 )
 
-var fateNames = [fates]string{"unanswered", "unsent", "served", "refused", "failed", "unread", "cut", "late", "skipped", "swapped", "dropped", "killed"}
+var outcomeNames = [outcomeCount]string{"unanswered", "unsent", "served", "refused", "failed", "unread", "cut", "late", "skipped", "swapped", "dropped", "killed"}
 
-func (f Outcome) String() string { return fateNames[f] }
+func (o Outcome) String() string { return outcomeNames[o] }
 
-// Breach is a broken promise that is no request's fate.
+// Violation is a violation of a guarantee that does not concern a single request.
 type Violation string
 
-// The breaches.
+// The violations.
 const (
-	malformedAnswer      Violation = "an answer that can't be read"
+	malformedAnswer      Violation = "a malformed answer"
 	answerWithoutRequest Violation = "an answer without a request"
-	crash                Violation = "the process ended without SIGTERM"
-	notEnded             Violation = "the process had not ended when the kill was due"
+	unexpectedExit       Violation = "the process ended without SIGTERM"
+	exitTooLate          Violation = "the process had not ended when the kill was due"
 )
 
-// Result is what one run came to.
+// Result is the result of a run.
 type Result struct {
 	Plan                *Plan
-	Requests            [fates]int
+	Requests            [outcomeCount]int
 	Violations          map[Violation]int
 	Connections         int             // that ended
-	ConnectionsWithLoss int             // of these, such with a request dropped or found by the kill
-	ShutdownTimes       []time.Duration // after SIGTERM, in each life
-	MaxMemory           int64           // most that a process had, in bytes
-	Examples            []string        // the first few requests with a broken promise
+	ConnectionsWithLoss int             // of these, those with a dropped or killed request
+	ShutdownTimes       []time.Duration // from SIGTERM to the end, for each process
+	MaxMemory           int64           // of any process, in bytes
+	Examples            []string        // the first requests whose outcome violates a guarantee
 }
 
-// Good says that no promise was broken.
+// Passed reports whether no guarantee was violated.
 func (r *Result) Passed() bool {
-	for f := Late; f < fates; f++ {
-		if r.Requests[f] > 0 {
+	for outcome := Late; outcome < outcomeCount; outcome++ {
+		if r.Requests[outcome] > 0 {
 			return false
 		}
 	}
@@ -64,8 +64,8 @@
 
 func (r *Result) String() string {
 	text := r.Plan.String() + ";"
-	for f := Unsent + 1; f < fates; f++ {
-		text += fmt.Sprintf(" %v %d,", f, r.Requests[f])
+	for outcome := Unsent + 1; outcome < outcomeCount; outcome++ {
+		text += fmt.Sprintf(" %v %d,", outcome, r.Requests[outcome])
 	}
 	text += fmt.Sprintf(" connections %d, with a loss %d; ended", r.Connections, r.ConnectionsWithLoss)
 	for _, d := range r.ShutdownTimes {
@@ -73,32 +73,32 @@
 	}
 	text += fmt.Sprintf(" s after SIGTERM, kill due at %.2f", r.Plan.killAfter().Seconds())
 	text += fmt.Sprintf("; %d MB", r.MaxMemory>>20)
-	for b, n := range r.Violations {
-		text += fmt.Sprintf("; %s (%d)", b, n)
+	for violation, n := range r.Violations {
+		text += fmt.Sprintf("; %s (%d)", violation, n)
 	}
 	return text
 }
 
-// mostExamples is how many broken promises are told of one by one.
-const mostExamples = 5
+// maxExamples is the maximum number of requests that are reported one by one.
+const maxExamples = 5
 
-// audit tells what became of the requests of a connection that has ended.
-func (x *run) audit(c *connection, e ending) {
+// auditConnection determines the outcomes of the requests of a connection that has ended.
+func (x *run) auditConnection(c *connection, end connectionEnd) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	lost := false
-	for _, r := range c.all {
+	for _, r := range c.requests {
 		switch {
-		case r.fate == Unanswered:
-			r.fate = x.fate(r, e)
-		case r.fate == Skipped && c.values[r.id]:
-			r.fate = Swapped
+		case r.outcome == Unanswered:
+			r.outcome = x.classifyUnanswered(r, end)
+		case r.outcome == Skipped && c.answeredIDs[r.id]:
+			r.outcome = Swapped
 		}
-		x.result.Requests[r.fate]++
-		lost = lost || r.fate == Dropped || r.fate == Killed
-		if r.fate >= Late && len(x.result.Examples) < mostExamples {
+		x.result.Requests[r.outcome]++
+		lost = lost || r.outcome == Dropped || r.outcome == Killed
+		if r.outcome >= Late && len(x.result.Examples) < maxExamples {
 			x.result.Examples = append(x.result.Examples, fmt.Sprintf("%s (open %d): %v; sent %.3f s, connection ended %.3f s, after SIGTERM; reset %v, %d attempts",
-				r.id, c.plan.MaxOpenRequests, r.fate, r.sent.Sub(x.terminated).Seconds(), e.at.Sub(x.terminated).Seconds(), e.reset, x.seen.of(r.id)))
+				r.id, c.plan.MaxOpenRequests, r.outcome, r.sentAt.Sub(x.terminatedAt).Seconds(), end.at.Sub(x.terminatedAt).Seconds(), end.reset, x.attempts.of(r.id)))
 		}
 	}
 	x.result.Connections++
@@ -107,26 +107,27 @@
 	}
 }
 
-// fate tells what became of a request that has no answer. One that a server saw was read. One that had come to the process's
-// machine was read too, unless the close drew a reset, as it does over what is unread.
-func (x *run) fate(r *request, e ending) Outcome {
+// classifyUnanswered returns the outcome of a request without an answer. A request that reached a server was read. One whose bytes
+// the kernel of the process has acknowledged was read too, unless the connection was reset, as it is when it is closed with
+// unread data.
+func (x *run) classifyUnanswered(r *request, end connectionEnd) Outcome {
 	switch {
-	case x.killedAt != (time.Time{}) && !e.at.Before(x.killedAt):
-		if r.sent.Sub(x.terminated) > lostFrom {
+	case x.killedAt != (time.Time{}) && !end.at.Before(x.killedAt):
+		if r.sentAt.Sub(x.terminatedAt) > lostIfSentAfter {
 			return Killed
 		}
 		return Cut
-	case x.seen.of(r.id) > 0:
+	case x.attempts.of(r.id) > 0:
 		return Dropped
-	case e.acked >= r.end && !e.reset:
+	case end.ackedBytes >= r.endOffset && !end.reset:
 		return Dropped
 	}
 	return Unread
 }
 
-// note counts a breach.
-func (x *run) note(b Violation) {
+// noteViolation counts a violation.
+func (x *run) noteViolation(violation Violation) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.result.Violations[b]++
+	x.result.Violations[violation]++
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -16,131 +16,133 @@
 	"scalechute/internal/resp"
 )
 
-// request is one that a client has written whole.
+// request is a request that a client has written completely, except possibly for its last write.
 type request struct {
-	id       string
-	sent     time.Time // of its last byte
-	end      uint64    // where its last byte stands on the connection
-	answered time.Time // zero if it has no answer
-	fate     Outcome
+	id         string
+	sentAt     time.Time // when its last part was written
+	endOffset  uint64    // offset of its end in the bytes written to the connection
+	answeredAt time.Time // zero if it has no answer
+	outcome    Outcome
 }
 
 // client keeps requests open on one connection at a time.
 type client struct {
-	run      *run
-	name     string
-	plan     ClientPlan
-	random   *rand.Rand // the writer's
-	delays   *rand.Rand // the reader's
-	requests int
-	filler   string
+	run          *run
+	name         string
+	plan         ClientPlan
+	writeRandom  *rand.Rand // used by the writing goroutine
+	readRandom   *rand.Rand // used by the reading goroutine
+	requestCount int
+	filler       string
 }
 
 // connection is one of a client's connections.
 type connection struct {
 	*client
-	conn  *net.TCPConn
-	acked uint64 // bytes that the system had counted as acknowledged before any were written
-
-	mu       sync.Mutex
-	free     *sync.Cond
-	open     []*request // not answered, in order
-	all      []*request
-	values   map[string]bool // ids whose answers came, in whatever place
-	ended    bool
-	written  uint64
-	previous time.Time // of the last answer
+	conn         *net.TCPConn
+	initialAcked uint64 // value of the kernel's counter of acknowledged bytes before any were written
+
+	mu           sync.Mutex
+	changed      *sync.Cond
+	openRequests []*request // without an answer, in order
+	requests     []*request
+	answeredIDs  map[string]bool // IDs of the requests whose values arrived, for whichever request
+	ended        bool
+	writtenBytes uint64
+	lastAnswerAt time.Time
 }
 
-// play connects again and again for as long as the run wants new connections.
-func (c *client) play() {
-	for c.run.waitForListener() {
+// runClient opens one connection after another, for as long as the run allows new ones.
+func (c *client) runClient() {
+	for c.run.waitUntilAllowed() {
 		conn, err := net.DialTimeout("tcp", c.run.address, time.Second)
 		if err != nil {
-			time.Sleep(reconnectPause)
+			time.Sleep(reconnectDelay)
 			continue
 		}
-		x := &connection{client: c, conn: conn.(*net.TCPConn), values: map[string]bool{}, previous: time.Now()}
-		x.free = sync.NewCond(&x.mu)
-		x.acked = x.info().Bytes_acked
-		x.use()
+		x := &connection{client: c, conn: conn.(*net.TCPConn), answeredIDs: map[string]bool{}, lastAnswerAt: time.Now()}
+		x.changed = sync.NewCond(&x.mu)
+		x.initialAcked = x.tcpInfo().Bytes_acked
+		x.runConnection()
 	}
 }
 
-const reconnectPause = 10 * time.Millisecond
+// reconnectDelay is the delay after a failed dial.
+const reconnectDelay = 10 * time.Millisecond
 
-// use plays one connection to its end, and tells what became of each of its requests.
-func (x *connection) use() {
+// runConnection uses a connection until it ends, and has its requests audited.
+func (x *connection) runConnection() {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		x.write()
+		x.writeRequests()
 	}()
-	reset := x.read()
+	reset := x.readAnswers()
 	x.mu.Lock()
 	x.ended = true
-	x.free.Broadcast()
+	x.changed.Broadcast()
 	x.mu.Unlock()
-	x.conn.SetWriteDeadline(time.Now()) // ends a write that waits
+	x.conn.SetWriteDeadline(time.Now()) // aborts a blocked write
 	<-done
-	info := x.settle(reset)
+	end := x.awaitReset(reset)
 	x.conn.Close()
-	x.run.audit(x, info)
+	x.run.auditConnection(x, end)
 }
 
-// write keeps requests open until the connection ends.
-func (x *connection) write() {
+// writeRequests writes requests until the connection ends, and keeps at most MaxOpenRequests open.
+func (x *connection) writeRequests() {
 	for {
 		x.mu.Lock()
-		for len(x.open) >= x.plan.MaxOpenRequests && !x.ended {
-			x.free.Wait()
+		for len(x.openRequests) >= x.plan.MaxOpenRequests && !x.ended {
+			x.changed.Wait()
 		}
 		ended := x.ended
 		x.mu.Unlock()
-		if ended || x.run.over() {
+		if ended || x.run.isDone() {
 			return
 		}
 		if x.plan.MaxPause > 0 {
-			time.Sleep(time.Duration(x.random.Int64N(int64(x.plan.MaxPause))))
+			time.Sleep(time.Duration(x.writeRandom.Int64N(int64(x.plan.MaxPause))))
 		}
-		if !x.writeOne() {
+		if !x.writeRequest() {
 			return
 		}
 	}
 }
 
-// writeOne writes one request. It is booked before its last byte is written, since its answer may come at once.
-func (x *connection) writeOne() bool {
-	x.requests++
-	id := fmt.Sprintf("%s.%d", x.name, x.requests)
-	text := command("Q.ASK", keyFor(id, x.plan.AnswerBytes), id, fmt.Sprintf("c=read,d=%d", x.run.plan.Deadline.Milliseconds()),
+// writeRequest writes one request. The request is recorded before its last part is written, since its answer may arrive at once.
+func (x *connection) writeRequest() bool {
+	x.requestCount++
+	id := fmt.Sprintf("%s.%d", x.name, x.requestCount)
+	text := encodeCommand("Q.ASK", encodeKey(id, x.plan.AnswerBytes), id, fmt.Sprintf("c=read,d=%d", x.run.plan.Deadline.Milliseconds()),
 		x.filler[:x.plan.BodyBytes])
-	for piece := x.plan.ChunkBytes; piece > 0 && len(text) > piece; text = text[piece:] {
-		if !x.put(text[:piece]) {
+	for chunk := x.plan.ChunkBytes; chunk > 0 && len(text) > chunk; text = text[chunk:] {
+		if !x.writeText(text[:chunk]) {
 			return false
 		}
-		time.Sleep(time.Duration(x.random.IntN(300)) * time.Microsecond)
+		time.Sleep(time.Duration(x.writeRandom.IntN(300)) * time.Microsecond)
 	}
-	r := &request{id: id, sent: time.Now(), end: x.written + uint64(len(text))}
+	r := &request{id: id, sentAt: time.Now(), endOffset: x.writtenBytes + uint64(len(text))}
 	x.mu.Lock()
-	x.open, x.all = append(x.open, r), append(x.all, r)
+	x.openRequests, x.requests = append(x.openRequests, r), append(x.requests, r)
 	x.mu.Unlock()
-	if !x.put(text) {
+	if !x.writeText(text) {
 		x.mu.Lock()
-		r.fate = Unsent
+		r.outcome = Unsent
 		x.mu.Unlock()
 		return false
 	}
 	return true
 }
 
-func (x *connection) put(text string) bool {
+func (x *connection) writeText(text string) bool {
 	n, err := io.WriteString(x.conn, text)
-	x.written += uint64(n)
+	x.writtenBytes += uint64(n)
 	return err == nil
 }
 
-func command(words ...string) string {
+// encodeCommand encodes a RESP2 command.
+func encodeCommand(words ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(words))
 	for _, w := range words {
@@ -149,90 +151,90 @@
 	return b.String()
 }
 
-// read takes answers until the connection ends, and says whether it was reset.
-func (x *connection) read() (reset bool) {
-	in := newMessages(x.conn, false)
+// readAnswers reads answers until the connection ends, and reports whether it was reset.
+func (x *connection) readAnswers() (reset bool) {
+	in := newMessageReader(x.conn, false)
 	for {
 		if x.plan.MaxReadDelay > 0 {
-			time.Sleep(time.Duration(x.delays.Int64N(int64(x.plan.MaxReadDelay))))
+			time.Sleep(time.Duration(x.readRandom.Int64N(int64(x.plan.MaxReadDelay))))
 		}
 		values, err := in.next()
 		var malformed *resp.ProtocolError
 		switch {
 		case errors.As(err, &malformed):
-			x.run.note(malformedAnswer)
+			x.run.noteViolation(malformedAnswer)
 			return false
 		case err != nil:
 			return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 		}
-		if !x.answer(&values[0]) {
+		if !x.handleAnswer(&values[0]) {
 			return false
 		}
 	}
 }
 
-// answer books an answer as that of the first open request.
-func (x *connection) answer(v *resp.Value) bool {
+// handleAnswer records an answer for the first open request.
+func (x *connection) handleAnswer(value *resp.Value) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if len(x.open) == 0 {
-		x.run.note(answerWithoutRequest)
+	if len(x.openRequests) == 0 {
+		x.run.noteViolation(answerWithoutRequest)
 		return false
 	}
-	r := x.open[0]
-	x.open = x.open[1:]
-	r.answered = time.Now()
-	due := r.sent
-	if x.previous.After(due) { // the wait for those before it does not count
-		due = x.previous
+	r := x.openRequests[0]
+	x.openRequests = x.openRequests[1:]
+	r.answeredAt = time.Now()
+	waitingSince := r.sentAt
+	if x.lastAnswerAt.After(waitingSince) { // the time spent waiting for earlier answers does not count
+		waitingSince = x.lastAnswerAt
 	}
-	x.previous = r.answered
-	id, _, _ := strings.Cut(string(v.Text), ":")
-	if v.Kind == resp.BulkString {
-		x.values[id] = true
+	x.lastAnswerAt = r.answeredAt
+	id, _, _ := strings.Cut(string(value.Text), ":")
+	if value.Kind == resp.BulkString {
+		x.answeredIDs[id] = true
 	}
 	switch {
-	case v.Kind == resp.BulkString && id != r.id:
-		r.fate = Skipped
-	case r.answered.Sub(due) > x.run.plan.Deadline+lateBy && x.plan.MaxReadDelay == 0:
-		r.fate = Late
-	case v.Kind == resp.BulkString:
-		r.fate = Served
-	case v.Kind == resp.Error && strings.HasPrefix(string(v.Text), "BUSY"):
-		r.fate = Refused
+	case value.Kind == resp.BulkString && id != r.id:
+		r.outcome = Skipped
+	case r.answeredAt.Sub(waitingSince) > x.run.plan.Deadline+maxLateness && x.plan.MaxReadDelay == 0:
+		r.outcome = Late
+	case value.Kind == resp.BulkString:
+		r.outcome = Served
+	case value.Kind == resp.Error && strings.HasPrefix(string(value.Text), "BUSY"):
+		r.outcome = Refused
 	default:
-		r.fate = Failed
+		r.outcome = Failed
 	}
-	x.free.Signal()
+	x.changed.Signal()
 	return true
 }
 
-// What the system tells of a connection that has ended.
-type ending struct {
-	at    time.Time
-	reset bool   // the process's end had unread bytes, or went with the process
-	acked uint64 // bytes that had come to the process's machine before the end
+// connectionEnd is what the kernel reports of a connection that has ended.
+type connectionEnd struct {
+	at         time.Time
+	reset      bool   // the process had unread data when it closed the connection, or was killed
+	ackedBytes uint64 // bytes that the process's kernel had acknowledged before the end
 }
 
-// resetWithin is how long after the end of the stream the reset of a close over unread bytes may come: the process gives the
-// client a while to come to its answers, and may be held up.
-const resetWithin = 800 * time.Millisecond
+// resetTimeout is how long after the end of the stream a reset because of unread data may arrive: the process lingers so that the
+// client can read its answers, and may be paused.
+const resetTimeout = 800 * time.Millisecond
 
-// settle waits for a reset that follows the end of the stream.
-func (x *connection) settle(reset bool) ending {
-	e := ending{at: time.Now(), reset: reset}
+// awaitReset waits for a reset after the end of the stream.
+func (x *connection) awaitReset(reset bool) connectionEnd {
+	end := connectionEnd{at: time.Now(), reset: reset}
 	for {
-		info := x.info()
-		e.reset = e.reset || info.State == unix.BPF_TCP_CLOSE
-		e.acked = info.Bytes_acked - x.acked
-		if e.reset || time.Since(e.at) > resetWithin || x.run.over() {
-			return e
+		info := x.tcpInfo()
+		end.reset = end.reset || info.State == unix.BPF_TCP_CLOSE
+		end.ackedBytes = info.Bytes_acked - x.initialAcked
+		if end.reset || time.Since(end.at) > resetTimeout || x.run.isDone() {
+			return end
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-func (x *connection) info() *unix.TCPInfo {
+func (x *connection) tcpInfo() *unix.TCPInfo {
 	info := &unix.TCPInfo{}
 	if raw, err := x.conn.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,6 +1,8 @@
-// Package soak plays the real program against stand-in clients, servers and discovery on loopback while it is sent SIGHUP and
-// SIGTERM in series, and audits on the sockets what became of every request. Clients go on using the connections that they
-// have for as long as these stay open, and SIGKILL comes at the earliest time that the platform's protocol allows.
+// Package soak runs the real program against stand-in clients, servers and discovery on loopback, sends it SIGHUP and SIGTERM
+// repeatedly, and determines the outcome of every request from the clients' connections.
+//
+// A Plan, drawn from a seed, describes the clients, the servers and the signals; Run executes it and returns a Result. Clients use
+// their connections for as long as these stay open, and SIGKILL is sent at the earliest time that the platform's protocol allows.
 package soak
 
 import (
@@ -9,129 +11,130 @@
 	"time"
 )
 
-// What the platform's protocol states about a planned restart.
+// Rules of the platform's protocol for a planned restart.
 const (
-	// SIGKILL comes no sooner than the longest deadline and this much after SIGTERM.
+	// SIGKILL is sent no earlier than the longest deadline plus this after SIGTERM.
 	killAfterDeadline = 700 * time.Millisecond
 	// A longer deadline counts as this long.
-	longestCountedDeadline = 3 * time.Second
-	// What the kill finds unanswered is lost if it came so long after SIGTERM.
-	lostFrom = 700 * time.Millisecond
-	// New connections go on coming for this long after SIGTERM, at the least and at the most.
-	leastNewConnections = 200 * time.Millisecond
-	mostNewConnections  = 400 * time.Millisecond
-	// A process may be held up for so long.
-	heldUp = 150 * time.Millisecond
-	// An answer that is later than its deadline by this much is lost.
-	lateBy = 500 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second
+	// A request that is unanswered at the kill counts as lost if it was sent more than this after SIGTERM.
+	lostIfSentAfter = 700 * time.Millisecond
+	// Clients go on opening new connections for at least and at most this long after SIGTERM.
+	minNewConnectionsPeriod = 200 * time.Millisecond
+	maxNewConnectionsPeriod = 400 * time.Millisecond
+	// The process may be paused for this long.
+	pauseDuration = 150 * time.Millisecond
+	// An answer that arrives more than this after its deadline counts as lost.
+	maxLateness = 500 * time.Millisecond
 )
 
-// Plan is one run, drawn from its seed.
+// Plan is the plan of one run, drawn from a seed.
 type Plan struct {
 	Seed           uint64
 	Deadline       time.Duration // of every request
 	Servers        []ServerPlan
 	Clients        []ClientPlan
 	MaxDescriptors int
-	Processes      []ProcessPlan // one for each start of the process
-	InjectedFault  string        // how the process is to break a promise, empty if not at all
+	Processes      []ProcessPlan // one for each start of the process, in order
+	InjectedFault  string        // the guarantee that the process is to violate, as its --break flag takes it; empty if none
 }
 
 // ServerPlan is how one server answers.
 type ServerPlan struct {
-	FastDelay    time.Duration // how long most answers take
+	FastDelay    time.Duration // delay of most answers
 	SlowDelay    time.Duration
 	SlowPerMille uint64
-	HangDelay    time.Duration // longer than any deadline
+	HangDelay    time.Duration // delay of the slowest answers, longer than the deadlines of most plans
 	HangPerMille uint64
 }
 
 // ClientPlan is how one client behaves.
 type ClientPlan struct {
-	MaxOpenRequests int           // requests that it keeps open on its connection
-	MaxPause        time.Duration // before the next request, at the most
-	ChunkBytes      int           // bytes that it writes at a time, 0 for whole commands
-	BodyBytes       int           // bytes of a request's body
-	AnswerBytes     int           // bytes of an answer
-	MaxReadDelay    time.Duration // before each read, at the most
+	MaxOpenRequests int           // on its connection
+	MaxPause        time.Duration // before the next request
+	ChunkBytes      int           // size of a write, 0 to write whole commands
+	BodyBytes       int           // size of a request's body
+	AnswerBytes     int           // size of an answer
+	MaxReadDelay    time.Duration // before each read
 }
 
-// LifePlan is one life of the process, counted from when it was ready.
+// ProcessPlan is the plan of one run of the process, from its start to its end. Times count from when it is ready.
 type ProcessPlan struct {
 	ReloadTimes        []time.Duration // SIGHUP
 	TerminateAfter     time.Duration   // SIGTERM
-	RepeatedTerminates []time.Duration // after it: further SIGTERM
-	ReloadsInShutdown  []time.Duration // after it: further SIGHUP
-	PauseAfter         time.Duration   // after it: the process stands still for heldUp from then on, 0 if it never does
+	RepeatedTerminates []time.Duration // further SIGTERM, counted from the first
+	ReloadsInShutdown  []time.Duration // further SIGHUP, counted from SIGTERM
+	PauseAfter         time.Duration   // when the process is paused for pauseDuration, counted from SIGTERM; 0 if never
 }
 
-// Bounds of what is drawn.
+// Limits and values of random plans. Plans whose seed is a multiple of extraClientsSeedInterval have more clients than there may
+// be connections.
 const (
-	mostClients     = 20
-	mostOpen        = 32
-	mostPause       = 50 * time.Millisecond
-	greatestValue   = 64 << 10
-	smallAnswer     = 64 // bytes
-	crowdClients    = 300
-	fewDescriptors  = 256
-	manyDescriptors = 1024
-	crowdOneIn      = 3
+	maxClients               = 20
+	maxOpenRequests          = 32
+	maxPause                 = 50 * time.Millisecond
+	maxValueBytes            = 64 << 10
+	smallAnswerBytes         = 64
+	extraClients             = 300
+	fewDescriptors           = 256
+	manyDescriptors          = 1024
+	extraClientsSeedInterval = 3
 )
 
-// Draw makes the plan of a seed.
+// RandomPlan returns the plan of a seed.
 func RandomPlan(seed uint64) *Plan {
 	r := rand.New(rand.NewPCG(seed, 0))
 	p := &Plan{Seed: seed, MaxDescriptors: manyDescriptors, Deadline: []time.Duration{600, 900, 900, 1500, 5000}[r.IntN(5)] * time.Millisecond}
 	for range 2 + r.IntN(4) {
-		p.Servers = append(p.Servers, drawServer(r))
+		p.Servers = append(p.Servers, randomServer(r))
 	}
-	for range 4 + r.IntN(mostClients-3) {
-		p.Clients = append(p.Clients, drawClient(r))
+	for range 4 + r.IntN(maxClients-3) {
+		p.Clients = append(p.Clients, randomClient(r))
 	}
-	if seed%crowdOneIn == 0 {
+	if seed%extraClientsSeedInterval == 0 {
 		p.MaxDescriptors = fewDescriptors
-		for range crowdClients {
-			p.Clients = append(p.Clients, ClientPlan{MaxOpenRequests: 1, MaxPause: mostPause, AnswerBytes: smallAnswer})
+		for range extraClients {
+			p.Clients = append(p.Clients, ClientPlan{MaxOpenRequests: 1, MaxPause: maxPause, AnswerBytes: smallAnswerBytes})
 		}
 	}
 	for range 1 + r.IntN(2) {
-		p.Processes = append(p.Processes, drawLife(r))
+		p.Processes = append(p.Processes, randomProcess(r))
 	}
-	p.drawHolds()
+	p.addRandomPauses()
 	return p
 }
 
-// holdsStream is the stream of random numbers of its own that the times of being held up come from.
-const holdsStream = 1 << 32
+// pauseStream is the random stream from which the times of pauses are drawn, separate so that it does not change the rest of a plan.
+const pauseStream = 1 << 32
 
-// drawHolds has the process held up once in about half of its ends, up to the time at which it is killed.
-func (p *Plan) drawHolds() {
-	r := rand.New(rand.NewPCG(p.Seed, holdsStream))
+// addRandomPauses pauses the process once in about half of its shutdowns, at a time before it would be killed.
+func (p *Plan) addRandomPauses() {
+	r := rand.New(rand.NewPCG(p.Seed, pauseStream))
 	for i := range p.Processes {
 		if r.IntN(2) == 0 {
-			p.Processes[i].PauseAfter = time.Duration(1 + r.Int64N(int64(p.killAfter()-heldUp)))
+			p.Processes[i].PauseAfter = time.Duration(1 + r.Int64N(int64(p.killAfter()-pauseDuration)))
 		}
 	}
 }
 
-func drawServer(r *rand.Rand) ServerPlan {
+func randomServer(r *rand.Rand) ServerPlan {
 	return ServerPlan{FastDelay: time.Millisecond, SlowDelay: 250 * time.Millisecond, SlowPerMille: r.Uint64N(100),
 		HangDelay: 2 * time.Second, HangPerMille: r.Uint64N(30)}
 }
 
-func drawClient(r *rand.Rand) ClientPlan {
-	c := ClientPlan{MaxOpenRequests: []int{1, 2, 4, 8, mostOpen}[r.IntN(5)], AnswerBytes: smallAnswer}
+func randomClient(r *rand.Rand) ClientPlan {
+	c := ClientPlan{MaxOpenRequests: []int{1, 2, 4, 8, maxOpenRequests}[r.IntN(5)], AnswerBytes: smallAnswerBytes}
 	if r.IntN(2) == 0 {
-		c.MaxPause = time.Duration(r.Int64N(int64(mostPause)))
+		c.MaxPause = time.Duration(r.Int64N(int64(maxPause)))
 	}
 	if r.IntN(4) == 0 {
 		c.ChunkBytes = 1 + r.IntN(40)
 	}
 	switch r.IntN(6) {
 	case 0:
-		c.AnswerBytes = 1 + r.IntN(greatestValue-64)
+		c.AnswerBytes = 1 + r.IntN(maxValueBytes-64)
 	case 1:
-		c.BodyBytes = 1 + r.IntN(greatestValue)
+		c.BodyBytes = 1 + r.IntN(maxValueBytes)
 		c.ChunkBytes *= 1024
 	}
 	if r.IntN(5) == 0 {
@@ -140,7 +143,7 @@
 	return c
 }
 
-func drawLife(r *rand.Rand) ProcessPlan {
+func randomProcess(r *rand.Rand) ProcessPlan {
 	var l ProcessPlan
 	l.TerminateAfter = 300*time.Millisecond + time.Duration(r.Int64N(int64(700*time.Millisecond)))
 	for range r.IntN(4) {
@@ -155,9 +158,9 @@
 	return l
 }
 
-// killAfter is when SIGKILL comes, after SIGTERM.
+// killAfter returns the time from SIGTERM to SIGKILL.
 func (p *Plan) killAfter() time.Duration {
-	return min(p.Deadline, longestCountedDeadline) + killAfterDeadline
+	return min(p.Deadline, maxCountedDeadline) + killAfterDeadline
 }
 
 func (p *Plan) String() string {
@@ -165,25 +168,25 @@
 		p.Seed, len(p.Clients), len(p.Servers), p.Deadline, p.MaxDescriptors, len(p.Processes))
 }
 
-// Pipelines is a plan of clients that keep the same number of requests open on a connection, with one life and no reloads.
-func PipelinePlan(seed uint64, clients, open int, pause time.Duration, answer int) *Plan {
+// PipelinePlan returns a plan in which all clients keep the same number of requests open, with one process and no reloads.
+func PipelinePlan(seed uint64, clients, openRequests int, pause time.Duration, answer int) *Plan {
 	p := &Plan{Seed: seed, Deadline: 900 * time.Millisecond, MaxDescriptors: manyDescriptors, Processes: []ProcessPlan{{TerminateAfter: 2 * time.Second}}}
 	for range 4 {
 		p.Servers = append(p.Servers, ServerPlan{FastDelay: time.Millisecond, SlowDelay: 250 * time.Millisecond, SlowPerMille: 2, HangDelay: 2 * time.Second, HangPerMille: 1})
 	}
 	for range clients {
-		p.Clients = append(p.Clients, ClientPlan{MaxOpenRequests: open, MaxPause: pause, AnswerBytes: answer})
+		p.Clients = append(p.Clients, ClientPlan{MaxOpenRequests: openRequests, MaxPause: pause, AnswerBytes: answer})
 	}
 	return p
 }
 
-// Breaking is a plan on which the process has every occasion to break a promise: full pipelines, and servers that answer out
-// of turn now and then.
-func FaultPlan(seed uint64, breach string) *Plan {
-	p := PipelinePlan(seed, 8, 8, 0, smallAnswer)
+// FaultPlan returns a plan with a fault injected into the process, in which the fault is likely to show: pipelines are full, and
+// servers answer out of order at times.
+func FaultPlan(seed uint64, fault string) *Plan {
+	p := PipelinePlan(seed, 8, 8, 0, smallAnswerBytes)
 	for i := range p.Servers {
 		p.Servers[i].SlowPerMille = 50
 	}
-	p.InjectedFault = breach
+	p.InjectedFault = fault
 	return p
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -14,39 +14,39 @@
 	"time"
 )
 
-// settings are the platform's, with one class whose deadline is to be filled in twice.
-const settings = `{"azs":["here"],"zone":"here","replicas_of_me":1,"position":0,"registry_mode":"on_request","granularity_ns":5000000,
+// settingsFormat is the platform's settings with one request class, whose aim and deadline are to be filled in.
+const settingsFormat = `{"azs":["here"],"zone":"here","replicas_of_me":1,"position":0,"registry_mode":"on_request","granularity_ns":5000000,
  "categories":[{"name":"read","aim_ns":%d,"deadline_ns":%d,"effect":"retryable","value":1}],
  "limits":{"max_attempts":3,"connect_timeout_ns":250000000,"idle_close_ns":30000000000,"streams_per_conn":32,"retry_after":true,
  "max_retry_after_ns":1000000000},
  "rules":{"ask_within_ns":8000000000,"drain_grace_ns":2000000000,"warm_up_ns":1000000000,"fall_multiple":4,"fall_ns":2000000000}}`
 
-// readyWithin is how long a start may take.
-const readyWithin = 10 * time.Second
+// readyTimeout is how long a start may take.
+const readyTimeout = 10 * time.Second
 
-// process is one life of the program.
+// process is a running instance of the program.
 type process struct {
-	command *exec.Cmd
-	ended   chan struct{} // closed once it has ended
-	memory  atomic.Int64  // the most that it has had, in bytes
+	command   *exec.Cmd
+	ended     chan struct{} // closed once the process has ended
+	maxMemory atomic.Int64  // peak memory in bytes
 }
 
-// configure writes the configuration's file.
-func configure(file string, p *Plan, listen, discovery, list string) error {
+// writeConfig writes the program's configuration file.
+func writeConfig(file string, p *Plan, listen, discovery, list string) error {
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":2,"memory_mb":64,
  "sockets":%d},"release_api":{"address":"127.0.0.1:1"},"known":%s,"settings":%s}`, listen, discovery, p.MaxDescriptors, list,
-		fmt.Sprintf(settings, p.Deadline/3, p.Deadline))
+		fmt.Sprintf(settingsFormat, p.Deadline/3, p.Deadline))
 	return os.WriteFile(file, []byte(text), 0o600)
 }
 
-// start runs the program and waits until it answers.
-func start(program []string, p *Plan, file, address string, log io.Writer) (*process, error) {
+// startProcess starts the program and waits until it answers.
+func startProcess(program []string, p *Plan, file, address string, log io.Writer) (*process, error) {
 	arguments := append(program[1:len(program):len(program)], "sentry", "--platform")
 	if p.InjectedFault != "" {
 		arguments = append(arguments, "--break", p.InjectedFault)
 	}
 	x := &process{command: exec.Command(program[0], arguments...), ended: make(chan struct{})}
-	// A program that is built with the race detector sleeps for a second as it ends, unless it is told not to.
+	// A program built with the race detector sleeps for a second when it exits, unless atexit_sleep_ms is 0.
 	x.command.Env = append(os.Environ(), "EDGE_CONFIG="+file, "GORACE=atexit_sleep_ms=0")
 	x.command.Stderr = log
 	if err := x.command.Start(); err != nil {
@@ -57,17 +57,17 @@
 		close(x.ended)
 	}()
 	go x.watchMemory()
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if ready(address) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		if isReady(address) {
 			return x, nil
 		}
 	}
 	x.kill()
-	return nil, fmt.Errorf("found no answer within %v of the start, expected +PONG", readyWithin)
+	return nil, fmt.Errorf("no answer within %v of the start, expected +PONG", readyTimeout)
 }
 
-// ready says whether the process answers.
-func ready(address string) bool {
+// isReady reports whether the process answers PING.
+func isReady(address string) bool {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return false
@@ -80,24 +80,24 @@
 	return err == nil
 }
 
-// memoryEvery is how often the process's memory is looked at.
-const memoryEvery = 50 * time.Millisecond
+// memoryPollInterval is how often the process's memory is measured.
+const memoryPollInterval = 50 * time.Millisecond
 
-// watchMemory keeps the most memory that the process has had, until it ends. (What the system tells after the end counts this
-// program's own memory at the start, too.)
+// watchMemory records the process's peak memory until it ends. (The peak that the kernel reports after the end is not usable: it
+// includes this program's own memory at the time of the start.)
 func (x *process) watchMemory() {
 	file := fmt.Sprintf("/proc/%d/status", x.command.Process.Pid)
 	for {
 		select {
 		case <-x.ended:
 			return
-		case <-time.After(memoryEvery):
+		case <-time.After(memoryPollInterval):
 		}
 		status, _ := os.ReadFile(file)
 		if _, after, found := strings.Cut(string(status), "VmHWM:"); found {
 			if fields := strings.Fields(after); len(fields) > 0 {
 				kilobytes, _ := strconv.ParseInt(fields[0], 10, 64)
-				x.memory.Store(kilobytes << 10)
+				x.maxMemory.Store(kilobytes << 10)
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 	<-x.ended
 }
 
-// freeAddress is one where nobody listens.
+// freeAddress returns a loopback address on which nobody listens.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -120,5 +120,5 @@
 	return l.Addr().String(), nil
 }
 
-// configurationFile is where a run's configuration stands.
-func configurationFile(dir string) string { return filepath.Join(dir, "config.json") }
+// configPath returns the path of a run's configuration file.
+func configPath(dir string) string { return filepath.Join(dir, "config.json") }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -11,42 +11,42 @@
 	"time"
 )
 
-// run is a plan that is played.
+// run is a plan that is being executed.
 type run struct {
-	plan    *Plan
-	address string
-	seen    *attempts
-	finish  chan struct{} // closed once nothing more is to be written
+	plan     *Plan
+	address  string
+	attempts *attemptCounts
+	done     chan struct{} // closed once clients must stop writing
 
-	mu         sync.Mutex
-	changed    *sync.Cond
-	accepting  bool // new connections may be made
-	finished   bool
-	terminated time.Time // the last SIGTERM of the life at hand that began its end
-	killedAt   time.Time // zero if that life has not been killed
-	result     *Result
+	mu                 sync.Mutex
+	changed            *sync.Cond
+	connectionsAllowed bool // clients may open new connections
+	finished           bool
+	terminatedAt       time.Time // first SIGTERM to the current process, or to the previous one until then
+	killedAt           time.Time // zero if the current process has not been killed
+	result             *Result
 }
 
-// Options are how a plan is played.
+// Options are the options of Run.
 type Options struct {
-	Program []string // what runs the program, with arguments before its own
-	Log     io.Writer
+	Program []string  // the program and its first arguments
+	Log     io.Writer // receives the process's log; may be nil
 }
 
-// Play plays a plan.
+// Run executes a plan.
 func Run(p *Plan, o Options) (*Result, error) {
-	x := &run{plan: p, seen: &attempts{counts: map[string]int{}}, finish: make(chan struct{}), result: &Result{Plan: p, Violations: map[Violation]int{}}}
+	x := &run{plan: p, attempts: &attemptCounts{counts: map[string]int{}}, done: make(chan struct{}), result: &Result{Plan: p, Violations: map[Violation]int{}}}
 	x.changed = sync.NewCond(&x.mu)
 	servers := []*server{}
 	for _, plan := range p.Servers {
-		s, err := startServer(plan, x.seen)
+		s, err := startServer(plan, x.attempts)
 		if err != nil {
 			return nil, err
 		}
 		defer s.listener.Close()
 		servers = append(servers, s)
 	}
-	known := list(servers)
+	known := encodeWorkerList(servers)
 	discovery, discoveryAddress, err := startDiscovery(known)
 	if err != nil {
 		return nil, err
@@ -60,84 +60,84 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	file := configurationFile(dir)
-	if err := configure(file, p, x.address, discoveryAddress, known); err != nil {
+	file := configPath(dir)
+	if err := writeConfig(file, p, x.address, discoveryAddress, known); err != nil {
 		return nil, err
 	}
-	return x.result, x.play(o, file)
+	return x.result, x.runProcesses(o, file)
 }
 
-// delaysStream is the first stream of random numbers for the delays of clients' reads.
-const delaysStream = 1 << 33
+// readDelayStream is the first random stream for the read delays of clients.
+const readDelayStream = 1 << 33
 
-// play has the clients go on through all lives of the process.
-func (x *run) play(o Options, file string) error {
+// runProcesses runs the plan's processes one after the other, while the clients keep running.
+func (x *run) runProcesses(o Options, file string) error {
 	var clients sync.WaitGroup
-	filler := strings.Repeat("y", greatestValue)
+	filler := strings.Repeat("y", maxValueBytes)
 	for i, plan := range x.plan.Clients {
 		c := &client{run: x, name: fmt.Sprint("c", i), plan: plan, filler: filler,
-			random: rand.New(rand.NewPCG(x.plan.Seed, uint64(i+1))), delays: rand.New(rand.NewPCG(x.plan.Seed, delaysStream+uint64(i)))}
-		clients.Go(c.play)
+			writeRandom: rand.New(rand.NewPCG(x.plan.Seed, uint64(i+1))), readRandom: rand.New(rand.NewPCG(x.plan.Seed, readDelayStream+uint64(i)))}
+		clients.Go(c.runClient)
 	}
 	defer clients.Wait()
-	defer x.end()
-	for _, life := range x.plan.Processes {
-		p, err := start(o.Program, x.plan, file, x.address, o.Log)
+	defer x.finish()
+	for _, plan := range x.plan.Processes {
+		p, err := startProcess(o.Program, x.plan, file, x.address, o.Log)
 		if err != nil {
 			return err
 		}
-		x.live(p, life)
+		x.runProcess(p, plan)
 	}
 	return nil
 }
 
-// live plays one life of the process to its end.
-func (x *run) live(p *process, life ProcessPlan) {
+// runProcess runs one process to its end.
+func (x *run) runProcess(p *process, plan ProcessPlan) {
 	x.mu.Lock()
 	x.killedAt = time.Time{}
 	x.mu.Unlock()
-	x.accept(true)
-	x.during(p, life.ReloadTimes, syscall.SIGHUP)
+	x.allowConnections(true)
+	x.scheduleSignals(p, plan.ReloadTimes, syscall.SIGHUP)
 	select {
 	case <-p.ended:
-		x.note(crash)
-		x.accept(false)
+		x.noteViolation(unexpectedExit)
+		x.allowConnections(false)
 		return
-	case <-time.After(life.TerminateAfter):
+	case <-time.After(plan.TerminateAfter):
 	}
 	x.mu.Lock()
-	x.terminated = time.Now()
-	terminated := x.terminated
+	x.terminatedAt = time.Now()
+	terminated := x.terminatedAt
 	x.mu.Unlock()
 	p.signal(syscall.SIGTERM)
-	x.during(p, life.ReloadsInShutdown, syscall.SIGHUP)
-	x.during(p, life.RepeatedTerminates, syscall.SIGTERM)
-	if life.PauseAfter > 0 {
-		x.during(p, []time.Duration{life.PauseAfter}, syscall.SIGSTOP)
-		x.during(p, []time.Duration{life.PauseAfter + heldUp}, syscall.SIGCONT)
+	x.scheduleSignals(p, plan.ReloadsInShutdown, syscall.SIGHUP)
+	x.scheduleSignals(p, plan.RepeatedTerminates, syscall.SIGTERM)
+	if plan.PauseAfter > 0 {
+		x.scheduleSignals(p, []time.Duration{plan.PauseAfter}, syscall.SIGSTOP)
+		x.scheduleSignals(p, []time.Duration{plan.PauseAfter + pauseDuration}, syscall.SIGCONT)
 	}
-	newConnections := leastNewConnections + time.Duration(x.plan.Seed%2)*(mostNewConnections-leastNewConnections)
-	time.AfterFunc(newConnections, func() { x.accept(false) })
+	connectionsPeriod := minNewConnectionsPeriod + time.Duration(x.plan.Seed%2)*(maxNewConnectionsPeriod-minNewConnectionsPeriod)
+	time.AfterFunc(connectionsPeriod, func() { x.allowConnections(false) })
 	select {
 	case <-p.ended:
 	case <-time.After(time.Until(terminated.Add(x.plan.killAfter()))):
 		x.mu.Lock()
 		x.killedAt = time.Now()
-		x.result.Violations[notEnded]++
+		x.result.Violations[exitTooLate]++
 		x.mu.Unlock()
 		p.kill()
 	}
-	ended := time.Since(terminated)
-	time.Sleep(time.Until(terminated.Add(newConnections + reconnectPause)))
-	time.Sleep(resetWithin) // connections that the end has cut are told of as of this life
+	shutdownTime := time.Since(terminated)
+	time.Sleep(time.Until(terminated.Add(connectionsPeriod + reconnectDelay)))
+	time.Sleep(resetTimeout) // connections that ended with this process are audited before the next one starts
 	x.mu.Lock()
-	x.result.ShutdownTimes = append(x.result.ShutdownTimes, ended)
-	x.result.MaxMemory = max(x.result.MaxMemory, p.memory.Load())
+	x.result.ShutdownTimes = append(x.result.ShutdownTimes, shutdownTime)
+	x.result.MaxMemory = max(x.result.MaxMemory, p.maxMemory.Load())
 	x.mu.Unlock()
 }
 
-// during sends signals at times from now on, for as long as the process lives.
-func (x *run) during(p *process, times []time.Duration, s syscall.Signal) {
+// scheduleSignals sends signals at the given times from now, as long as the process is running.
+func (x *run) scheduleSignals(p *process, times []time.Duration, s syscall.Signal) {
 	for _, at := range times {
 		time.AfterFunc(at, func() {
 			select {
@@ -149,35 +149,35 @@
 	}
 }
 
-// accept says whether clients may make new connections.
-func (x *run) accept(now bool) {
+// allowConnections sets whether clients may open new connections.
+func (x *run) allowConnections(allowed bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.accepting = now
+	x.connectionsAllowed = allowed
 	x.changed.Broadcast()
 }
 
-// waitForListener waits until new connections may be made; false says that the run is over.
-func (x *run) waitForListener() bool {
+// waitUntilAllowed waits until clients may open new connections. It returns false if the run is done.
+func (x *run) waitUntilAllowed() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for !x.accepting && !x.finished {
+	for !x.connectionsAllowed && !x.finished {
 		x.changed.Wait()
 	}
 	return !x.finished
 }
 
-func (x *run) end() {
+func (x *run) finish() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.finished = true
-	close(x.finish)
+	close(x.done)
 	x.changed.Broadcast()
 }
 
-func (x *run) over() bool {
+func (x *run) isDone() bool {
 	select {
-	case <-x.finish:
+	case <-x.done:
 		return true
 	default:
 		return false
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -15,23 +15,23 @@
 	"scalechute/internal/resp"
 )
 
-// messageBounds hold every command and answer that a run may have.
-var messageBounds = resp.Limits{MaxLineBytes: 256, MaxBulkBytes: 2 * greatestValue, MaxValues: 16, MaxDepth: 2, MaxMessageBytes: 4 * greatestValue}
+// messageLimits admit every command and answer of a run.
+var messageLimits = resp.Limits{MaxLineBytes: 256, MaxBulkBytes: 2 * maxValueBytes, MaxValues: 16, MaxDepth: 2, MaxMessageBytes: 4 * maxValueBytes}
 
-// messages reads RESP2 messages off a connection.
-type messages struct {
+// messageReader reads RESP2 messages from a connection.
+type messageReader struct {
 	from   io.Reader
 	reader resp.Reader
 	data   []byte
 	buffer []byte
 }
 
-func newMessages(from io.Reader, commands bool) *messages {
-	return &messages{from: from, reader: resp.Reader{Limits: messageBounds, CommandsOnly: commands}, buffer: make([]byte, 32<<10)}
+func newMessageReader(from io.Reader, commands bool) *messageReader {
+	return &messageReader{from: from, reader: resp.Reader{Limits: messageLimits, CommandsOnly: commands}, buffer: make([]byte, 32<<10)}
 }
 
-// next gives the next message, good until the next call.
-func (m *messages) next() ([]resp.Value, error) {
+// next returns the next message, which is valid until the next call.
+func (m *messageReader) next() ([]resp.Value, error) {
 	for {
 		values, rest, whole, err := m.reader.Next(m.data)
 		if err != nil {
@@ -49,38 +49,38 @@
 	}
 }
 
-// attempts counts, by request, the attempts that reached any server whole.
-type attempts struct {
+// attemptCounts counts, by request, the attempts that reached any server completely.
+type attemptCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-func (a *attempts) add(id string) {
+func (a *attemptCounts) add(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.counts[id]++
 }
 
-func (a *attempts) of(id string) int {
+func (a *attemptCounts) of(id string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.counts[id]
 }
 
-// server answers each request with its id and as many bytes more as its key asks for.
+// server answers each request with its ID, followed by as many bytes as its key specifies.
 type server struct {
 	plan     ServerPlan
-	seen     *attempts
+	attempts *attemptCounts
 	listener net.Listener
 	filler   string
 }
 
-func startServer(plan ServerPlan, seen *attempts) (*server, error) {
+func startServer(plan ServerPlan, attempts *attemptCounts) (*server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &server{plan: plan, seen: seen, listener: l, filler: strings.Repeat("x", greatestValue)}
+	s := &server{plan: plan, attempts: attempts, listener: l, filler: strings.Repeat("x", maxValueBytes)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -95,15 +95,15 @@
 
 func (s *server) address() string { return s.listener.Addr().String() }
 
-// answer is one that is due at a time.
-type answer struct {
+// delayedAnswer is an answer that is sent when it is due.
+type delayedAnswer struct {
 	due  time.Time
 	text []byte
 }
 
 func (s *server) serve(c net.Conn) {
 	defer c.Close()
-	due := make(chan answer, 1024)
+	due := make(chan delayedAnswer, 1024)
 	defer close(due)
 	go func() {
 		for a := range due {
@@ -111,22 +111,22 @@
 			c.Write(a.text)
 		}
 	}()
-	in := newMessages(c, true)
+	in := newMessageReader(c, true)
 	for {
 		words, err := in.next()
 		if err != nil || len(words) < 4 {
 			return
 		}
 		id := string(words[3].Text)
-		s.seen.add(id)
-		value := id + ":" + s.filler[:answerBytes(string(words[2].Text))]
+		s.attempts.add(id)
+		value := id + ":" + s.filler[:decodeAnswerBytes(string(words[2].Text))]
 		text := resp.AppendBulkString([]byte("*3\r\n"), []byte(value))
-		due <- answer{time.Now().Add(s.delay(id)), append(text, "$-1\r\n$-1\r\n"...)}
+		due <- delayedAnswer{time.Now().Add(s.answerDelay(id)), append(text, "$-1\r\n$-1\r\n"...)}
 	}
 }
 
-// delay is how long a request takes, by its id, so that each attempt at it takes as long.
-func (s *server) delay(id string) time.Duration {
+// answerDelay returns the delay of a request's answer. It depends only on the ID, so that all attempts take equally long.
+func (s *server) answerDelay(id string) time.Duration {
 	h := fnv.New64a()
 	io.WriteString(h, id)
 	switch drawn := h.Sum64() % 1000; {
@@ -138,16 +138,16 @@
 	return s.plan.FastDelay
 }
 
-// A request's key ends with how many bytes its answer is to have.
-func keyFor(id string, bytes int) string { return id + "/" + strconv.Itoa(bytes) }
+// encodeKey returns a key that specifies the size of its answer.
+func encodeKey(id string, answerBytes int) string { return id + "/" + strconv.Itoa(answerBytes) }
 
-func answerBytes(key string) int {
+func decodeAnswerBytes(key string) int {
 	_, size, _ := strings.Cut(key, "/")
 	n, _ := strconv.Atoi(size)
-	return min(max(n, 0), greatestValue-64)
+	return min(max(n, 0), maxValueBytes-64)
 }
 
-// target is a server in discovery's words.
+// target is a server as discovery describes it.
 type target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -157,20 +157,20 @@
 	Build    int     `json:"release"`
 }
 
-// list is what discovery tells of the servers.
-func list(servers []*server) string {
+// encodeWorkerList returns discovery's response with all servers.
+func encodeWorkerList(servers []*server) string {
 	targets := []target{}
 	for i, s := range servers {
 		targets = append(targets, target{UID: "s" + strconv.Itoa(i), Endpoint: s.address(), Zone: "here", State: "active", Hint: 1, Build: 7})
 	}
-	text, _ := json.Marshal(targets) // strings and numbers alone
+	text, _ := json.Marshal(targets) // can't fail for strings and numbers
 	return fmt.Sprintf(`{"rev":41,"all":true,"targets":%s}`, text)
 }
 
-// signOfLife is how often a watch gets an empty line.
-const signOfLife = 500 * time.Millisecond
+// watchHeartbeat is how often discovery sends an empty line on a watch.
+const watchHeartbeat = 500 * time.Millisecond
 
-// startDiscovery serves one list, also on watches that stay open.
+// startDiscovery starts an HTTP server that serves one list. Watches stay open.
 func startDiscovery(list string) (*http.Server, string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -182,7 +182,7 @@
 			return
 		}
 		for w.(http.Flusher).Flush(); r.Context().Err() == nil; w.(http.Flusher).Flush() {
-			time.Sleep(signOfLife)
+			time.Sleep(watchHeartbeat)
 			io.WriteString(w, "\n")
 		}
 	})}
