--- a/internal/wire/dial.go
+++ b/internal/wire/dial.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return -1, err
 	}
-	connected, connectErr := -1, error(nil)
+	connectedFD, connectErr := -1, error(nil)
 	err = raw.Write(func(fd uintptr) bool {
 		if _, err := syscall.Getpeername(int(fd)); err != nil {
 			if connectErr = c.connectStatus(int(fd), peer); connectErr == syscall.EINPROGRESS {
@@ -128,14 +128,14 @@
 			}
 		}
 		if connectErr == nil {
-			connected, connectErr = duplicateFD(int(fd))
+			connectedFD, connectErr = duplicateFD(int(fd))
 		}
 		return true
 	})
 	if err == nil && connectErr != nil {
 		err = os.NewSyscallError("connect", connectErr)
 	}
-	return connected, err
+	return connectedFD, err
 }
 
 // connectStatus returns the state of a connection attempt whose socket has no peer yet: EINPROGRESS while it is pending, nil if
@@ -150,11 +150,11 @@
 
 // duplicateFD duplicates a descriptor, with close-on-exec set.
 func duplicateFD(fd int) (int, error) {
-	kept, _, errno := syscall.Syscall(syscall.SYS_FCNTL, uintptr(fd), syscall.F_DUPFD_CLOEXEC, 0)
+	duplicate, _, errno := syscall.Syscall(syscall.SYS_FCNTL, uintptr(fd), syscall.F_DUPFD_CLOEXEC, 0)
 	if errno != 0 {
 		return -1, errno
 	}
-	return int(kept), nil
+	return int(duplicate), nil
 }
 
 // netpollConn passes an established connection to netpoll.
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -66,9 +66,9 @@
 	onClosed   func(*Link, error)
 	partial    []byte // received bytes of an incomplete message
 	maxPending int    // bytes
-	// the dialled address, empty for an accepted connection
-	remote string
-	peer   net.Addr
+	// empty for an accepted connection
+	dialledAddr string
+	peerAddr    net.Addr
 
 	mu           sync.Mutex
 	pending      []byte
@@ -82,7 +82,7 @@
 	readPaused   bool     // too much waits to be written for reading to go on
 	sendingBytes int64    // of putBytes, those passed to the kernel or being passed to it
 	writtenBytes int64    // of putBytes, those that the kernel has accepted
-	writeFailed  bool     // the last write was incomplete
+	writeFailed  bool     // the last write failed, possibly after a part of its data
 	closeOnce    sync.Once
 	flushFn      func()
 
@@ -117,7 +117,7 @@
 var DefaultLimits = Limits{MaxFrameBytes: MaxFrameBytes, MaxPendingBytes: 8 << 20}
 
 func newLink(conn netpoll.Connection, limits Limits, handle DataHandler, onClosed func(*Link, error)) *Link {
-	l := &Link{conn: conn, handle: handle, onClosed: onClosed, maxPending: limits.MaxPendingBytes, slowReaderTimeout: cmp.Or(limits.SlowReaderTimeout, defaultSlowReaderTimeout), budget: limits.Budget, peer: conn.RemoteAddr()}
+	l := &Link{conn: conn, handle: handle, onClosed: onClosed, maxPending: limits.MaxPendingBytes, slowReaderTimeout: cmp.Or(limits.SlowReaderTimeout, defaultSlowReaderTimeout), budget: limits.Budget, peerAddr: conn.RemoteAddr()}
 	l.flushFn = l.flush
 	l.fd = -1
 	if conn, ok := conn.(netpoll.Conn); ok {
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	l := newLink(conn, limits, handle, onClosed)
-	l.remote = address
+	l.dialledAddr = address
 	if err := conn.SetOnRequest(l.handleData); err != nil {
 		conn.Close()
 		return nil, err
@@ -212,32 +212,32 @@
 // Put appends a frame to the bytes that wait to be written. It returns false if the link has closed or too many bytes wait
 // already; nothing of the frame is sent then.
 func (l *Link) Put(kind Kind, m Message) bool {
-	return l.enqueueFrame(false, kind, func(to []byte) ([]byte, error) { return m.appendTo(to), nil })
+	return l.enqueueFrame(false, kind, func(buf []byte) ([]byte, error) { return m.appendTo(buf), nil })
 }
 
 // PutUnbounded is Put for an answer: it ignores the limit on pending bytes, and returns false only if the link has closed.
 func (l *Link) PutUnbounded(kind Kind, m Message) bool {
-	return l.enqueueFrame(true, kind, func(to []byte) ([]byte, error) { return m.appendTo(to), nil })
+	return l.enqueueFrame(true, kind, func(buf []byte) ([]byte, error) { return m.appendTo(buf), nil })
 }
 
 // PutProto is Put for generated messages.
 func (l *Link) PutProto(kind Kind, m proto.Message) bool {
-	return l.enqueueFrame(false, kind, func(to []byte) ([]byte, error) { return proto.MarshalOptions{}.MarshalAppend(to, m) })
+	return l.enqueueFrame(false, kind, func(buf []byte) ([]byte, error) { return proto.MarshalOptions{}.MarshalAppend(buf, m) })
 }
 
 // PutEncoded is Put for a message that is already encoded.
 func (l *Link) PutEncoded(kind Kind, body []byte) bool {
-	return l.enqueueFrame(false, kind, func(to []byte) ([]byte, error) { return append(to, body...), nil })
+	return l.enqueueFrame(false, kind, func(buf []byte) ([]byte, error) { return append(buf, body...), nil })
 }
 
 // PutRaw is Put for bytes that are not to be framed.
 func (l *Link) PutRaw(b []byte) bool {
-	return l.enqueue(false, func(to []byte) ([]byte, error) { return append(to, b...), nil })
+	return l.enqueue(false, func(buf []byte) ([]byte, error) { return append(buf, b...), nil })
 }
 
 // PutRawUnbounded is PutRaw for an answer: it ignores the limit on pending bytes, and returns false only if the link has closed.
 func (l *Link) PutRawUnbounded(b []byte) bool {
-	return l.enqueue(true, func(to []byte) ([]byte, error) { return append(to, b...), nil })
+	return l.enqueue(true, func(buf []byte) ([]byte, error) { return append(buf, b...), nil })
 }
 
 // PutOffset returns how many bytes were put so far, for MayHaveSent.
@@ -281,15 +281,16 @@
 	}
 }
 
+// flush writes until nothing is pending, and then calls the functions passed to WhenWritten.
 func (l *Link) flush() {
 	for {
 		l.mu.Lock()
 		if l.closed || len(l.pending) == 0 {
 			l.flushing = false
-			then := l.whenWritten
+			callbacks := l.whenWritten
 			l.whenWritten = nil
 			l.mu.Unlock()
-			for _, f := range then {
+			for _, f := range callbacks {
 				f()
 			}
 			return
@@ -313,15 +314,15 @@
 }
 
 // WhenWritten calls a function once all pending bytes have been written or the link has closed.
-func (l *Link) WhenWritten(then func()) {
+func (l *Link) WhenWritten(f func()) {
 	l.mu.Lock()
 	written := !l.flushing && (l.closed || len(l.pending) == 0)
 	if !written {
-		l.whenWritten = append(l.whenWritten, then)
+		l.whenWritten = append(l.whenWritten, f)
 	}
 	l.mu.Unlock()
 	if written {
-		then()
+		f()
 	} else {
 		l.Flush()
 	}
@@ -330,7 +331,8 @@
 // CloseIfIdle closes the link and reports whether it did; it is called on the poller. It does not close the link if there is
 // unread data in the socket, a partial message (unless discardPartial is set), a pending write, or written data that the peer
 // has not acknowledged: data that arrives after the close resets the connection, and data on its way to the peer would be lost
-// with it. Data that arrives after the close is never read, and the reset tells its sender so.
+// with it. Data that arrives after the close is never read, and the reset tells its sender so. A detached link is not closed
+// either.
 func (l *Link) CloseIfIdle(reason error, discardPartial bool) bool {
 	if l.isDetached() || !discardPartial && len(l.partial) > 0 || l.HasPendingWrites() || l.unacknowledgedBytes() > 0 || !l.IsReadIdle() {
 		return false
@@ -367,6 +369,7 @@
 	return l.detached
 }
 
+// markClosed marks the link as closed and calls onClosed, once.
 func (l *Link) markClosed(reason error) {
 	l.closeOnce.Do(func() {
 		l.mu.Lock()
@@ -407,8 +410,8 @@
 
 // RemoteAddr returns the address that was dialled, or that the connection was accepted from.
 func (l *Link) RemoteAddr() string {
-	if l.remote != "" {
-		return l.remote
+	if l.dialledAddr != "" {
+		return l.dialledAddr
 	}
-	return l.peer.String()
+	return l.peerAddr.String()
 }
--- a/internal/wire/listen.go
+++ b/internal/wire/listen.go
@@ -11,6 +11,7 @@
 // listenTimeout is how long listening is retried while the system is short of resources.
 const listenTimeout = 5 * time.Second
 
+// listen listens on an address, and retries while the system is short of resources.
 func listen(address string) (net.Listener, error) {
 	for deadline, backoff := time.Now().Add(listenTimeout), minDialBackoff; ; backoff = min(2*backoff, maxDialBackoff) {
 		listener, err := net.Listen("tcp", address)
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -6,19 +6,18 @@
 
 // The messages on a transaction's path have hand-written codecs, which avoid the copies that generated code makes. Their
 // encoding equals that of the generated messages, which a test checks. Byte slices of a message that was read point into the
-// frame, and are valid only as long as the frame is. All durations are in microseconds. The fields correspond by number to
-// those of the message in package pb, whose comments in scalechute.proto describe them.
+// frame, and are valid only as long as the frame is. All durations are in microseconds.
 
 // Ask is a client's request to run a transaction (pb.Ask).
 type Ask struct {
-	ID                 uint64
+	ID                 uint64 // chosen by the client; not reused on a connection while it is open
 	Profile            uint32
-	Account            uint32
+	Account            uint32 // index plus one, 0 if none
 	Key                []byte
-	Timeout            uint64
-	ExpectedWork       uint64
+	Timeout            uint64 // after which the client gives up this try
+	ExpectedWork       uint64 // 0 if unknown
 	Retry              bool
-	DeduplicationToken []byte
+	DeduplicationToken []byte // by which workers recognise retries of a deduplicated transaction
 	Payload            []byte
 
 	Attributes []byte // an encoded pb.Attributes, nil if the field is absent
@@ -27,31 +26,31 @@
 // Answer is the sentry's answer to an Ask (pb.Answer).
 type Answer struct {
 	ID         uint64
-	Outcome    uint32
-	RetryAfter uint64
+	Outcome    uint32 // a pb.Outcome
+	RetryAfter uint64 // for a deferred transaction: delay before a retry, 0 if not given
 	Payload    []byte
-	Worker     []byte
-	Profile    uint32
+	Worker     []byte // for a satisfied transaction: the worker that ran it, for a complaint
+	Profile    uint32 // of the transaction, for a complaint
 }
 
 // Work is a hand-off to a worker (pb.Work).
 type Work struct {
-	ID                 uint64
+	ID                 uint64 // of the hand-off on its connection
 	Profile            uint32
 	Key                []byte
-	Timeout            uint64
+	Timeout            uint64 // after which the sentry gives up the hand-off
 	DeduplicationToken []byte
 	Payload            []byte
-	Transaction        []byte
-	HandOffNumber      uint32
-	ExpectedWork       uint64
+	Transaction        []byte // the sentry's name for it
+	HandOffNumber      uint32 // within its transaction, from 0
+	ExpectedWork       uint64 // 0 if unknown
 }
 
 // Done is a worker's report of how a hand-off ended (pb.Done). InFlight, CPUUse (thousandths of the cores) and ServedRate
 // (transactions in 1000 s) are the reported value plus one, 0 if the worker does not report it.
 type Done struct {
 	ID         uint64
-	Ending     uint32
+	Ending     uint32 // a pb.Ended
 	InFlight   uint32
 	Payload    []byte
 	CPUUse     uint32
--- a/internal/wire/send.go
+++ b/internal/wire/send.go
@@ -81,8 +81,8 @@
 
 // isTransient reports whether a system call on a socket that failed with the error may succeed later.
 func isTransient(err error) bool {
-	for _, passing := range []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, passing) {
+	for _, transient := range []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM} {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -103,7 +103,7 @@
 // meantime: it may carry a request. It calls closed on the poller and tells it whether the listener has closed.
 func (s *Server) CloseListenerIfIdle(closed func(bool)) {
 	before := s.acceptedCount.Load()
-	RunOnPoller(func() { // whatever the kernel has accepted by now is accepted before the next turn
+	RunOnPoller(func() { // connections that the kernel has accepted by now are accepted before the next iteration
 		RunOnPoller(func() {
 			if s.acceptedCount.Load() != before {
 				closed(false)
