--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -104,7 +104,8 @@
 	return p
 }
 
-// pauseStream is the random stream from which the times of pauses are drawn, separate so that it does not change the rest of a plan.
+// pauseStream is the random stream from which the times of pauses are drawn. It is a separate one, so that pauses do not change
+// the rest of a plan.
 const pauseStream = 1 << 32
 
 // addRandomPauses pauses the process once in about half of its shutdowns, at a time before it would be killed.
--- a/standin/client.go
+++ b/standin/client.go
@@ -162,7 +162,7 @@
 	}()
 }
 
-// Stop stops starting transactions and retries. Open tries may still be answered.
+// Stop ends the load: no transaction or retry is started any more. Open tries may still be answered.
 func (c *ClientPool) Stop() {
 	close(c.done)
 	c.running.Wait()
@@ -196,6 +196,7 @@
 	return n
 }
 
+// startTransaction draws a transaction's profile, work, key and account, and sends its first try.
 func (c *ClientPool) startTransaction() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -259,6 +260,7 @@
 	return found
 }
 
+// dial connects to a sentry.
 func (c *ClientPool) dial(id logic.SentryID) {
 	conn := &sentryConn{sentry: id, open: map[uint64]*clientTry{}, tryNames: map[uint64]string{}}
 	link, err := wire.Dial(c.addresses[id], 100*time.Millisecond, wire.DefaultLimits,
@@ -344,6 +346,7 @@
 	t.transaction.Outcomes[3]++
 }
 
+// close marks a try as ended. The lock is held.
 func (c *ClientPool) close(t *clientTry) {
 	t.ended = true
 	t.timer.Stop()
@@ -368,6 +371,7 @@
 	}
 }
 
+// handleFrame handles a frame from a sentry, which must be an answer.
 func (c *ClientPool) handleFrame(conn *sentryConn, kind wire.Kind, body []byte) error {
 	if kind != wire.KindAnswer {
 		return fmt.Errorf("client: unexpected frame of kind %d", kind)
--- a/standin/control_plane.go
+++ b/standin/control_plane.go
@@ -52,6 +52,7 @@
 	Status logic.ReleaseStatus
 }
 
+// activeVote is a sentry's last vote, which counts until it expires.
 type activeVote struct {
 	vote    logic.Vote
 	expires logic.Micros
@@ -136,6 +137,7 @@
 	c.setStatus(logic.ReleaseStatus{Valid: true, Build: build, Phase: logic.OnTrial, Cap: c.env.Config.StageCaps[0]})
 }
 
+// setStatus changes the release status and sends it to all sentries. The lock is held.
 func (c *ControlPlane) setStatus(status logic.ReleaseStatus) {
 	c.status, c.statusSince, c.bakingSince = status, c.env.Now(), 0
 	c.History = append(c.History, StatusChange{c.statusSince, status})
@@ -145,6 +147,7 @@
 	c.broadcastStatus()
 }
 
+// update counts the valid votes and moves the newest build to its next stage or phase if it is due. The lock is held.
 func (c *ControlPlane) update() {
 	config, now := c.env.Config, c.env.Now()
 	advance, rollBack, hold := 0, 0, 0
@@ -235,6 +238,7 @@
 	})
 }
 
+// sendStatus sends a release status to a sentry, as the answer to a vote if vote is not 0.
 func (c *ControlPlane) sendStatus(l *wire.Link, status logic.ReleaseStatus, since logic.Micros, vote uint64, result pb.News_Fate) {
 	if status.Valid {
 		c.env.Record(audit.Event{Kind: audit.NewsTold, Sentry: c.links[l], News: status})
@@ -270,6 +274,7 @@
 		}
 }
 
+// handleVote counts a vote unless it is stale or exceeds VotesPerSecond, and answers it.
 func (c *ControlPlane) handleVote(l *wire.Link, m *pb.Vote) {
 	config, now := c.env.Config, c.env.Now()
 	c.voteTokens = min(2*config.VotesPerSecond, c.voteTokens+config.VotesPerSecond*float64(now-c.tokensFilledAt)/1e6)
--- a/standin/discovery.go
+++ b/standin/discovery.go
@@ -30,12 +30,14 @@
 	subscribers map[*wire.Link]*subscriber
 }
 
+// listEntry is a line of the worker list, with the version of the list that changed it last.
 type listEntry struct {
 	line    *pb.Line
 	started logic.Micros
 	version uint64
 }
 
+// subscriber is a sentry that is connected.
 type subscriber struct {
 	sentry      logic.SentryID
 	zone        string
--- a/standin/environment.go
+++ b/standin/environment.go
@@ -149,6 +149,7 @@
 	return behavior, slowdown
 }
 
+// noteHandOff records that a worker of a build has received a hand-off.
 func (e *Environment) noteHandOff(build logic.BuildID) {
 	e.mu.Lock()
 	e.recentBuilds[e.recentCount%len(e.recentBuilds)] = build
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -287,6 +287,7 @@
 	return totalWork > config.ColdLoadMultiple*w.Speed*float64(w.Cores)*w.relativeSpeed(now)*float64(config.ColdLoadWindow)
 }
 
+// runJob runs a hand-off on a free core. The lock is held.
 func (w *Worker) runJob(j *job) {
 	now := w.env.Now()
 	behavior, slowdown := w.env.behavior(w.Entry.Build)
@@ -299,6 +300,7 @@
 	time.AfterFunc(duration(logic.Micros(runTime)), func() { w.finishJob(j, behavior) })
 }
 
+// finishJob ends a hand-off that has run, and runs the next ones in the queue.
 func (w *Worker) finishJob(j *job, behavior BuildBehavior) {
 	failed := (behavior.FailingProfile < 0 || behavior.FailingProfile == j.profile) && w.env.randomFloat() < behavior.ErrorShare
 	w.mu.Lock()
@@ -342,6 +344,7 @@
 	return ""
 }
 
+// endJob reports the end of a hand-off to the sentry. The lock is held.
 func (w *Worker) endJob(j *job, ending pb.Ended) {
 	j.ended = true
 	e := j.event(audit.Ended)
