--- a/internal/wire/flow.go
+++ b/internal/wire/flow.go
@@ -5,84 +5,86 @@
 	"time"
 )
 
-// What waits for a client is bounded by reading no more from it, never by closing it: how much this process has put before
-// its writer had a turn says nothing about the client. That a client does not read shows on its own socket alone.
+// The data that waits to be written to a client is bounded by pausing the reads from it, never by closing its connection: how
+// much has been put before the writing goroutine ran says nothing about the client. Only the client's socket shows that it is not
+// reading.
 
-// slowReaderAfter is how long the other side may take nothing while something waits for it, where a link's bounds don't say.
-const slowReaderAfter = 10 * time.Second
+// defaultSlowReaderTimeout is how long a peer may receive nothing while data waits for it, unless the link's limits set it.
+const defaultSlowReaderTimeout = 10 * time.Second
 
-// Budget bounds what waits on the links of a server together.
+// BufferBudget counts the bytes that wait to be written on all links of a server against a maximum. It does not stop links from
+// buffering more: the server's owner checks Remaining.
 type BufferBudget struct {
 	used atomic.Int64
-	most int64
+	max  int64
 }
 
-// NewBudget makes a budget of so many bytes.
-func NewBufferBudget(most int64) *BufferBudget { return &BufferBudget{most: most} }
+// NewBufferBudget returns a budget of maxBytes.
+func NewBufferBudget(maxBytes int64) *BufferBudget { return &BufferBudget{max: maxBytes} }
 
-// Left is how many bytes more may wait; under 0 if more waits already.
-func (b *BufferBudget) Remaining() int64 { return b.most - b.used.Load() }
+// Remaining returns how many more bytes may wait; it is negative if too many wait already.
+func (b *BufferBudget) Remaining() int64 { return b.max - b.used.Load() }
 
-// Hold says that the owner holds so many bytes more for the other side, or fewer, which it has not put yet.
-func (l *Link) AddBuffered(bytes int) {
+// AddBuffered adds delta, which may be negative, to the bytes that the owner buffers for the peer and has not put yet.
+func (l *Link) AddBuffered(delta int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.buffered += int64(bytes)
-	l.account()
+	l.buffered += int64(delta)
+	l.updateBuffered()
 }
 
-// account counts what waits, and has reading stop or go on by it. The lock is held.
-func (l *Link) account() {
-	waits := l.put - l.written + l.buffered
-	if l.dead {
-		waits = 0
+// updateBuffered counts the bytes that wait, and pauses or resumes reading accordingly. l.mu is held.
+func (l *Link) updateBuffered() {
+	unsent := l.putBytes - l.writtenBytes + l.buffered
+	if l.closed {
+		unsent = 0
 	}
 	if l.budget != nil {
-		l.budget.used.Add(waits - l.counted)
+		l.budget.used.Add(unsent - l.budgeted)
 	}
-	l.counted = waits
-	was := l.full
+	l.budgeted = unsent
+	wasPaused := l.readPaused
 	switch {
-	case !l.server || l.dead:
-	case waits > int64(l.most):
-		l.full = true
-	case waits <= int64(l.most)/2:
-		l.full = false
+	case !l.isServer || l.closed:
+	case unsent > int64(l.maxPending):
+		l.readPaused = true
+	case unsent <= int64(l.maxPending)/2:
+		l.readPaused = false
 	}
-	if l.full != was {
+	if l.readPaused != wasPaused {
 		RunOnPoller(l.pauseOrResume)
 	}
 }
 
-// pauseOrResume has reading stop while too much waits, and go on after it, on the poller.
+// pauseOrResume pauses reading while too many bytes wait, and resumes it afterwards. It runs on the poller.
 func (l *Link) pauseOrResume() {
 	l.mu.Lock()
-	full, dead := l.full, l.dead
+	pause, closed := l.readPaused, l.closed
 	l.mu.Unlock()
 	switch {
-	case l.stopped || dead:
-	case full:
+	case l.readStopped || closed:
+	case pause:
 		l.detach(readNone)
 	default:
 		l.attach()
 	}
 }
 
-// Progress is how far the other side had come when it was last seen to take something.
+// ReadProgress is how much the peer had acknowledged when it was last seen to make progress.
 type ReadProgress struct {
-	arrived int64
-	since   time.Time // zero if it was not looked at
+	acknowledged int64
+	since        time.Time // zero before the first check
 }
 
-// Stalled says that the other side does not read: for its link's SlowReaderAfter something has waited for it, its socket took
-// nothing of that, and its system acknowledged nothing. A progress of its own belongs to each time that something waits.
-func (l *Link) PeerStalled(p *ReadProgress, now time.Time) bool {
-	unacknowledged := l.unacknowledged()
+// PeerStalled reports whether the peer is not reading: for the link's SlowReaderTimeout, data has waited for it, its socket has
+// accepted none of it, and its kernel has acknowledged nothing. Each period in which data waits needs a new ReadProgress.
+func (l *Link) PeerStalled(progress *ReadProgress, now time.Time) bool {
+	unacknowledged := l.unacknowledgedBytes()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	arrived := l.written - int64(unacknowledged)
-	if p.since.IsZero() || arrived != p.arrived || arrived >= l.put {
-		p.arrived, p.since = arrived, now
+	acknowledged := l.writtenBytes - int64(unacknowledged)
+	if progress.since.IsZero() || acknowledged != progress.acknowledged || acknowledged >= l.putBytes {
+		progress.acknowledged, progress.since = acknowledged, now
 	}
-	return now.Sub(p.since) >= l.slowAfter
+	return now.Sub(progress.since) >= l.slowReaderTimeout
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,8 +1,11 @@
-// Package wire is the frame layer that clients, workers, sentries, the list's service and the desk share: kinds of
-// frames, their messages, and links that carry them over netpoll. It decides nothing.
+// Package wire implements the framed protocol between clients, sentries, workers, discovery and the control plane.
 //
-// A frame is four bytes, big-endian, with the length of what follows; one byte with its kind; the message, in
-// Protobuf. The first frame from the side that opened a connection is a Hello.
+// It defines the kinds of frames, encodes and decodes their messages, and carries them over TCP connections: a Link is one
+// connection, opened by Dial or accepted by a Server. DialRaw and ServeRaw give links that carry plain bytes, for other
+// protocols. Connections are read by netpoll's single poller, and written by the package itself.
+//
+// A frame consists of the length of what follows (four bytes, big-endian), its kind (one byte) and the message in Protobuf.
+// The first frame from the side that opened a connection is a Hello.
 package wire
 
 import (
@@ -10,12 +13,13 @@
 	"fmt"
 )
 
-// Version is that of the protocol.
+// ProtocolVersion is the version of the protocol.
 const ProtocolVersion = 1
 
-// Kind says which message a frame carries.
+// Kind is the type of the message that a frame carries.
 type Kind uint8
 
+// The kinds of frames. Each is named after its message in package pb.
 const (
 	KindHello Kind = 1 + iota
 	KindAsk
@@ -34,16 +38,16 @@
 	KindSay
 	KindWelcome
 	KindCounts
-	kinds
+	kindCount
 )
 
 const (
 	headerSize = 5
-	// MostFrame bounds the message of any frame, in bytes: a list of some tens of thousands of workers fits.
+	// MaxFrameBytes is the maximum size of a frame's message. A list of some tens of thousands of workers fits.
 	MaxFrameBytes = 4 << 20
 )
 
-// FrameFault is what was wrong with a frame.
+// FrameError reports a frame whose header is invalid.
 type FrameError struct {
 	Found, Expected string
 }
@@ -52,31 +56,31 @@
 	return fmt.Sprintf("frame: found %s, expected %s", f.Found, f.Expected)
 }
 
-// split takes the first frame off data. Where data does not hold a whole one, ok is false; a fault means that no
-// frame can begin here.
-func split(data []byte, most int) (kind Kind, body, rest []byte, ok bool, err error) {
+// nextFrame returns the first frame of data and the bytes after it. ok is false if data does not hold a whole frame. An error
+// means that the header is invalid.
+func nextFrame(data []byte, maxBytes int) (kind Kind, body, rest []byte, ok bool, err error) {
 	if len(data) < headerSize {
 		return 0, nil, data, false, nil
 	}
 	size := int(binary.BigEndian.Uint32(data))
 	kind = Kind(data[4])
 	switch {
-	case size < 1 || size-1 > most:
-		return 0, nil, data, false, &FrameError{fmt.Sprintf("length %d", size), fmt.Sprintf("1 to %d", most+1)}
-	case kind < KindHello || kind >= kinds:
-		return 0, nil, data, false, &FrameError{fmt.Sprintf("kind %d", kind), fmt.Sprintf("1 to %d", kinds-1)}
+	case size < 1 || size-1 > maxBytes:
+		return 0, nil, data, false, &FrameError{fmt.Sprintf("length %d", size), fmt.Sprintf("1 to %d", maxBytes+1)}
+	case kind < KindHello || kind >= kindCount:
+		return 0, nil, data, false, &FrameError{fmt.Sprintf("kind %d", kind), fmt.Sprintf("1 to %d", kindCount-1)}
 	case len(data) < 4+size:
 		return 0, nil, data, false, nil
 	}
 	return kind, data[headerSize : 4+size], data[4+size:], true, nil
 }
 
-// begin leaves room for a header; finish fills it in.
-func begin(to []byte, kind Kind) ([]byte, int) {
-	at := len(to)
-	return append(to, 0, 0, 0, 0, byte(kind)), at
+// beginFrame appends a header without its length and returns the frame's start; finishFrame fills in the length.
+func beginFrame(buf []byte, kind Kind) ([]byte, int) {
+	start := len(buf)
+	return append(buf, 0, 0, 0, 0, byte(kind)), start
 }
 
-func finish(to []byte, at int) {
-	binary.BigEndian.PutUint32(to[at:], uint32(len(to)-at-4))
+func finishFrame(buf []byte, start int) {
+	binary.BigEndian.PutUint32(buf[start:], uint32(len(buf)-start-4))
 }
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -16,35 +16,36 @@
 )
 
 func init() {
-	netpoll.SetLoggerOutput(io.Discard) // it writes a line for each connection that is reset
-	// What arrives is handled on the poller itself: a handler that waits for room stops the reading, so that the
-	// senders' sockets fill up and hold them back. (On a goroutine of its own the handler would wait while netpoll went
-	// on reading into memory without a bound.) Handlers wait for nothing else. The price: a connection must never be
-	// closed by netpoll's Close, which in a handler would wait for the poller that it runs on; see Link.Close.
+	netpoll.SetLoggerOutput(io.Discard) // netpoll logs a line for each connection that is reset
+	// Handlers run on the poller itself: a handler that blocks because a queue is full stops all reading, so that TCP flow
+	// control slows down the senders. (If handlers ran on goroutines of their own, netpoll would go on reading into unbounded
+	// memory while they block.) Handlers block for no other reason. As a consequence a handler must never call the Close of
+	// its netpoll connection, which waits for the poller that the handler runs on; see Link.Close.
 	err := netpoll.Configure(netpoll.Config{PollerNum: 1, Runner: func(_ context.Context, f func()) { f() }})
 	if err != nil {
-		panic(err) // only wrong figures are refused
+		panic(err) // Configure fails only for invalid values
 	}
 }
 
-// ErrClosed is the reason of a link that its own side closed.
-var ErrClosed = errors.New("closed here")
+// ErrClosed is the reason for closing a link that this process closed.
+var ErrClosed = errors.New("closed locally")
 
-// ErrSlowReader is the reason of a link whose other side has taken nothing for slowReaderAfter while something waited for it.
-var ErrSlowReader = errors.New("the other side does not read")
+// ErrSlowReader is the reason for closing a link whose peer has received nothing for the link's SlowReaderTimeout while data
+// waited for it.
+var ErrSlowReader = errors.New("peer is not reading")
 
-// Handler takes a frame. The body is good only during the call. An error closes the link with it as the reason.
+// Handler handles a received frame. The body is valid only during the call. An error closes the link with it as the reason.
 type Handler func(l *Link, kind Kind, body []byte) error
 
-// Reader takes what has come, beginning with what it left of it before, and gives back what it can't use yet. An error
-// closes the link with it as the reason.
+// DataHandler handles received data. The data begins with the rest that the previous call returned; rest is what can't be
+// handled until more has arrived. An error closes the link with it as the reason.
 type DataHandler func(l *Link, data []byte) (rest []byte, err error)
 
-// frames reads frames.
-func frames(most int, handle Handler) DataHandler {
+// frameDecoder returns a DataHandler that splits data into frames.
+func frameDecoder(maxBytes int, handle Handler) DataHandler {
 	return func(l *Link, data []byte) ([]byte, error) {
 		for {
-			kind, body, rest, ok, err := split(data, most)
+			kind, body, rest, ok, err := nextFrame(data, maxBytes)
 			if err == nil && ok {
 				err = handle(l, kind, body)
 			}
@@ -56,221 +57,223 @@
 	}
 }
 
-// Link carries frames, or bytes that its reader knows, both ways over one connection. Put, Flush and Close may be called
-// from any goroutine. The closed callback is called once, by whoever closes it or on the poller; the handler may still be
-// at work then.
+// Link is a connection that carries frames, or bytes that its DataHandler interprets, in both directions. Put, Flush and Close
+// may be called from any goroutine. The onClosed callback is called once, on the goroutine that closes the link or on the
+// poller; the handler may still be running then.
 type Link struct {
-	conn  netpoll.Connection
-	read  DataHandler
-	ended func(*Link, error)
-	carry []byte // what has not come whole
-	most  int
-	// the other side's address, empty where this side was dialled
-	remote string
-	peer   net.Addr
-
-	mu       sync.Mutex
-	pending  []byte
-	spare    []byte
-	flushing bool
-	dead     bool
-	then     []func() // to be called once all is written
-	put      int64    // bytes so far
-	buffered int64    // bytes that the owner holds for the other side and has not put yet
-	counted  int64    // bytes that the budget was told of
-	full     bool     // so much waits that nothing more is to be read
-	taken    int64    // of these, up to where the system is being given them
-	written  int64    // and up to where the system has them
-	failed   bool     // what was taken last was not written whole
-	once     sync.Once
-	flushFn  func()
+	conn       netpoll.Connection
+	handle     DataHandler
+	onClosed   func(*Link, error)
+	partial    []byte // received bytes of an incomplete message
+	maxPending int    // bytes
+	// empty for an accepted connection
+	dialledAddr string
+	peerAddr    net.Addr
+
+	mu           sync.Mutex
+	pending      []byte
+	reusable     []byte
+	flushing     bool
+	closed       bool
+	whenWritten  []func() // called once everything is written
+	putBytes     int64    // total bytes put
+	buffered     int64    // bytes that the owner buffers for the peer and has not put yet
+	budgeted     int64    // bytes that the budget accounts for this link
+	readPaused   bool     // too much waits to be written for reading to go on
+	sendingBytes int64    // of putBytes, those passed to the kernel or being passed to it
+	writtenBytes int64    // of putBytes, those that the kernel has accepted
+	writeFailed  bool     // the last write failed, possibly after a part of its data
+	closeOnce    sync.Once
+	flushFn      func()
 
 	fdMu     sync.Mutex
 	fd       int
-	gone     bool     // the descriptor is closed or about to be, and may soon be another's
-	detached bool     // the dependency has it no more
+	fdClosed bool     // the descriptor is closed or about to be, and its number may be reused
+	detached bool     // netpoll no longer owns the connection
 	mode     readMode // how far a detached link is read
-	watch    int32    // its number at the watcher, 0 if it has none
-
-	readMu    sync.Mutex // held over a read of the watcher
-	missing   func(part []byte) int
-	stopped   bool // reading does not begin again; the poller's
-	server    bool // of a server: reading stops while too much waits
-	budget    *BufferBudget
-	slowAfter time.Duration
-	onClosed  func() // called once the socket is closed, nil if nobody asks
+	watchID  int32    // its ID at the watcher, 0 if it is not watched
+
+	readMu            sync.Mutex // held during a read by the watcher
+	missingBytes      func(part []byte) int
+	readStopped       bool // reading never resumes; used only on the poller
+	isServer          bool // accepted by a server: reading pauses while too much waits to be written
+	budget            *BufferBudget
+	slowReaderTimeout time.Duration
+	onSocketClosed    func() // called once the socket is closed; may be nil
 }
 
-// Bounds of a link, in bytes.
+// Limits are the limits of a link.
 type Limits struct {
-	MaxFrameBytes int // greatest message of a frame
-	// What may wait to be written. A dialled link takes no more than that; a server's link takes all that is owed to its client,
-	// and reads nothing while more waits.
+	MaxFrameBytes int // maximum size of a frame's message
+	// Maximum number of bytes that wait to be written. A dialled link refuses to put more. A server's link accepts every answer
+	// put with PutUnbounded or PutRawUnbounded, but pauses reading while more than this waits.
 	MaxPendingBytes int
-	Budget          *BufferBudget // of a server's links together, nil if there is none
-	// How long the other side may take nothing while something waits for it; slowReaderAfter if 0.
+	Budget          *BufferBudget // shared by a server's links; nil if there is none
+	// How long the peer may receive nothing while data waits for it; 0 means defaultSlowReaderTimeout.
 	SlowReaderTimeout time.Duration
 }
 
-// DefaultBounds suit every role.
+// DefaultLimits are limits that suit every role.
 var DefaultLimits = Limits{MaxFrameBytes: MaxFrameBytes, MaxPendingBytes: 8 << 20}
 
-func newLink(conn netpoll.Connection, b Limits, read DataHandler, ended func(*Link, error)) *Link {
-	l := &Link{conn: conn, read: read, ended: ended, most: b.MaxPendingBytes, slowAfter: cmp.Or(b.SlowReaderTimeout, slowReaderAfter), budget: b.Budget, peer: conn.RemoteAddr()}
+func newLink(conn netpoll.Connection, limits Limits, handle DataHandler, onClosed func(*Link, error)) *Link {
+	l := &Link{conn: conn, handle: handle, onClosed: onClosed, maxPending: limits.MaxPendingBytes, slowReaderTimeout: cmp.Or(limits.SlowReaderTimeout, defaultSlowReaderTimeout), budget: limits.Budget, peerAddr: conn.RemoteAddr()}
 	l.flushFn = l.flush
 	l.fd = -1
 	if conn, ok := conn.(netpoll.Conn); ok {
 		l.fd = conn.Fd()
 	}
-	l.adopt(conn)
+	l.setConn(conn)
 	return l
 }
 
-// Dial opens a link of frames. It blocks for at most the limit.
-func Dial(address string, limit time.Duration, b Limits, handle Handler, ended func(*Link, error)) (*Link, error) {
-	return DialRaw(address, limit, b, frames(b.MaxFrameBytes, handle), ended)
+// Dial opens a link that carries frames. It blocks for at most the timeout.
+func Dial(address string, timeout time.Duration, limits Limits, handle Handler, onClosed func(*Link, error)) (*Link, error) {
+	return DialRaw(address, timeout, limits, frameDecoder(limits.MaxFrameBytes, handle), onClosed)
 }
 
-// DialRaw opens a link whose reader takes the bytes as they come.
-func DialRaw(address string, limit time.Duration, b Limits, read DataHandler, ended func(*Link, error)) (*Link, error) {
-	conn, err := dial(address, limit)
+// DialRaw is Dial for a link whose DataHandler handles plain bytes.
+func DialRaw(address string, timeout time.Duration, limits Limits, handle DataHandler, onClosed func(*Link, error)) (*Link, error) {
+	conn, err := dial(address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	l := newLink(conn, b, read, ended)
-	l.remote = address
-	if err := conn.SetOnRequest(l.arrivedOn); err != nil {
+	l := newLink(conn, limits, handle, onClosed)
+	l.dialledAddr = address
+	if err := conn.SetOnRequest(l.handleData); err != nil {
 		conn.Close()
 		return nil, err
 	}
-	if !conn.IsActive() { // closed before anyone could be told of it
-		l.over(net.ErrClosed)
+	if !conn.IsActive() { // closed before the close callback was set
+		l.markClosed(net.ErrClosed)
 		conn.Close()
 	}
 	return l, nil
 }
 
-// arrivedOn gives the reader what has come. It always takes all that is there and waits for nothing.
-func (l *Link) arrivedOn(_ context.Context, conn netpoll.Connection) error {
+// handleData passes all received data to the handler, on the poller. It never blocks itself.
+func (l *Link) handleData(_ context.Context, conn netpoll.Connection) error {
 	r := conn.Reader()
 	data, err := r.Next(r.Len())
 	if err != nil {
 		return err
 	}
-	if len(l.carry) > 0 {
-		l.carry = append(l.carry, data...)
-		data = l.carry
+	if len(l.partial) > 0 {
+		l.partial = append(l.partial, data...)
+		data = l.partial
 	}
-	rest, err := l.read(l, data)
+	rest, err := l.handle(l, data)
 	if err != nil {
-		l.carry = nil
+		l.partial = nil
 		r.Release()
 		l.Close(err)
 		return err
 	}
-	if len(rest) > 0 && len(l.carry) > 0 && &rest[0] == &l.carry[0] {
-		l.carry = l.carry[:len(rest)]
+	if len(rest) > 0 && len(l.partial) > 0 && &rest[0] == &l.partial[0] {
+		l.partial = l.partial[:len(rest)]
 	} else {
-		l.carry = append(l.carry[:0], rest...)
+		l.partial = append(l.partial[:0], rest...)
 	}
-	if len(rest) == 0 && cap(l.carry) > 64<<10 {
-		l.carry = nil
+	if len(rest) == 0 && cap(l.partial) > 64<<10 {
+		l.partial = nil
 	}
 	return r.Release()
 }
 
-// add has something appended to what waits to be written. What is owed is taken however much waits.
-func (l *Link) add(owed bool, write func(to []byte) ([]byte, error)) bool {
+// enqueue lets encode append to the bytes that wait to be written. Without unbounded, it refuses once more than maxPending
+// bytes wait.
+func (l *Link) enqueue(unbounded bool, encode func(buf []byte) ([]byte, error)) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.dead || !owed && len(l.pending) > l.most {
+	if l.closed || !unbounded && len(l.pending) > l.maxPending {
 		return false
 	}
-	to, err := write(l.pending)
+	buf, err := encode(l.pending)
 	if err == nil {
-		l.put += int64(len(to) - len(l.pending))
-		l.pending = to
-		l.account()
+		l.putBytes += int64(len(buf) - len(l.pending))
+		l.pending = buf
+		l.updateBuffered()
 	}
 	return err == nil
 }
 
-// frame is add for a frame of a kind.
-func (l *Link) frame(owed bool, kind Kind, message func(to []byte) ([]byte, error)) bool {
-	return l.add(owed, func(to []byte) ([]byte, error) {
-		to, at := begin(to, kind)
-		to, err := message(to)
+// enqueueFrame is enqueue for a frame, whose message appendMessage appends.
+func (l *Link) enqueueFrame(unbounded bool, kind Kind, appendMessage func(buf []byte) ([]byte, error)) bool {
+	return l.enqueue(unbounded, func(buf []byte) ([]byte, error) {
+		buf, start := beginFrame(buf, kind)
+		buf, err := appendMessage(buf)
 		if err == nil {
-			finish(to, at)
+			finishFrame(buf, start)
 		}
-		return to, err
+		return buf, err
 	})
 }
 
-// Put adds a frame to what waits to be written. False says that nothing of it will ever leave: the link has
-// closed or too much waits already.
+// Put appends a frame to the bytes that wait to be written. It returns false if the link has closed or too many bytes wait
+// already; nothing of the frame is sent then.
 func (l *Link) Put(kind Kind, m Message) bool {
-	return l.frame(false, kind, func(to []byte) ([]byte, error) { return m.appendTo(to), nil })
+	return l.enqueueFrame(false, kind, func(buf []byte) ([]byte, error) { return m.appendTo(buf), nil })
 }
 
-// PutOwed is Put for an answer: it is refused only where the link has ended.
+// PutUnbounded is Put for an answer: it ignores the limit on pending bytes, and returns false only if the link has closed.
 func (l *Link) PutUnbounded(kind Kind, m Message) bool {
-	return l.frame(true, kind, func(to []byte) ([]byte, error) { return m.appendTo(to), nil })
+	return l.enqueueFrame(true, kind, func(buf []byte) ([]byte, error) { return m.appendTo(buf), nil })
 }
 
 // PutProto is Put for generated messages.
 func (l *Link) PutProto(kind Kind, m proto.Message) bool {
-	return l.frame(false, kind, func(to []byte) ([]byte, error) { return proto.MarshalOptions{}.MarshalAppend(to, m) })
+	return l.enqueueFrame(false, kind, func(buf []byte) ([]byte, error) { return proto.MarshalOptions{}.MarshalAppend(buf, m) })
 }
 
-// PutFrame is Put for a message that is encoded already.
+// PutEncoded is Put for a message that is already encoded.
 func (l *Link) PutEncoded(kind Kind, body []byte) bool {
-	return l.frame(false, kind, func(to []byte) ([]byte, error) { return append(to, body...), nil })
+	return l.enqueueFrame(false, kind, func(buf []byte) ([]byte, error) { return append(buf, body...), nil })
 }
 
-// PutRaw adds bytes that are frames already, or are meant to be none.
+// PutRaw is Put for bytes that are not to be framed.
 func (l *Link) PutRaw(b []byte) bool {
-	return l.add(false, func(to []byte) ([]byte, error) { return append(to, b...), nil })
+	return l.enqueue(false, func(buf []byte) ([]byte, error) { return append(buf, b...), nil })
 }
 
-// PutRawOwed is PutRaw for an answer: it is refused only where the link has ended.
+// PutRawUnbounded is PutRaw for an answer: it ignores the limit on pending bytes, and returns false only if the link has closed.
 func (l *Link) PutRawUnbounded(b []byte) bool {
-	return l.add(true, func(to []byte) ([]byte, error) { return append(to, b...), nil })
+	return l.enqueue(true, func(buf []byte) ([]byte, error) { return append(buf, b...), nil })
 }
 
-// Mark is how many bytes were put so far, for MayHave.
+// PutOffset returns how many bytes were put so far, for MayHaveSent.
 func (l *Link) PutOffset() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.put
+	return l.putBytes
 }
 
-// MayHave says whether the other side may have all that was put up to a mark. It has not, as is proven, while the system was
-// not given the last byte, or once it has refused it.
-func (l *Link) MayHaveSent(mark int64) bool {
+// MayHaveSent reports whether the peer may have received everything that was put up to an offset. It returns false only if
+// that is impossible: the last byte was not passed to the kernel yet, or its write has failed.
+func (l *Link) MayHaveSent(offset int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return mark <= l.written || mark <= l.taken && !l.failed
+	return offset <= l.writtenBytes || offset <= l.sendingBytes && !l.writeFailed
 }
 
-// Send is PutProto and Flush.
+// Send calls PutProto and Flush.
 func (l *Link) Send(kind Kind, m proto.Message) bool {
 	ok := l.PutProto(kind, m)
 	l.Flush()
 	return ok
 }
 
-// Waiting says whether something waits to be written.
+// HasPendingWrites reports whether bytes wait to be written or are being written.
 func (l *Link) HasPendingWrites() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.dead && (l.flushing || len(l.pending) > 0)
+	return !l.closed && (l.flushing || len(l.pending) > 0)
 }
 
-// Flush has written what waits, on a goroutine of its own, since a socket that is full makes the writer wait.
+// Flush starts writing the pending bytes and returns. The writing has a goroutine of its own, since it blocks while the socket's
+// buffer is full.
 func (l *Link) Flush() {
 	l.mu.Lock()
-	start := !l.flushing && !l.dead && len(l.pending) > 0
+	start := !l.flushing && !l.closed && len(l.pending) > 0
 	l.flushing = l.flushing || start
 	l.mu.Unlock()
 	if start {
@@ -278,29 +281,30 @@
 	}
 }
 
+// flush writes until nothing is pending, and then calls the functions passed to WhenWritten.
 func (l *Link) flush() {
 	for {
 		l.mu.Lock()
-		if l.dead || len(l.pending) == 0 {
+		if l.closed || len(l.pending) == 0 {
 			l.flushing = false
-			then := l.then
-			l.then = nil
+			callbacks := l.whenWritten
+			l.whenWritten = nil
 			l.mu.Unlock()
-			for _, f := range then {
+			for _, f := range callbacks {
 				f()
 			}
 			return
 		}
 		out := l.pending
-		l.pending, l.spare = l.spare[:0], nil
-		l.taken = l.put
+		l.pending, l.reusable = l.reusable[:0], nil
+		l.sendingBytes = l.putBytes
 		l.mu.Unlock()
 		err := l.sendAll(out)
 		l.mu.Lock()
 		if cap(out) <= 256<<10 {
-			l.spare = out[:0]
+			l.reusable = out[:0]
 		}
-		l.failed = err != nil
+		l.writeFailed = err != nil
 		l.mu.Unlock()
 		if err != nil {
 			l.Close(fmt.Errorf("write: %w", err))
@@ -309,52 +313,54 @@
 	}
 }
 
-// WhenWritten calls a function once what waits has been written, or the link has ended.
-func (l *Link) WhenWritten(then func()) {
+// WhenWritten calls a function once all pending bytes have been written or the link has closed.
+func (l *Link) WhenWritten(f func()) {
 	l.mu.Lock()
-	now := !l.flushing && (l.dead || len(l.pending) == 0)
-	if !now {
-		l.then = append(l.then, then)
+	written := !l.flushing && (l.closed || len(l.pending) == 0)
+	if !written {
+		l.whenWritten = append(l.whenWritten, f)
 	}
 	l.mu.Unlock()
-	if now {
-		then()
+	if written {
+		f()
 	} else {
 		l.Flush()
 	}
 }
 
-// CloseUnread ends the link at once, on the poller, and says whether it did: not if something stands unread, has come in part
-// (unless parts are given up), waits to be written or has not arrived: what comes after a close resets the connection, and what
-// is on its way to the other side is gone with it. What comes from then on is never read, and its sender sees that.
-func (l *Link) CloseIfIdle(reason error, parts bool) bool {
-	if l.isDetached() || !parts && len(l.carry) > 0 || l.HasPendingWrites() || l.unacknowledged() > 0 || !l.IsReadIdle() {
+// CloseIfIdle closes the link and reports whether it did; it is called on the poller. It does not close the link if there is
+// unread data in the socket, a partial message (unless discardPartial is set), a pending write, or written data that the peer
+// has not acknowledged: data that arrives after the close resets the connection, and data on its way to the peer would be lost
+// with it. Data that arrives after the close is never read, and the reset tells its sender so. A detached link is not closed
+// either.
+func (l *Link) CloseIfIdle(reason error, discardPartial bool) bool {
+	if l.isDetached() || !discardPartial && len(l.partial) > 0 || l.HasPendingWrites() || l.unacknowledgedBytes() > 0 || !l.IsReadIdle() {
 		return false
 	}
-	l.over(reason)
-	_ = l.conn.Close() // not of the connection whose handler is at work, if any: see init
+	l.markClosed(reason)
+	_ = l.conn.Close() // must not be the connection whose handler is running, see init
 	return true
 }
 
-// Close ends the link for a reason. What waits to be written may be lost. The handler may still be at work on another
-// goroutine, and must take what it does then for nothing. The socket is shut down and left to the poller to close.
+// Close closes the link for a reason. Pending writes may be lost. The handler may still be running on another goroutine, and
+// what it does then has no effect. The socket is shut down here, and closed by the poller.
 func (l *Link) Close(reason error) {
-	l.over(reason)
+	l.markClosed(reason)
 	if l.isDetached() {
-		l.release(reason)
+		l.closeDetached(reason)
 		return
 	}
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
-	if !l.gone {
+	if !l.fdClosed {
 		_ = syscall.Shutdown(l.fd, syscall.SHUT_RDWR)
 	}
 }
 
-func (l *Link) isGone() bool {
+func (l *Link) isFDClosed() bool {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
-	return l.gone
+	return l.fdClosed
 }
 
 func (l *Link) isDetached() bool {
@@ -363,48 +369,49 @@
 	return l.detached
 }
 
-func (l *Link) over(reason error) {
-	l.once.Do(func() {
+// markClosed marks the link as closed and calls onClosed, once.
+func (l *Link) markClosed(reason error) {
+	l.closeOnce.Do(func() {
 		l.mu.Lock()
-		l.dead = true
-		l.account()
+		l.closed = true
+		l.updateBuffered()
 		l.mu.Unlock()
-		if l.ended != nil {
-			l.ended(l, reason)
+		if l.onClosed != nil {
+			l.onClosed(l, reason)
 		}
 	})
 }
 
-// InPart says that a message has come in part, on the poller.
-func (l *Link) HasPartialMessage() bool { return len(l.carry) > 0 }
+// HasPartialMessage reports whether an incomplete message has been received. It is called on the poller.
+func (l *Link) HasPartialMessage() bool { return len(l.partial) > 0 }
 
-// Dead says whether the link has ended.
+// Dead reports whether the link has closed.
 func (l *Link) Dead() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.dead
+	return l.closed
 }
 
-// Quiet says that nothing stands in the socket unread and the other side has not ended it, as far as has come here.
+// IsReadIdle reports whether the socket holds no unread data and no end of the stream from the peer.
 func (l *Link) IsReadIdle() bool {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
-	if l.gone {
+	if l.fdClosed {
 		return false
 	}
 	var one [1]byte
-	for range mostInterrupts {
+	for range maxInterruptions {
 		if _, _, err := syscall.Recvfrom(l.fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); err != syscall.EINTR {
 			return err == syscall.EAGAIN
 		}
 	}
-	return false // it could not be told
+	return false // unknown
 }
 
-// RemoteAddr names the other side.
+// RemoteAddr returns the address that was dialled, or that the connection was accepted from.
 func (l *Link) RemoteAddr() string {
-	if l.remote != "" {
-		return l.remote
+	if l.dialledAddr != "" {
+		return l.dialledAddr
 	}
-	return l.peer.String()
+	return l.peerAddr.String()
 }
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -11,30 +11,30 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Server takes connections.
+// Server accepts connections on an address and makes a link of each.
 type Server struct {
-	Address  string
-	loop     netpoll.EventLoop
-	listener *listener
-	mu       sync.Mutex
-	links    map[*Link]struct{}
-	open     int // sockets
+	Address     string // that the server listens on, with the chosen port
+	loop        netpoll.EventLoop
+	listener    *listener
+	mu          sync.Mutex
+	links       map[*Link]struct{}
+	openSockets int
 
-	accepted atomic.Int64
+	acceptedCount atomic.Int64
 
-	refusing bool
+	rejecting bool // new connections are closed at once
 }
 
-// Serve listens and makes a link of each connection. The handler that accept returns takes its frames.
-func Serve(address string, b Limits, accept func(*Link) (Handler, func(*Link, error))) (*Server, error) {
-	return ServeRaw(address, b, func(l *Link) (DataHandler, func(*Link, error)) {
-		handle, ended := accept(l)
-		return frames(b.MaxFrameBytes, handle), ended
+// Serve listens on an address and makes a link of each connection. accept returns the link's handler and its onClosed callback.
+func Serve(address string, limits Limits, accept func(*Link) (Handler, func(*Link, error))) (*Server, error) {
+	return ServeRaw(address, limits, func(l *Link) (DataHandler, func(*Link, error)) {
+		handle, onClosed := accept(l)
+		return frameDecoder(limits.MaxFrameBytes, handle), onClosed
 	})
 }
 
-// ServeRaw is Serve for readers of bytes.
-func ServeRaw(address string, b Limits, accept func(*Link) (DataHandler, func(*Link, error))) (*Server, error) {
+// ServeRaw is Serve for links whose DataHandler handles plain bytes.
+func ServeRaw(address string, limits Limits, accept func(*Link) (DataHandler, func(*Link, error))) (*Server, error) {
 	listener, err := newListener(address)
 	if err != nil {
 		return nil, err
@@ -46,44 +46,44 @@
 			return ctx.Value(linkKey{}).(netpoll.OnRequest)(ctx, conn)
 		},
 		netpoll.WithOnPrepare(func(conn netpoll.Connection) context.Context {
-			s.accepted.Add(1)
-			l := newLink(conn, b, nil, nil)
-			l.server = true
-			read, ended := accept(l)
-			l.read = read
-			l.ended = func(l *Link, reason error) {
+			s.acceptedCount.Add(1)
+			l := newLink(conn, limits, nil, nil)
+			l.isServer = true
+			handle, onClosed := accept(l)
+			l.handle = handle
+			l.onClosed = func(l *Link, reason error) {
 				s.mu.Lock()
 				delete(s.links, l)
 				s.mu.Unlock()
-				if ended != nil {
-					ended(l, reason)
+				if onClosed != nil {
+					onClosed(l, reason)
 				}
 			}
 			s.mu.Lock()
-			refusing := s.refusing
+			rejecting := s.rejecting
 			s.links[l] = struct{}{}
-			s.open++
+			s.openSockets++
 			s.mu.Unlock()
-			l.onClosed = func() {
+			l.onSocketClosed = func() {
 				s.mu.Lock()
-				s.open--
+				s.openSockets--
 				s.mu.Unlock()
 			}
-			if refusing {
+			if rejecting {
 				l.Close(ErrClosed)
 			}
-			return context.WithValue(context.Background(), linkKey{}, netpoll.OnRequest(l.arrivedOn))
+			return context.WithValue(context.Background(), linkKey{}, netpoll.OnRequest(l.handleData))
 		}))
 	if err != nil {
 		return nil, err
 	}
 	s.loop = loop
 	go loop.Serve(listener)
-	<-listener.ready // else a Close that comes at once would find nothing to close
+	<-listener.ready // otherwise an immediate Close would find nothing to close
 	return s, nil
 }
 
-// CloseListenerNow refuses new connections, and closes those that the system had accepted with nothing of them read.
+// CloseListenerNow refuses new connections. Connections that the kernel has accepted and the server has not are closed unread.
 func (s *Server) CloseListenerNow() {
 	RunOnPoller(func() {
 		s.RejectConnections()
@@ -91,21 +91,21 @@
 	})
 }
 
-// StopListening closes each new connection at once and keeps those that are open. (Netpoll's own shutdown would
-// close every connection on which nothing is being read, whatever is owed on it.)
+// RejectConnections closes each new connection at once and keeps the open ones. (Netpoll's own shutdown would close every
+// connection on which nothing is being read, even if answers are still to be sent on it.)
 func (s *Server) RejectConnections() {
 	s.mu.Lock()
-	s.refusing = true
+	s.rejecting = true
 	s.mu.Unlock()
 }
 
-// CloseListener refuses new connections from now on, and calls closed on the poller then; or it calls it with false, since a
-// connection that the system had accepted was taken up meanwhile: it may have brought something.
+// CloseListenerIfIdle refuses new connections from now on, unless a connection that the kernel had accepted is accepted in the
+// meantime: it may carry a request. It calls closed on the poller and tells it whether the listener has closed.
 func (s *Server) CloseListenerIfIdle(closed func(bool)) {
-	began := s.accepted.Load()
-	RunOnPoller(func() { // whatever the system had accepted by now is taken up before the next turn
+	before := s.acceptedCount.Load()
+	RunOnPoller(func() { // connections that the kernel has accepted by now are accepted before the next iteration
 		RunOnPoller(func() {
-			if s.accepted.Load() != began {
+			if s.acceptedCount.Load() != before {
 				closed(false)
 				return
 			}
@@ -116,7 +116,7 @@
 	})
 }
 
-// Waiting counts the links on which something waits to be written.
+// LinksWithPendingWrites returns the number of links with bytes that wait to be written.
 func (s *Server) LinksWithPendingWrites() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,44 +128,45 @@
 	return n
 }
 
-// stopWithin is how long a step of a server's end may take.
-const stopWithin = time.Second
+// stopTimeout is how long each step of closing a server may take.
+const stopTimeout = time.Second
 
-// all lists the links.
-func (s *Server) all() []*Link {
+// allLinks returns the server's links.
+func (s *Server) allLinks() []*Link {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Keys(s.links))
 }
 
-// StopReading has nothing more read on any link. What was read has gone through the readers when it returns.
+// StopReading stops reading on all links. When it returns, all data that was read has passed through the handlers; it waits for
+// at most stopTimeout.
 func (s *Server) StopReading() {
 	stopped := make(chan struct{})
 	RunOnPoller(func() {
 		defer close(stopped)
-		for _, l := range s.all() {
+		for _, l := range s.allLinks() {
 			l.stopAllReading()
 		}
 	})
 	select {
 	case <-stopped:
-	case <-time.After(stopWithin):
+	case <-time.After(stopTimeout):
 	}
 }
 
-// Finish ends all links as Link.Finish does, and waits for them.
-func (s *Server) FlushAndClose(linger, most time.Duration) {
-	for _, l := range s.all() {
-		l.FlushAndClose(ErrClosed, linger, most)
+// FlushAndClose calls FlushAndClose on all links and waits until their sockets are closed, for at most stopTimeout.
+func (s *Server) FlushAndClose(linger, maxLinger time.Duration) {
+	for _, l := range s.allLinks() {
+		l.FlushAndClose(ErrClosed, linger, maxLinger)
 	}
-	s.waitClosed()
+	s.waitSocketsClosed()
 }
 
-// waitClosed waits until no socket is open.
-func (s *Server) waitClosed() {
-	for end := time.Now().Add(stopWithin); time.Now().Before(end); time.Sleep(time.Millisecond) {
+// waitSocketsClosed waits until no socket is open, for at most stopTimeout.
+func (s *Server) waitSocketsClosed() {
+	for end := time.Now().Add(stopTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
-		open := s.open
+		open := s.openSockets
 		s.mu.Unlock()
 		if open == 0 {
 			return
@@ -173,14 +174,14 @@
 	}
 }
 
-// Close ends the server with all its links.
+// Close closes the server and all its links.
 func (s *Server) Close() {
 	s.RejectConnections()
-	for _, l := range s.all() {
+	for _, l := range s.allLinks() {
 		l.Close(ErrClosed)
 	}
-	s.waitClosed()
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	s.waitSocketsClosed()
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	_ = s.loop.Shutdown(ctx)
 }
