--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -50,16 +50,16 @@
 )
 
 // word is what a word stands for, another thing if it is none of these.
-func word[T any](w string, other T, of map[string]T) T {
-	if x, ok := of[w]; ok {
+func lookUp[T any](word string, fallback T, values map[string]T) T {
+	if x, ok := values[word]; ok {
 		return x
 	}
-	return other
+	return fallback
 }
 
 // Orders decodes the settings. Unknown keys are ignored, absent ones are zero.
 func DecodeConfig(raw json.RawMessage, zones map[string]logic.ZoneID) (logic.Config, *Names, error) {
-	var f struct {
+	var settings struct {
 		Azs        []string
 		Categories []struct {
 			Name       string
@@ -136,61 +136,61 @@
 		}
 		Zone string
 	}
-	if err := json.Unmarshal(raw, &f); err != nil {
+	if err := json.Unmarshal(raw, &settings); err != nil {
 		return logic.Config{}, nil, fmt.Errorf("facts: %w", err)
 	}
-	n := &Names{
+	names := &Names{
 		Profiles:             map[string]logic.ProfileID{},
 		Accounts:             map[string]logic.AccountID{},
 		LoadFieldIndex:       [LoadFieldCount]int{-1, -1, -1},
-		StreamsPerConnection: f.Limits.StreamsPerConn,
+		StreamsPerConnection: settings.Limits.StreamsPerConn,
 	}
-	for _, z := range f.Azs {
+	for _, z := range settings.Azs {
 		AssignZone(zones, z)
 	}
-	o := logic.Config{
-		Control:  word(f.FamilyInfo.Control, logic.ControlAny, controls),
-		Sentries: f.ReplicasOfMe, Position: logic.SentryID(f.Position), Zone: AssignZone(zones, f.Zone),
-		ListOnRequest: f.RegistryMode == "on_request", MaxListAge: ToMicros(f.Rules.AskWithinNs),
-		MayProbe: f.Limits.MayProbe, MayCancel: f.Limits.Cancel, MayHedge: f.Limits.ParallelTries,
-		MayMessage: f.Limits.Peers, MayNameRetryAfter: f.Limits.RetryAfter,
-		MaxHandOffs: f.Limits.MaxAttempts, MaxRetryAfter: ToMicros(f.Limits.MaxRetryAfterNs),
-		ConnectTimeout: ToMicros(f.Limits.ConnectTimeout), IdleTimeout: ToMicros(f.Limits.IdleCloseNs), TimerGranularity: ToMicros(f.GranularityNs),
-		AnswerGrace: ToMicros(f.Rules.GraceToAnswerNs), DrainGrace: ToMicros(f.Rules.DrainGraceNs),
-		ColdCapacity: f.Rules.ColdFrom, WarmUp: ToMicros(f.Rules.WarmUpNs),
-		ColdLoadMultiple: f.Rules.FallMultiple, ColdLoadWindow: ToMicros(f.Rules.FallNs),
-		EarlierWorkersStay: f.FamilyInfo.Layout == "beside",
-		StageShares:        f.FamilyInfo.Shares, StageCaps: f.FamilyInfo.Caps,
-		FreeExposure: f.FamilyInfo.Free, ExposureWindow: ToMicros(f.FamilyInfo.ExposureWindowNs),
-		ExposureByProfile: f.FamilyInfo.CapScope == "class",
-		GuardedStages:     f.FamilyInfo.Shielded, ForwardOnly: f.FamilyInfo.NoReturn,
-		AdvanceVotes: f.FamilyInfo.OnVotes, HoldVotes: f.FamilyInfo.VotesToHold, RollBackVotes: f.FamilyInfo.VotesToRevert,
-		VoteTTL: ToMicros(f.FamilyInfo.VoteTTLNs), VoteTimeout: ToMicros(f.FamilyInfo.AnswerWaitNs),
-		VotesPerSecond: f.FamilyInfo.VotesPerS, BakeTime: ToMicros(f.FamilyInfo.BakeNs),
-		ComplaintShare: f.FamilyInfo.ComplaintShare,
-		CountsPeriod:   ToMicros(f.FamilyInfo.MetricsPeriodNs), CountsSampleShare: f.FamilyInfo.SampledShare,
-		StaleBuildPrice: f.FamilyInfo.StaleBuildPrice, HarmPrice: f.FamilyInfo.HarmFee,
-		CrossZonePrice: f.Prices.CrossZone, WastePrice: f.Prices.Waste, OverShareValue: f.OverShareWorth,
+	config := logic.Config{
+		Control:  lookUp(settings.FamilyInfo.Control, logic.ControlAny, controls),
+		Sentries: settings.ReplicasOfMe, Position: logic.SentryID(settings.Position), Zone: AssignZone(zones, settings.Zone),
+		ListOnRequest: settings.RegistryMode == "on_request", MaxListAge: ToMicros(settings.Rules.AskWithinNs),
+		MayProbe: settings.Limits.MayProbe, MayCancel: settings.Limits.Cancel, MayHedge: settings.Limits.ParallelTries,
+		MayMessage: settings.Limits.Peers, MayNameRetryAfter: settings.Limits.RetryAfter,
+		MaxHandOffs: settings.Limits.MaxAttempts, MaxRetryAfter: ToMicros(settings.Limits.MaxRetryAfterNs),
+		ConnectTimeout: ToMicros(settings.Limits.ConnectTimeout), IdleTimeout: ToMicros(settings.Limits.IdleCloseNs), TimerGranularity: ToMicros(settings.GranularityNs),
+		AnswerGrace: ToMicros(settings.Rules.GraceToAnswerNs), DrainGrace: ToMicros(settings.Rules.DrainGraceNs),
+		ColdCapacity: settings.Rules.ColdFrom, WarmUp: ToMicros(settings.Rules.WarmUpNs),
+		ColdLoadMultiple: settings.Rules.FallMultiple, ColdLoadWindow: ToMicros(settings.Rules.FallNs),
+		EarlierWorkersStay: settings.FamilyInfo.Layout == "beside",
+		StageShares:        settings.FamilyInfo.Shares, StageCaps: settings.FamilyInfo.Caps,
+		FreeExposure: settings.FamilyInfo.Free, ExposureWindow: ToMicros(settings.FamilyInfo.ExposureWindowNs),
+		ExposureByProfile: settings.FamilyInfo.CapScope == "class",
+		GuardedStages:     settings.FamilyInfo.Shielded, ForwardOnly: settings.FamilyInfo.NoReturn,
+		AdvanceVotes: settings.FamilyInfo.OnVotes, HoldVotes: settings.FamilyInfo.VotesToHold, RollBackVotes: settings.FamilyInfo.VotesToRevert,
+		VoteTTL: ToMicros(settings.FamilyInfo.VoteTTLNs), VoteTimeout: ToMicros(settings.FamilyInfo.AnswerWaitNs),
+		VotesPerSecond: settings.FamilyInfo.VotesPerS, BakeTime: ToMicros(settings.FamilyInfo.BakeNs),
+		ComplaintShare: settings.FamilyInfo.ComplaintShare,
+		CountsPeriod:   ToMicros(settings.FamilyInfo.MetricsPeriodNs), CountsSampleShare: settings.FamilyInfo.SampledShare,
+		StaleBuildPrice: settings.FamilyInfo.StaleBuildPrice, HarmPrice: settings.FamilyInfo.HarmFee,
+		CrossZonePrice: settings.Prices.CrossZone, WastePrice: settings.Prices.Waste, OverShareValue: settings.OverShareWorth,
 	}
-	for i, c := range f.Categories {
-		n.Profiles[c.Name] = logic.ProfileID(i)
+	for i, c := range settings.Categories {
+		names.Profiles[c.Name] = logic.ProfileID(i)
 		p := logic.Profile{
 			DueTime: ToMicros(c.AimNs), MaxDeadline: ToMicros(c.DeadlineNs), Value: c.Value, LateValueShare: c.LateWorth,
 			DedupWindow: ToMicros(c.WindowNs), Streamed: c.Stream,
-			Repeatability: word(c.Effect, logic.NonIdempotent, repeats), DedupScope: word(c.Group, logic.ScopeAll, scopes),
+			Repeatability: lookUp(c.Effect, logic.NonIdempotent, repeats), DedupScope: lookUp(c.Group, logic.ScopeAll, scopes),
 		}
-		o.Profiles = append(o.Profiles, p)
+		config.Profiles = append(config.Profiles, p)
 	}
-	for i, t := range f.Tenants {
-		n.Accounts[t.Name] = logic.AccountID(i)
-		o.Accounts = append(o.Accounts, logic.Account{Share: t.Fraction, Quota: t.QuotaPerS})
+	for i, t := range settings.Tenants {
+		names.Accounts[t.Name] = logic.AccountID(i)
+		config.Accounts = append(config.Accounts, logic.Account{Share: t.Fraction, Quota: t.QuotaPerS})
 	}
-	if f.Report.How != "off" {
-		for i, name := range f.Report.Fields {
+	if settings.Report.How != "off" {
+		for i, name := range settings.Report.Fields {
 			if at := slices.Index(LoadFieldNames[:], name); at >= 0 {
-				n.LoadFieldIndex[at] = i
+				names.LoadFieldIndex[at] = i
 			}
 		}
 	}
-	return o, n, nil
+	return config, names, nil
 }
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -35,70 +35,70 @@
 func (c Conflict) Error() string { return c.Block + ": " + c.Name + ": " + c.Message }
 
 // Clashes lists what a sentry that runs by one sheet can't change over to from it. Everything else it can.
-func (s *Settings) Conflicts(now *Settings) (all []Conflict) {
-	same := func(block, name string, was, is any) {
-		if !reflect.DeepEqual(was, is) {
-			all = append(all, Conflict{block, name, fmt.Sprintf("found %v, expected %v as the sentry runs with: it changes with a new start", is, was)})
+func (s *Settings) Conflicts(updated *Settings) (conflicts []Conflict) {
+	check := func(block, name string, current, next any) {
+		if !reflect.DeepEqual(current, next) {
+			conflicts = append(conflicts, Conflict{block, name, fmt.Sprintf("found %v, expected %v as the sentry runs with: it changes with a new start", next, current)})
 		}
 	}
-	was, is := &s.Endpoints, &now.Endpoints
-	same("sentry", "position", s.Policy.Position, now.Policy.Position)
-	same("sentry", "listen", was.Listen, is.Listen)
-	same("sentry", "metrics", was.Metrics, is.Metrics)
-	same("sentry", "memory", was.CachedListFile, is.CachedListFile)
-	same("sentry", "list", was.Discovery, is.Discovery)
-	same("sentry", "desk", was.ControlPlane, is.ControlPlane)
-	same("sentry", "seed", was.Seed, is.Seed)
-	same("sentry", "zone", s.Policy.Zone, now.Policy.Zone)
-	same("deployment", "zones", s.Zones, now.Zones[:min(len(s.Zones), len(now.Zones))])
-	same("bounds", "inbox", s.Bounds.InboxEvents, now.Bounds.InboxEvents)
-	same("bounds", "hand_offs_per_connection", s.Bounds.HandOffsPerConnection, now.Bounds.HandOffsPerConnection)
-	same("bounds", "frame_bytes", s.Bounds.FrameBytes, now.Bounds.FrameBytes)
-	same("bounds", "unwritten_bytes", s.Bounds.UnwrittenBytes, now.Bounds.UnwrittenBytes)
+	current, next := &s.Endpoints, &updated.Endpoints
+	check("sentry", "position", s.Policy.Position, updated.Policy.Position)
+	check("sentry", "listen", current.Listen, next.Listen)
+	check("sentry", "metrics", current.Metrics, next.Metrics)
+	check("sentry", "memory", current.CachedListFile, next.CachedListFile)
+	check("sentry", "list", current.Discovery, next.Discovery)
+	check("sentry", "desk", current.ControlPlane, next.ControlPlane)
+	check("sentry", "seed", current.Seed, next.Seed)
+	check("sentry", "zone", s.Policy.Zone, updated.Policy.Zone)
+	check("deployment", "zones", s.Zones, updated.Zones[:min(len(s.Zones), len(updated.Zones))])
+	check("bounds", "inbox", s.Bounds.InboxEvents, updated.Bounds.InboxEvents)
+	check("bounds", "hand_offs_per_connection", s.Bounds.HandOffsPerConnection, updated.Bounds.HandOffsPerConnection)
+	check("bounds", "frame_bytes", s.Bounds.FrameBytes, updated.Bounds.FrameBytes)
+	check("bounds", "unwritten_bytes", s.Bounds.UnwrittenBytes, updated.Bounds.UnwrittenBytes)
 	for _, x := range []struct {
 		kind     string
 		was, now []string
-	}{{"profile", s.ProfileNames, now.ProfileNames}, {"account", s.AccountNames, now.AccountNames}} {
+	}{{"profile", s.ProfileNames, updated.ProfileNames}, {"account", s.AccountNames, updated.AccountNames}} {
 		for i, name := range x.now {
 			if i < len(x.was) && x.was[i] != "" && name != "" && x.was[i] != name {
-				all = append(all, Conflict{x.kind + " " + name, "place", fmt.Sprintf(
+				conflicts = append(conflicts, Conflict{x.kind + " " + name, "place", fmt.Sprintf(
 					"found at place %d, expected %s there as clients know it: an empty place or a new one", i, x.was[i])})
 			}
 		}
 	}
-	return all
+	return conflicts
 }
 
 // After is the sheet for a sentry that has run by another one: a place that it no longer fills stays with its old
 // name, so that no other can take it, and takes nothing.
-func (s *Settings) KeepSlots(was *Settings) *Settings {
-	now := *s
-	now.ProfileNames, now.Policy.Profiles = slices.Clone(s.ProfileNames), slices.Clone(s.Policy.Profiles)
-	now.RemovedProfiles = make([]bool, max(len(s.ProfileNames), len(was.ProfileNames)))
-	for i, name := range was.ProfileNames {
-		now.fill(i)
-		if name != "" && now.ProfileNames[i] == "" {
-			now.ProfileNames[i], now.Policy.Profiles[i], now.RemovedProfiles[i] = name, was.Policy.Profiles[i], true
+func (s *Settings) KeepSlots(previous *Settings) *Settings {
+	merged := *s
+	merged.ProfileNames, merged.Policy.Profiles = slices.Clone(s.ProfileNames), slices.Clone(s.Policy.Profiles)
+	merged.RemovedProfiles = make([]bool, max(len(s.ProfileNames), len(previous.ProfileNames)))
+	for i, name := range previous.ProfileNames {
+		merged.growProfiles(i)
+		if name != "" && merged.ProfileNames[i] == "" {
+			merged.ProfileNames[i], merged.Policy.Profiles[i], merged.RemovedProfiles[i] = name, previous.Policy.Profiles[i], true
 		}
 	}
-	if n := len(s.AccountNames); n < len(was.AccountNames) {
-		now.AccountNames = append(slices.Clone(s.AccountNames), was.AccountNames[n:]...)
-		now.Policy.Accounts = append(slices.Clone(s.Policy.Accounts), was.Policy.Accounts[n:]...)
+	if n := len(s.AccountNames); n < len(previous.AccountNames) {
+		merged.AccountNames = append(slices.Clone(s.AccountNames), previous.AccountNames[n:]...)
+		merged.Policy.Accounts = append(slices.Clone(s.Policy.Accounts), previous.Policy.Accounts[n:]...)
 	}
-	return &now
+	return &merged
 }
 
 // fill makes places up to one; none has them yet, and they take nothing.
-func (s *Settings) fill(place int) {
-	for len(s.ProfileNames) <= place {
+func (s *Settings) growProfiles(slot int) {
+	for len(s.ProfileNames) <= slot {
 		s.ProfileNames = append(s.ProfileNames, "")
 		s.Policy.Profiles = append(s.Policy.Profiles, logic.Profile{DueTime: 1_000_000, MaxDeadline: 1_000_000})
 	}
 }
 
 // Takes says whether a place has a profile that is taken.
-func (s *Settings) AcceptsProfile(place int) bool {
-	return place < len(s.ProfileNames) && s.ProfileNames[place] != "" && !(place < len(s.RemovedProfiles) && s.RemovedProfiles[place])
+func (s *Settings) AcceptsProfile(slot int) bool {
+	return slot < len(s.ProfileNames) && s.ProfileNames[slot] != "" && !(slot < len(s.RemovedProfiles) && s.RemovedProfiles[slot])
 }
 
 // OuterLimit is that of the profile with the longest: nothing is open any longer.
@@ -156,7 +156,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return readBeside(f, running)
+	return readUpdate(f, running)
 }
 
 // ParseBeside is LoadBeside for what was read already.
@@ -165,20 +165,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return readBeside(f, running)
+	return readUpdate(f, running)
 }
 
-func read(f *hclread.File) (*Settings, error) { return readBeside(f, nil) }
+func read(f *hclread.File) (*Settings, error) { return readUpdate(f, nil) }
 
-func readBeside(f *hclread.File, running *Settings) (*Settings, error) {
+func readUpdate(f *hclread.File, running *Settings) (*Settings, error) {
 	s := ReadShared(f.Root)
 	s.IncludedFiles = f.Files
-	s.post(f.Root.Block("sentry", true))
+	s.readEndpoints(f.Root.Block("sentry", true))
 	f.Root.Done()
 	if running != nil && f.Err() == nil {
 		for _, c := range running.Conflicts(s) {
 			kind, label, _ := strings.Cut(c.Block, " ")
-			for _, b := range f.Root.Blocks(kind, labels[kind]) {
+			for _, b := range f.Root.Blocks(kind, labelCounts[kind]) {
 				if label == "" || b.Labels[0] == label {
 					b.FaultAt(c.Name, "%s", c.Message)
 				}
@@ -204,44 +204,44 @@
 func ReadShared(root *hclread.Body) *Settings {
 	s := &Settings{}
 	o := &s.Policy
-	d := root.Block("deployment", true)
-	o.Sentries = d.Whole("sentries", true, 1, 1, 10_000)
-	s.Zones = d.Texts("zones", true)
-	d.Done()
+	deployment := root.Block("deployment", true)
+	o.Sentries = deployment.Whole("sentries", true, 1, 1, 10_000)
+	s.Zones = deployment.Texts("zones", true)
+	deployment.Done()
 	for i, z := range s.Zones {
 		for _, other := range s.Zones[:i] {
 			if other == z {
-				d.FaultAt("zones", "found %q twice, expected each zone once", z)
+				deployment.FaultAt("zones", "found %q twice, expected each zone once", z)
 			}
 		}
 	}
-	s.profiles(root)
-	s.accounts(root)
-	s.allowed(root.Block("allowed", true))
-	s.list(root.Block("list", true))
-	s.rules(root.Block("rules", true))
-	s.trial(root.Block("trial", true))
-	p := root.Block("prices", false)
-	o.StaleBuildPrice = p.Figure("behind", false, 0, 0, 10)
-	o.HarmPrice = p.Figure("harm", false, 0, 0, 100)
-	o.CrossZonePrice = p.Figure("cross", false, 0, 0, 1)
-	o.WastePrice = p.Figure("waste", false, 0, 0, 1)
-	o.OverShareValue = p.Figure("over_share_value", false, 1, 0, 1)
-	p.Done()
-	b := root.Block("bounds", false)
+	s.readProfiles(root)
+	s.readAccounts(root)
+	s.readAllowed(root.Block("allowed", true))
+	s.readList(root.Block("list", true))
+	s.readRules(root.Block("rules", true))
+	s.readTrial(root.Block("trial", true))
+	prices := root.Block("prices", false)
+	o.StaleBuildPrice = prices.Figure("behind", false, 0, 0, 10)
+	o.HarmPrice = prices.Figure("harm", false, 0, 0, 100)
+	o.CrossZonePrice = prices.Figure("cross", false, 0, 0, 1)
+	o.WastePrice = prices.Figure("waste", false, 0, 0, 1)
+	o.OverShareValue = prices.Figure("over_share_value", false, 1, 0, 1)
+	prices.Done()
+	bounds := root.Block("bounds", false)
 	s.Bounds = Bounds{
-		InboxEvents: b.Whole("inbox", false, 16384, 64, 1<<20), OpenTransactions: b.Whole("open", false, 20_000, 1, 1<<20),
-		ConnectionsPerWorker:  b.Whole("connections_per_worker", false, 8, 1, 1024),
-		HandOffsPerConnection: b.Whole("hand_offs_per_connection", false, 32, 1, 1<<16),
-		FrameBytes:            b.Whole("frame_bytes", false, 4<<20, 4096, 64<<20),
-		UnwrittenBytes:        b.Whole("unwritten_bytes", false, 1<<20, 4096, 256<<20),
+		InboxEvents: bounds.Whole("inbox", false, 16384, 64, 1<<20), OpenTransactions: bounds.Whole("open", false, 20_000, 1, 1<<20),
+		ConnectionsPerWorker:  bounds.Whole("connections_per_worker", false, 8, 1, 1024),
+		HandOffsPerConnection: bounds.Whole("hand_offs_per_connection", false, 32, 1, 1<<16),
+		FrameBytes:            bounds.Whole("frame_bytes", false, 4<<20, 4096, 64<<20),
+		UnwrittenBytes:        bounds.Whole("unwritten_bytes", false, 1<<20, 4096, 256<<20),
 	}
-	b.Done()
+	bounds.Done()
 	s.Routes = routes.Read(root, s.ProfileNames, s.AccountNames)
 	return s
 }
 
-func (s *Settings) profiles(root *hclread.Body) {
+func (s *Settings) readProfiles(root *hclread.Body) {
 	for i, b := range root.Blocks("profile", 1) {
 		p := logic.Profile{
 			DueTime:        b.Span("due_time", true, ms, ms, hour),
@@ -250,10 +250,10 @@
 			LateValueShare: b.Figure("late_share", false, 0, 0, 1),
 			Repeatability:  logic.Repeatability(b.Word("repeat", true, int(logic.NonIdempotent), "redoable", "labelled", "irreversible")),
 		}
-		labelled := p.Repeatability == logic.Deduplicated
-		p.DedupScope = logic.DedupScope(b.Word("scope", labelled, 0, "all", "zone", "cell"))
-		p.DedupWindow = b.Span("window", labelled, 0, ms, hour)
-		if !labelled && (b.Has("scope") || b.Has("window")) {
+		deduplicated := p.Repeatability == logic.Deduplicated
+		p.DedupScope = logic.DedupScope(b.Word("scope", deduplicated, 0, "all", "zone", "cell"))
+		p.DedupWindow = b.Span("window", deduplicated, 0, ms, hour)
+		if !deduplicated && (b.Has("scope") || b.Has("window")) {
 			b.Fault("profile %s has a scope or window, expected them with repeat = \"labelled\" only", b.Labels[0])
 		}
 		if p.MaxDeadline < p.DueTime {
@@ -264,24 +264,24 @@
 				b.Fault("profile %s stands twice, expected once", other)
 			}
 		}
-		place := b.Whole("place", false, min(i, 255), 0, 255)
+		slot := b.Whole("place", false, min(i, 255), 0, 255)
 		b.Done()
 		if b.Labels[0] == "" {
 			b.Fault("profile without a name, expected one")
 		}
-		s.fill(place)
-		if other := s.ProfileNames[place]; other != "" {
-			b.FaultAt("place", "found %d, expected one that %s does not have", place, other)
+		s.growProfiles(slot)
+		if other := s.ProfileNames[slot]; other != "" {
+			b.FaultAt("place", "found %d, expected one that %s does not have", slot, other)
 			continue
 		}
-		s.ProfileNames[place], s.Policy.Profiles[place] = b.Labels[0], p
+		s.ProfileNames[slot], s.Policy.Profiles[slot] = b.Labels[0], p
 	}
 	if len(s.ProfileNames) == 0 {
 		root.Fault("no block profile, expected at least one")
 	}
 }
 
-func (s *Settings) accounts(root *hclread.Body) {
+func (s *Settings) readAccounts(root *hclread.Body) {
 	total := 0.0
 	for _, b := range root.Blocks("account", 1) {
 		a := logic.Account{Share: b.Figure("share", true, 0, 0, 1), Quota: b.Figure("quota", true, 0, 0, 1e9)}
@@ -294,7 +294,7 @@
 	}
 }
 
-func (s *Settings) allowed(b *hclread.Body) {
+func (s *Settings) readAllowed(b *hclread.Body) {
 	o := &s.Policy
 	o.MayProbe, o.MayCancel = b.Flag("probes", false), b.Flag("cancel", true)
 	o.MayHedge, o.MayMessage = b.Flag("copies", false), b.Flag("messages", false)
@@ -306,14 +306,14 @@
 	b.Done()
 }
 
-func (s *Settings) list(b *hclread.Body) {
+func (s *Settings) readList(b *hclread.Body) {
 	o := &s.Policy
 	o.ListOnRequest = b.Flag("ask", false)
 	o.MaxListAge = b.Span("ask_within", o.ListOnRequest, 10*time.Second, 100*ms, hour)
 	b.Done()
 }
 
-func (s *Settings) rules(b *hclread.Body) {
+func (s *Settings) readRules(b *hclread.Body) {
 	o := &s.Policy
 	o.TimerGranularity = b.Span("tick", false, 5*ms, time.Microsecond, time.Second)
 	o.AnswerGrace = b.Span("answer_grace", true, 20*ms, 0, time.Minute)
@@ -325,7 +325,7 @@
 	b.Done()
 }
 
-func (s *Settings) trial(b *hclread.Body) {
+func (s *Settings) readTrial(b *hclread.Body) {
 	o := &s.Policy
 	o.Control = logic.Control(b.Word("control", true, 0, "any", "share", "timer"))
 	o.EarlierWorkersStay = b.Word("layout", false, 0, "beside", "in_place") == 0
@@ -367,7 +367,7 @@
 	}
 }
 
-func (s *Settings) post(b *hclread.Body) {
+func (s *Settings) readEndpoints(b *hclread.Body) {
 	o, p := &s.Policy, &s.Endpoints
 	o.Position = logic.SentryID(b.Whole("position", true, 0, 0, max(0, o.Sentries-1)))
 	zones := s.Zones
@@ -375,10 +375,10 @@
 		zones = []string{"(none)"}
 	}
 	o.Zone = logic.ZoneID(b.Word("zone", true, 0, zones...))
-	p.Listen = address(b, "listen", true)
-	p.Metrics = address(b, "metrics", false)
-	p.Discovery = address(b, "list", true)
-	p.ControlPlane = address(b, "desk", true)
+	p.Listen = readAddress(b, "listen", true)
+	p.Metrics = readAddress(b, "metrics", false)
+	p.Discovery = readAddress(b, "list", true)
+	p.ControlPlane = readAddress(b, "desk", true)
 	p.CachedListFile = b.Text("memory", true, "")
 	p.Seed = int64(b.Whole("seed", false, 0, 0, 1<<53))
 	p.Peers = map[logic.SentryID]string{}
@@ -387,14 +387,14 @@
 		if err != nil || n < 0 || n >= o.Sentries || logic.SentryID(n) == o.Position {
 			x.Fault("peer %q, expected the position of another sentry, 0 to %d", x.Labels[0], o.Sentries-1)
 		}
-		p.Peers[logic.SentryID(n)] = address(x, "address", true)
+		p.Peers[logic.SentryID(n)] = readAddress(x, "address", true)
 		x.Done()
 	}
 	b.Done()
 }
 
-func address(b *hclread.Body, name string, must bool) string {
-	text := b.Text(name, must, "")
+func readAddress(b *hclread.Body, name string, required bool) string {
+	text := b.Text(name, required, "")
 	if text == "" {
 		return ""
 	}
@@ -406,12 +406,12 @@
 }
 
 // labels are how many a kind of block has, if any.
-var labels = map[string]int{"profile": 1, "account": 1, "set": 1, "measure": 1, "attribute": 1, "let": 1, "route": 1, "case": 1}
+var labelCounts = map[string]int{"profile": 1, "account": 1, "set": 1, "measure": 1, "attribute": 1, "let": 1, "route": 1, "case": 1}
 
 // SharedSource is the blocks that Shared reads, as they stand in the file.
 func SharedSource(root *hclread.Body) (source []byte) {
 	for _, kind := range SharedBlocks {
-		for _, b := range root.Blocks(kind, labels[kind]) {
+		for _, b := range root.Blocks(kind, labelCounts[kind]) {
 			source = append(append(source, b.Source()...), '\n')
 		}
 	}
--- a/internal/sentry/breach.go
+++ b/internal/sentry/breach.go
@@ -37,90 +37,90 @@
 }
 
 // breachAnswer answers one transaction in twenty a second time.
-func (s *Sentry) breachAnswer(t *transaction, a *wire.Answer) {
-	if s.breach == BreachAnswer && s.named%20 == 0 {
-		s.put(t.client, a)
+func (s *Sentry) breachAnswerRule(t *transaction, a *wire.Answer) {
+	if s.breach == BreachAnswer && s.transactionSeq%20 == 0 {
+		s.queueAnswer(t.client, a)
 	}
 }
 
 // breachAfter hands a transaction off once more, or many times, after a ruling was carried out.
-func (s *Sentry) breachAfter(t *transaction, r *logic.Action) {
-	if s.breach < BreachEffect || len(t.sends) != 1 || t.closed {
+func (s *Sentry) breachHandOffRules(t *transaction, r *logic.Action) {
+	if s.breach < BreachEffect || len(t.handOffs) != 1 || t.closed {
 		return
 	}
-	repeat := s.orders.Profiles[t.profile].Repeatability
-	if ruled := s.workers[r.Worker]; ruled == nil || ruled.line.Build >= s.book.news.Build {
+	repeatability := s.config.Profiles[t.profile].Repeatability
+	if chosen := s.workers[r.Worker]; chosen == nil || chosen.info.Build >= s.workerList.releaseStatus.Build {
 		return // its key has met the trial: once more at an earlier build would break another rule too
 	}
 	// What breaks no other rule: warm, ready, of a build that is not on trial.
-	plain := func(w *worker) bool {
-		return w.line.State == logic.Ready && w.line.Build < s.book.news.Build && s.warm(w)
+	isOrdinary := func(w *worker) bool {
+		return w.info.State == logic.Ready && w.info.Build < s.workerList.releaseStatus.Build && s.isWarm(w)
 	}
 	switch s.breach {
 	case BreachEffect:
-		if repeat == logic.NonIdempotent {
-			s.again(t, 1, func(w *worker) bool { return plain(w) && w.id != r.Worker })
+		if repeatability == logic.NonIdempotent {
+			s.sendExtraHandOffs(t, 1, func(w *worker) bool { return isOrdinary(w) && w.id != r.Worker })
 		}
 	case BreachDrain:
-		if repeat == logic.Idempotent {
-			s.again(t, 1, func(w *worker) bool {
-				return w.line.State != logic.Ready && s.now-w.since > s.orders.DrainGrace &&
-					w.line.Build < s.book.news.Build
+		if repeatability == logic.Idempotent {
+			s.sendExtraHandOffs(t, 1, func(w *worker) bool {
+				return w.info.State != logic.Ready && s.now-w.stateSince > s.config.DrainGrace &&
+					w.info.Build < s.workerList.releaseStatus.Build
 			})
 		}
 	case BreachCold:
-		if repeat == logic.Idempotent {
-			s.again(t, 20, func(w *worker) bool {
-				return w.line.State == logic.Ready && w.line.Build < s.book.news.Build && !s.warm(w)
+		if repeatability == logic.Idempotent {
+			s.sendExtraHandOffs(t, 20, func(w *worker) bool {
+				return w.info.State == logic.Ready && w.info.Build < s.workerList.releaseStatus.Build && !s.isWarm(w)
 			})
 		}
 	case BreachExposure:
-		if repeat == logic.Idempotent && s.book.news.Phase == logic.OnTrial && s.named%2 == 0 {
-			s.again(t, 1, func(w *worker) bool {
-				return w.line.State == logic.Ready && w.line.Build == s.book.news.Build && s.warm(w)
+		if repeatability == logic.Idempotent && s.workerList.releaseStatus.Phase == logic.OnTrial && s.transactionSeq%2 == 0 {
+			s.sendExtraHandOffs(t, 1, func(w *worker) bool {
+				return w.info.State == logic.Ready && w.info.Build == s.workerList.releaseStatus.Build && s.isWarm(w)
 			})
 		}
 	}
 }
 
-func (s *Sentry) warm(w *worker) bool {
-	return w.line.Started == 0 || s.now-w.line.Started > s.orders.WarmUp
+func (s *Sentry) isWarm(w *worker) bool {
+	return w.info.Started == 0 || s.now-w.info.Started > s.config.WarmUp
 }
 
 // again writes the work to the first connected worker that fits, under an id whose answer nobody awaits.
-func (s *Sentry) again(t *transaction, times int, fits func(*worker) bool) {
-	var all []*worker
+func (s *Sentry) sendExtraHandOffs(t *transaction, times int, fits func(*worker) bool) {
+	var candidates []*worker
 	for _, w := range s.workers {
 		if fits(w) && w.address != "" {
-			all = append(all, w)
+			candidates = append(candidates, w)
 		}
 	}
-	if len(all) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	slices.SortFunc(all, func(a, b *worker) int {
+	slices.SortFunc(candidates, func(a, b *worker) int {
 		if a.id < b.id {
 			return -1
 		}
 		return 1
 	})
-	w := all[int(s.named/2)%len(all)]
+	w := candidates[int(s.transactionSeq/2)%len(candidates)]
 	if s.breach == BreachCold {
-		w = all[0]
+		w = candidates[0]
 	}
 	if len(w.conns) == 0 {
 		if w.dials == 0 {
-			w.waiting = append(w.waiting, waiting{t, t.gen, 0})
+			w.queue = append(w.queue, queuedHandOff{t, t.gen, 0})
 			s.dial(w)
-			w.waiting = w.waiting[:len(w.waiting)-1]
+			w.queue = w.queue[:len(w.queue)-1]
 		}
 		return
 	}
 	c := w.conns[0]
 	for range times {
-		m := &wire.Work{ID: 1, Profile: t.profile, Key: []byte(t.key), Timeout: uint64(max(1, t.limit-s.now)), DeduplicationToken: t.mark,
-			Payload: t.payload, Transaction: []byte(t.id), HandOffNumber: uint32(len(t.sends)), ExpectedWork: t.hint}
+		m := &wire.Work{ID: 1, Profile: t.profile, Key: []byte(t.key), Timeout: uint64(max(1, t.deadline-s.now)), DeduplicationToken: t.dedupToken,
+			Payload: t.payload, Transaction: []byte(t.id), HandOffNumber: uint32(len(t.handOffs)), ExpectedWork: t.expectedWork}
 		c.link.SendWork(m)
-		s.dirty = append(s.dirty, c.link)
+		s.unflushed = append(s.unflushed, c.link)
 	}
 }
--- a/internal/sentry/inbox.go
+++ b/internal/sentry/inbox.go
@@ -13,85 +13,85 @@
 // this sentry's has a time of its own; what started earlier still counts as long ago.
 type clock struct{ base time.Time }
 
-const clockStart = logic.Micros(3_600_000_000)
+const clockStartMicros = logic.Micros(3_600_000_000)
 
 func newClock() clock { return clock{time.Now()} }
 
 func (c clock) now() logic.Micros {
-	return clockStart + logic.Micros(time.Since(c.base)/time.Microsecond)
+	return clockStartMicros + logic.Micros(time.Since(c.base)/time.Microsecond)
 }
 
-func span(m logic.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func toDuration(m logic.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
 type eventKind uint8
 
 const (
-	evAsk eventKind = iota
-	evDone
-	evLeave
-	evClientGone
-	evWorkerLost
-	evDialed
-	evWelcome
-	evProbed
-	evUpDialed
-	evUpLost
-	evReport
-	evRefused
-	evUnsure
-	evNews
-	evPeer
-	evComplaint
-	evSaved
-	evStop
-	evInspect
-	evCounts
-	evUnanswered
-	evAnswerBy
+	eventTransaction eventKind = iota
+	eventWorkerAnswer
+	eventClientLeft
+	eventClientClosed
+	eventConnClosed
+	eventDialed
+	eventConnReady
+	eventProbeAnswer
+	eventUpstreamDialed
+	eventUpstreamClosed
+	eventList
+	eventListRequestFailed
+	eventListPartlyReceived
+	eventRelease
+	eventPeerMessage
+	eventComplaint
+	eventListSaved
+	eventStop
+	eventCall
+	eventCounts
+	eventVoteTimedOut
+	eventAnswerWithin
 )
 
 // event is what a socket has brought, stamped when it was taken into the inbox.
 type event struct {
-	at      logic.Micros
-	kind    eventKind
-	profile uint32
-	account uint32
-	ended   uint32
-	held    uint32
-	busy    uint32
-	served  uint32
-	again   bool
-	turned  bool // away: discovery was busy
-
-	unrouted uint8 // why no route takes it, 0 if one does or none is asked
-	id       uint64
-	left     uint64
-	hint     uint64
-	key      logic.Key
-	mark     []byte
-	payload  []byte
-	buffer   *[]byte // that mark and payload lie in
-	client   *client
-	conn     *conn
-	worker   *worker
-	up       *upstream
-	link     *wire.Link // of an upstream
-	way      WorkerConn
-	err      error
-	report   *pb.Report
-	ago      logic.Micros // of a list that is not whole: since its first byte
-	takes    func() bool  // whether the report is to be taken, nil if it always is
-	news     *pb.News
-	counts   *pb.Counts
-	call     func()
+	at         logic.Micros
+	kind       eventKind
+	profile    uint32
+	account    uint32
+	ended      uint32
+	held       uint32
+	busy       uint32
+	served     uint32
+	isRetry    bool
+	overloaded bool // away: discovery was busy
+
+	noRouteReason uint8 // why no route takes it, 0 if one does or none is asked
+	id            uint64
+	timeLeft      uint64
+	expectedWork  uint64
+	key           logic.Key
+	dedupToken    []byte
+	payload       []byte
+	buffer        *[]byte // that mark and payload lie in
+	client        *client
+	conn          *pooledConn
+	worker        *worker
+	upstream      *upstream
+	upstreamLink  *wire.Link // of an upstream
+	workerLink    WorkerConn
+	err           error
+	report        *pb.Report
+	startedAgo    logic.Micros // of a list that is not whole: since its first byte
+	stillWanted   func() bool  // whether the report is to be taken, nil if it always is
+	status        *pb.News
+	counts        *pb.Counts
+	call          func()
 }
 
 // buffers hold what came in frames until the loop is done with it. A large one is not kept.
 var buffers = sync.Pool{New: func() any { return new([]byte) }}
 
-func borrow() *[]byte { return buffers.Get().(*[]byte) }
+func getBuffer() *[]byte { return buffers.Get().(*[]byte) }
 
-func giveBack(b *[]byte) {
+func putBuffer(b *[]byte) {
 	if b != nil && cap(*b) <= 64<<10 {
 		buffers.Put(b)
 	}
@@ -100,29 +100,29 @@
 // inbox holds what waits for the loop, in the order taken. What clients and peers send waits for room; what ends
 // or answers something does not, since its number is bounded by what is open.
 type inbox struct {
-	mu     sync.Mutex
-	room   *sync.Cond
-	items  []event
-	most   int
-	closed bool
-	clock  clock
-	wake   chan struct{}
-	waits  int // puts that had to wait, for the metrics
+	mu        sync.Mutex
+	notFull   *sync.Cond
+	events    []event
+	capacity  int
+	closed    bool
+	clock     clock
+	wakeUp    chan struct{}
+	fullWaits int // puts that had to wait, for the metrics
 }
 
-func newInbox(most int, c clock) *inbox {
-	q := &inbox{most: most, clock: c, wake: make(chan struct{}, 1)}
-	q.room = sync.NewCond(&q.mu)
+func newInbox(capacity int, c clock) *inbox {
+	q := &inbox{capacity: capacity, clock: c, wakeUp: make(chan struct{}, 1)}
+	q.notFull = sync.NewCond(&q.mu)
 	return q
 }
 
 // put takes an event, and says whether it did: not once the inbox is closed.
-func (q *inbox) put(e *event, wait bool) bool {
+func (q *inbox) put(e *event, mayWait bool) bool {
 	q.mu.Lock()
-	if wait && len(q.items) >= q.most && !q.closed {
-		q.waits++
-		for len(q.items) >= q.most && !q.closed {
-			q.room.Wait()
+	if mayWait && len(q.events) >= q.capacity && !q.closed {
+		q.fullWaits++
+		for len(q.events) >= q.capacity && !q.closed {
+			q.notFull.Wait()
 		}
 	}
 	if q.closed {
@@ -130,12 +130,12 @@
 		return false
 	}
 	e.at = q.clock.now()
-	q.items = append(q.items, *e)
-	first := len(q.items) == 1
+	q.events = append(q.events, *e)
+	first := len(q.events) == 1
 	q.mu.Unlock()
 	if first {
 		select {
-		case q.wake <- struct{}{}:
+		case q.wakeUp <- struct{}{}:
 		default:
 		}
 	}
@@ -145,31 +145,31 @@
 // take swaps what waits for an empty slice.
 func (q *inbox) take(empty []event) []event {
 	q.mu.Lock()
-	items := q.items
-	q.items = empty[:0]
-	if len(items) >= q.most {
-		q.room.Broadcast()
+	events := q.events
+	q.events = empty[:0]
+	if len(events) >= q.capacity {
+		q.notFull.Broadcast()
 	}
 	q.mu.Unlock()
-	return items
+	return events
 }
 
 // close takes nothing more, and gives what was not taken from it.
 func (q *inbox) close() []event {
 	q.mu.Lock()
-	left := q.items
-	q.closed, q.items = true, nil
+	remaining := q.events
+	q.closed, q.events = true, nil
 	q.mu.Unlock()
-	q.room.Broadcast()
+	q.notFull.Broadcast()
 	select {
-	case q.wake <- struct{}{}:
+	case q.wakeUp <- struct{}{}:
 	default:
 	}
-	return left
+	return remaining
 }
 
-func (q *inbox) load() (waiting, waits int) {
+func (q *inbox) stats() (waiting, fullWaits int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.items), q.waits
+	return len(q.events), q.fullWaits
 }
--- a/internal/sentry/rig_test.go
+++ b/internal/sentry/rig_test.go
@@ -307,7 +307,7 @@
 	r.wait("the list at the sentry", func() (known bool) {
 		r.s.Inspect(func() {
 			w := r.s.workers[logic.WorkerID(lines[len(lines)-1].Id)]
-			known = w != nil && w.line.State == logic.WorkerState(lines[len(lines)-1].State)
+			known = w != nil && w.info.State == logic.WorkerState(lines[len(lines)-1].State)
 		})
 		return known
 	})
--- a/internal/sentry/routing.go
+++ b/internal/sentry/routing.go
@@ -15,37 +15,37 @@
 // routing is the routes in use. A transaction that carries attributes is judged when its frame is read, on the poller, by
 // the one routing that it finds then; what it got it keeps, however often it is handed off and whatever is loaded later.
 type routing struct {
-	sheet *orders.Settings
-	book  *routes.Book // nil if it has none
-	spare sync.Pool    // of *judge
+	settings *orders.Settings
+	routeSet *routes.Book // nil if it has none
+	matchers sync.Pool    // of *judge
 }
 
 // judge is what reading and matching one transaction needs.
-type judge struct {
-	book   *routes.Book
-	record *match.Record
-	reader wire.AttributeReader
-	key    []byte
-	nth    int   // attribute of this transaction
-	order  []int // places of the attributes, as the last one had them: most clients keep to one order
-	at     int   // of the attribute in hand
-	wanted func(name []byte) bool
-	put    func(v *match.Carried)
+type matcher struct {
+	routeSet       *routes.Book
+	record         *match.Record
+	reader         wire.AttributeReader
+	key            []byte
+	attributeIndex int   // attribute of this transaction
+	lastSlots      []int // places of the attributes, as the last one had them: most clients keep to one order
+	schemaSlot     int   // of the attribute in hand
+	isNeededFunc   func(name []byte) bool
+	storeFunc      func(v *match.Carried)
 
-	unknown, misfits int
+	unknownAttributes, typeMismatches int
 }
 
-func newRouting(sheet *orders.Settings) *routing {
-	b := sheet.Routes
-	r := &routing{sheet: sheet, book: b}
+func newRouting(settings *orders.Settings) *routing {
+	b := settings.Routes
+	r := &routing{settings: settings, routeSet: b}
 	if b == nil {
 		return r
 	}
-	r.spare.New = func() any {
-		j := &judge{book: b, record: b.Schema.NewRecord(), order: make([]int, len(b.Schema.Attributes))}
-		j.wanted, j.put = j.want, func(v *match.Carried) {
-			if b.Schema.Put(j.record, j.at, v) != nil {
-				j.misfits++
+	r.matchers.New = func() any {
+		j := &matcher{routeSet: b, record: b.Schema.NewRecord(), lastSlots: make([]int, len(b.Schema.Attributes))}
+		j.isNeededFunc, j.storeFunc = j.isNeeded, func(v *match.Carried) {
+			if b.Schema.Put(j.record, j.schemaSlot, v) != nil {
+				j.typeMismatches++
 			}
 		}
 		return j
@@ -54,102 +54,102 @@
 }
 
 // want finds an attribute's place, and says whether anything depends on it.
-func (j *judge) want(name []byte) bool {
-	s, n := j.book.Schema, j.nth
-	j.nth++
-	if n >= len(j.order) {
-		j.at = s.At(name)
-	} else if j.at = j.order[n]; j.at < 0 || s.Attributes[j.at].Name != string(name) {
-		j.at = s.At(name)
-		j.order[n] = j.at
+func (j *matcher) isNeeded(name []byte) bool {
+	s, n := j.routeSet.Schema, j.attributeIndex
+	j.attributeIndex++
+	if n >= len(j.lastSlots) {
+		j.schemaSlot = s.At(name)
+	} else if j.schemaSlot = j.lastSlots[n]; j.schemaSlot < 0 || s.Attributes[j.schemaSlot].Name != string(name) {
+		j.schemaSlot = s.At(name)
+		j.lastSlots[n] = j.schemaSlot
 	}
-	if j.at < 0 {
-		j.unknown++
+	if j.schemaSlot < 0 {
+		j.unknownAttributes++
 		return false
 	}
-	return j.book.Table.Needs[j.at]
+	return j.routeSet.Table.Needs[j.schemaSlot]
 }
 
 // Why a transaction with attributes is not taken.
 const (
-	notAbsent = iota + 1 // an attribute that must be there is missing
-	notMatched
-	notLoaded // the sentry has no routes
+	reasonAbsent = iota + 1 // an attribute that must be there is missing
+	reasonNoMatch
+	reasonNoRoutes // the sentry has no routes
 )
 
-var unroutedNames = [...]string{notAbsent: "absent", notMatched: "no_match", notLoaded: "no_routes"}
+var noRouteReasonNames = [...]string{reasonAbsent: "absent", reasonNoMatch: "no_match", reasonNoRoutes: "no_routes"}
 
 // judged fills in an event what its transaction's attributes say: profile, account and key, or why it is not taken.
-func (s *Sentry) judged(r *routing, e *event, attributes []byte) error {
-	if r.book == nil {
-		e.unrouted = notLoaded
+func (s *Sentry) routeTransaction(r *routing, e *event, attributes []byte) error {
+	if r.routeSet == nil {
+		e.noRouteReason = reasonNoRoutes
 		return nil
 	}
-	j := r.spare.Get().(*judge)
-	defer r.spare.Put(j)
+	j := r.matchers.Get().(*matcher)
+	defer r.matchers.Put(j)
 	j.record.Clear()
-	j.nth, j.unknown, j.misfits = 0, 0, 0
-	if err := j.reader.Read(attributes, j.wanted, j.put); err != nil {
-		return fault("attributes that can't be read", "a message as the schema has it")
+	j.attributeIndex, j.unknownAttributes, j.typeMismatches = 0, 0, 0
+	if err := j.reader.Read(attributes, j.isNeededFunc, j.storeFunc); err != nil {
+		return invalid("attributes that can't be read", "a message as the schema has it")
 	}
-	if j.unknown > 0 {
-		s.metrics.unknown.Add(float64(j.unknown))
+	if j.unknownAttributes > 0 {
+		s.metrics.unknownAttributes.Add(float64(j.unknownAttributes))
 	}
-	if j.misfits > 0 {
-		s.metrics.misfits.Add(float64(j.misfits))
+	if j.typeMismatches > 0 {
+		s.metrics.typeMismatches.Add(float64(j.typeMismatches))
 	}
-	if r.book.Schema.Absent(j.record) >= 0 {
-		e.unrouted = notAbsent
+	if r.routeSet.Schema.Absent(j.record) >= 0 {
+		e.noRouteReason = reasonAbsent
 		return nil
 	}
-	at := r.book.Table.First(j.record)
+	at := r.routeSet.Table.First(j.record)
 	if at < 0 {
-		e.unrouted = notMatched
+		e.noRouteReason = reasonNoMatch
 		return nil
 	}
-	x := &r.book.Table.Routes[at]
-	j.key = r.book.Table.AppendKey(at, j.key[:0], j.record)
+	x := &r.routeSet.Table.Routes[at]
+	j.key = r.routeSet.Table.AppendKey(at, j.key[:0], j.record)
 	e.profile, e.account, e.key = uint32(x.Profile), uint32(x.Account), logic.Key(j.key)
 	return nil
 }
 
 // Sheet is what the sentry runs by. What is read to be loaded is read beside it.
-func (s *Sentry) Settings() *orders.Settings { return s.routing.Load().sheet }
+func (s *Sentry) Settings() *orders.Settings { return s.routing.Load().settings }
 
 // Reload takes the orders of a sheet that was read anew, whole, between two inputs of the loop. What was taken ends under
 // the profile that it came with; nothing that a rule counts starts anew. What a running sentry can't change is refused,
 // and the old orders stay.
-func (s *Sentry) Reload(sheet *orders.Settings) (err error) {
+func (s *Sentry) Reload(settings *orders.Settings) (err error) {
 	err = errors.New("the sentry has stopped, expected it to run")
-	s.Inspect(func() { err = s.reorder(sheet) })
+	s.Inspect(func() { err = s.applySettings(settings) })
 	return err
 }
 
 // reorder is Reload on the loop.
-func (s *Sentry) reorder(sheet *orders.Settings) error {
-	if all := s.sheet.Conflicts(sheet); len(all) > 0 {
-		return all[0]
+func (s *Sentry) applySettings(settings *orders.Settings) error {
+	if conflicts := s.settings.Conflicts(settings); len(conflicts) > 0 {
+		return conflicts[0]
 	}
-	sheet = sheet.KeepSlots(s.sheet)
-	asked := s.orders.ListOnRequest
-	s.setPeers(sheet)
-	s.metrics.name(sheet.ProfileNames)
-	s.sheet, s.orders = sheet, &sheet.Policy
-	s.routing.Store(newRouting(sheet))
-	s.tell(input.Input{Kind: input.Reconfigured, Config: s.orders})
-	if s.list.keep = !s.orders.ListOnRequest; asked && s.list.keep {
-		s.ends.RequestList(true, s.book.version)
+	settings = settings.KeepSlots(s.settings)
+	wasOnRequest := s.config.ListOnRequest
+	s.setPeers(settings)
+	s.metrics.setProfiles(settings.ProfileNames)
+	s.settings, s.config = settings, &settings.Policy
+	s.routing.Store(newRouting(settings))
+	s.deliver(input.Input{Kind: input.Reconfigured, Config: s.config})
+	if s.discovery.persistent = !s.config.ListOnRequest; wasOnRequest && s.discovery.persistent {
+		s.transport.RequestList(true, s.workerList.version)
 	}
 	return nil
 }
 
 // Loaded books the outcome of a reload, with what was wrong.
-func (s *Sentry) RecordReload(sheet *orders.Settings, err error) {
+func (s *Sentry) RecordReload(settings *orders.Settings, err error) {
 	if err != nil {
-		s.metrics.refused.Inc()
+		s.metrics.settingsRefused.Inc()
 		s.log.Error().Err(err).Msg("orders refused, the old ones stay")
 		return
 	}
-	s.metrics.reloaded.Inc()
-	s.log.Info().Str("routes", sheet.Routes.Summary()).Msg("orders loaded")
+	s.metrics.settingsLoaded.Inc()
+	s.log.Info().Str("routes", settings.Routes.Summary()).Msg("orders loaded")
 }
--- a/internal/sentry/routing_test.go
+++ b/internal/sentry/routing_test.go
@@ -276,8 +276,8 @@
 	var e event
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := s.judged(r, &e, body); err != nil || e.unrouted != 0 {
-			b.Fatal(err, e.unrouted)
+		if err := s.routeTransaction(r, &e, body); err != nil || e.noRouteReason != 0 {
+			b.Fatal(err, e.noRouteReason)
 		}
 	}
 }
--- a/internal/sentry/sentry.go
+++ b/internal/sentry/sentry.go
@@ -26,52 +26,52 @@
 
 // Sentry is one running sentry.
 type Sentry struct {
-	sheet   *orders.Settings
-	orders  *logic.Config
-	log     zerolog.Logger
-	clock   clock
-	inbox   *inbox
-	ends    Transport
-	address string
-	metrics *metrics
-	done    chan struct{}
-	record  func(*input.Input, *logic.Result)
-	breach  Breach
-	killed  atomic.Bool
-	routing atomic.Pointer[routing]
-	writing sync.WaitGroup // of the list's file
+	settings   *orders.Settings
+	config     *logic.Config
+	log        zerolog.Logger
+	clock      clock
+	inbox      *inbox
+	transport  Transport
+	address    string
+	metrics    *metrics
+	done       chan struct{}
+	record     func(*input.Input, *logic.Result)
+	breach     Breach
+	killed     atomic.Bool
+	routing    atomic.Pointer[routing]
+	listWrites sync.WaitGroup // of the list's file
 
 	// What follows belongs to the loop.
-	decide   func(*input.Input) logic.Result
-	now      logic.Micros
-	todo     []input.Input
-	telling  bool
-	result   logic.Result // of the input in hand; kept here since on the stack it would escape each time
-	wakeAt   logic.Micros
-	timers   timers
-	open     map[logic.TransactionID]*transaction
-	unclosed int
-	named    uint64
-	run      string // tells this run's transactions from those of another
-	spare    []*transaction
-	dirty    []flusher
-	workers  map[logic.WorkerID]*worker
-	conns    []*conn // in the order in which they were opened
-	dials    int     // connections being opened
-	book     book
-	list     *upstream
-	desk     *upstream
-	peers    []*upstream // by position, nil for those that are not told
-	votes    map[uint64]bool
-	voteSeq  uint64
-	listSeq  uint64
-	listAt   logic.Micros // when discovery last said how the list stands, at first the start
+	decide           func(*input.Input) logic.Result
+	now              logic.Micros
+	pendingInputs    []input.Input
+	delivering       bool
+	result           logic.Result // of the input in hand; kept here since on the stack it would escape each time
+	wakeAt           logic.Micros
+	timers           timerHeap
+	transactions     map[logic.TransactionID]*transaction
+	openCount        int
+	transactionSeq   uint64
+	idPrefix         string // tells this run's transactions from those of another
+	freeTransactions []*transaction
+	unflushed        []flusher
+	workers          map[logic.WorkerID]*worker
+	conns            []*pooledConn // in the order in which they were opened
+	dials            int           // connections being opened
+	workerList       workerList
+	discovery        *upstream
+	controlPlane     *upstream
+	peers            []*upstream // by position, nil for those that are not told
+	pendingVotes     map[uint64]bool
+	voteSeq          uint64
+	listSeq          uint64
+	listConfirmedAt  logic.Micros // when discovery last said how the list stands, at first the start
 	// the confirmation after which an attempt on an old list was told of
-	listNoted logic.Micros
-	stopping  bool
-	answerBy  logic.Micros // every request has its final answer by then; 0 if there is no such time
-	atStart   *pb.Report   // the list as it was remembered, nil if a file has it
-	scratch   struct {
+	oldListLoggedFor logic.Micros
+	stopping         bool
+	answerBy         logic.Micros // every request has its final answer by then; 0 if there is no such time
+	cachedList       *pb.Report   // the list as it was remembered, nil if a file has it
+	scratch          struct {
 		answer wire.Answer
 		work   wire.Work
 		name   []byte
@@ -91,93 +91,93 @@
 
 // transaction is one that a client asked for and the sentry took.
 type transaction struct {
-	id      logic.TransactionID
-	gen     uint32 // tells the uses of this record apart
-	client  *client
-	asked   uint64
-	profile uint32
-	key     logic.Key
-	mark    []byte
-	payload []byte
-	hint    uint64
-	came    logic.Micros
-	limit   logic.Micros
-	sends   []handOff
-	out     int
-	closed  bool
-	timer   int // its place among the timers and one, 0 if it has none
-	buffer  *[]byte
+	id           logic.TransactionID
+	gen          uint32 // tells the uses of this record apart
+	client       *client
+	idAtClient   uint64
+	profile      uint32
+	key          logic.Key
+	dedupToken   []byte
+	payload      []byte
+	expectedWork uint64
+	arrivedAt    logic.Micros
+	deadline     logic.Micros
+	handOffs     []handOff
+	openHandOffs int
+	closed       bool
+	timerSlot    int // its place among the timers and one, 0 if it has none
+	buffer       *[]byte
 }
 
 type handOff struct {
-	worker  *worker
-	conn    *conn // nil while it waits for a connection
-	id      uint64
-	sent    logic.Micros
-	until   logic.Micros
-	sendBy  logic.Micros // not to be written later, 0 if there is no such limit
-	connect logic.Micros // without a connection by then, it is given up
-	over    bool
+	worker    *worker
+	conn      *pooledConn // nil while it waits for a connection
+	id        uint64
+	startedAt logic.Micros
+	deadline  logic.Micros
+	sendBy    logic.Micros // not to be written later, 0 if there is no such limit
+	connectBy logic.Micros // without a connection by then, it is given up
+	ended     bool
 }
 
 // client is a connection of a client or of a peer.
 type client struct {
-	link    ClientConn
-	greeted bool
-	peer    bool
-	from    logic.SentryID
-	gone    bool
-	open    map[uint64]*transaction // by the client's id; the loop's
+	link          ClientConn
+	helloReceived bool
+	isPeer        bool
+	position      logic.SentryID
+	disconnected  bool
+	transactions  map[uint64]*transaction // by the client's id; the loop's
 }
 
 // Start opens the sockets and begins to work.
-func Start(sheet *orders.Settings, opts Options) (*Sentry, error) {
+func Start(settings *orders.Settings, opts Options) (*Sentry, error) {
 	s := &Sentry{
-		sheet: sheet, orders: &sheet.Policy, log: opts.Log, clock: newClock(), done: make(chan struct{}),
+		settings: settings, config: &settings.Policy, log: opts.Log, clock: newClock(), done: make(chan struct{}),
 		record: opts.Record, breach: opts.Breach,
-		open: map[logic.TransactionID]*transaction{}, workers: map[logic.WorkerID]*worker{}, votes: map[uint64]bool{},
-		run: strconv.FormatInt(time.Now().UnixMicro(), 36) + "-" + strconv.Itoa(int(sheet.Policy.Position)) + "-", // wall clock: a name
+		transactions: map[logic.TransactionID]*transaction{}, workers: map[logic.WorkerID]*worker{}, pendingVotes: map[uint64]bool{},
+		idPrefix: strconv.FormatInt(time.Now().UnixMicro(), 36) + "-" + strconv.Itoa(int(settings.Policy.Position)) + "-", // wall clock: a name
 	}
-	seed := sheet.Endpoints.Seed
+	seed := settings.Endpoints.Seed
 	if seed == 0 {
 		seed = time.Now().UnixNano() // wall clock: a seed
 	}
-	s.inbox = newInbox(sheet.Bounds.InboxEvents, s.clock)
+	s.inbox = newInbox(settings.Bounds.InboxEvents, s.clock)
 	s.decide = opts.Decide
 	if s.decide == nil {
-		module := logic.New(sheet.Policy, seed)
+		module := logic.New(settings.Policy, seed)
 		s.decide = func(in *input.Input) logic.Result { return input.Apply(module, in) }
 	}
-	s.routing.Store(newRouting(sheet))
+	s.routing.Store(newRouting(settings))
 	s.metrics = newMetrics(s)
-	s.metrics.name(sheet.ProfileNames)
+	s.metrics.setProfiles(settings.ProfileNames)
 	s.now = s.clock.now()
-	s.book = newBook(sheet.Zones)
-	s.setPeers(sheet)
-	s.list = &upstream{name: "list", address: sheet.Endpoints.Discovery, role: pb.Hello_SENTRY, keep: !s.orders.ListOnRequest}
-	s.desk = &upstream{name: "desk", address: sheet.Endpoints.ControlPlane, role: pb.Hello_SENTRY, keep: true}
+	s.workerList = newWorkerList(settings.Zones)
+	s.setPeers(settings)
+	s.discovery = &upstream{name: "list", address: settings.Endpoints.Discovery, role: pb.Hello_SENTRY, persistent: !s.config.ListOnRequest}
+	s.controlPlane = &upstream{name: "desk", address: settings.Endpoints.ControlPlane, role: pb.Hello_SENTRY, persistent: true}
 
-	s.atStart = opts.CachedList
-	s.ends = opts.Transport
-	if s.ends == nil {
-		s.ends = &frames{Sentry: s}
+	s.cachedList = opts.CachedList
+	s.transport = opts.Transport
+	if s.transport == nil {
+		s.transport = &frameTransport{Sentry: s}
 	}
-	address, err := s.ends.Listen(s)
+	address, err := s.transport.Listen(s)
 	if err != nil {
 		return nil, err
 	}
 	s.address = address
-	if err := s.metrics.serve(sheet.Endpoints.Metrics); err != nil {
-		s.ends.Close()
-		return nil, fmt.Errorf("metrics on %s: %w", sheet.Endpoints.Metrics, err)
+	if err := s.metrics.serve(settings.Endpoints.Metrics); err != nil {
+		s.transport.Close()
+		return nil, fmt.Errorf("metrics on %s: %w", settings.Endpoints.Metrics, err)
 	}
 	s.log.Info().Str("address", s.address).Int64("seed", seed).Msg("listening")
 	go s.loop()
 	return s, nil
 }
 
-func (s *Sentry) bounds() wire.Limits {
-	return wire.Limits{MaxFrameBytes: s.sheet.Bounds.FrameBytes, MaxPendingBytes: s.sheet.Bounds.UnwrittenBytes}
+func (s *Sentry) linkBounds() wire.Limits {
+	return wire.Limits{MaxFrameBytes: s.settings.Bounds.FrameBytes, MaxPendingBytes: s.settings.Bounds.UnwrittenBytes}
 }
 
 // Address is where the sentry listens.
@@ -185,13 +185,13 @@
 
 // Stop has the sentry take nothing new, answer all that it holds, and end. Done is closed then.
 func (s *Sentry) Stop() {
-	s.ends.StopListening()
-	s.inbox.put(&event{kind: evStop}, false)
+	s.transport.StopListening()
+	s.inbox.put(&event{kind: eventStop}, false)
 }
 
 // AnswerWithin has every request, whether it is open or still to come, answered within a span from now.
 func (s *Sentry) AnswerWithin(d time.Duration) {
-	s.inbox.put(&event{kind: evAnswerBy, left: uint64(d / time.Microsecond)}, false)
+	s.inbox.put(&event{kind: eventAnswerWithin, timeLeft: uint64(d / time.Microsecond)}, false)
 }
 
 // Done is closed when the sentry has ended.
@@ -200,7 +200,7 @@
 // Inspect calls f on the loop, between two inputs, and waits for it.
 func (s *Sentry) Inspect(f func()) {
 	made := make(chan struct{})
-	s.inbox.put(&event{kind: evInspect, call: func() { f(); close(made) }}, false)
+	s.inbox.put(&event{kind: eventCall, call: func() { f(); close(made) }}, false)
 	select {
 	case <-made:
 	case <-s.done:
@@ -209,20 +209,20 @@
 
 // accept makes a client of a new connection. Its frames are decoded on the poller and wait there for room.
 func (s *Sentry) accept(l *wire.Link) (wire.Handler, func(*wire.Link, error)) {
-	ear := s.AddClient(frameCaller{l})
-	return func(l *wire.Link, kind wire.Kind, body []byte) error { return s.fromClient(ear, kind, body) },
-		func(_ *wire.Link, reason error) { ear.ConnectionClosed(reason) }
+	handler := s.AddClient(frameClientConn{l})
+	return func(l *wire.Link, kind wire.Kind, body []byte) error { return s.handleClientFrame(handler, kind, body) },
+		func(_ *wire.Link, reason error) { handler.ConnectionClosed(reason) }
 }
 
 // Loop and timers.
 
 func (s *Sentry) loop() {
 	defer close(s.done)
-	defer s.end()
+	defer s.shutDown()
 	s.start()
 	var batch []event
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	wakeUp := time.NewTimer(time.Hour)
+	defer wakeUp.Stop()
 	for {
 		now := s.clock.now() // before taking: whatever was taken into the inbox by then is in the batch
 		batch = s.inbox.take(batch)
@@ -230,40 +230,40 @@
 			return
 		}
 		for i := range batch {
-			s.fire(batch[i].at, batch[i].at)
+			s.runTimers(batch[i].at, batch[i].at)
 			s.now = max(s.now, batch[i].at)
 			s.event(&batch[i])
-			giveBack(batch[i].buffer)
+			putBuffer(batch[i].buffer)
 			batch[i] = event{}
 		}
-		s.fire(now+1, now)
+		s.runTimers(now+1, now)
 		s.flush()
-		if s.stopping && s.unclosed == 0 {
+		if s.stopping && s.openCount == 0 {
 			return
 		}
 		if len(batch) > 0 {
 			continue
 		}
-		next := s.timers.due()
+		next := s.timers.nextDue()
 		if s.wakeAt > 0 && (next == 0 || s.wakeAt < next) {
 			next = s.wakeAt
 		}
 		wait := time.Hour
 		if next > 0 {
-			wait = max(0, span(next-s.clock.now()))
+			wait = max(0, toDuration(next-s.clock.now()))
 		}
-		alarm.Reset(wait)
+		wakeUp.Reset(wait)
 		select {
-		case <-s.inbox.wake:
-		case <-alarm.C:
+		case <-s.inbox.wakeUp:
+		case <-wakeUp.C:
 		}
 	}
 }
 
 // fire handles all timers due before a time. What came in the same microsecond as a time-out goes first.
-func (s *Sentry) fire(before, at logic.Micros) {
+func (s *Sentry) runTimers(before, at logic.Micros) {
 	for {
-		due := s.timers.due()
+		due := s.timers.nextDue()
 		wake := s.wakeAt > 0 && s.wakeAt < before && (due == 0 || s.wakeAt <= due)
 		if !wake && (due == 0 || due >= before) {
 			return
@@ -271,7 +271,7 @@
 		s.now = max(s.now, at)
 		if wake {
 			s.wakeAt = 0
-			s.tell(input.Input{Kind: input.TimerFired})
+			s.deliver(input.Input{Kind: input.TimerFired})
 			continue
 		}
 		t := s.timers.pop()
@@ -281,48 +281,48 @@
 
 func (s *Sentry) timer(t *timer) {
 	switch t.kind {
-	case timeTransaction:
-		s.transactionDue(t.t, t.due)
-	case timeWelcome:
-		if !t.conn.welcome && !t.conn.lost {
+	case timerTransaction:
+		s.handleTransactionTimer(t.transaction, t.due)
+	case timerConnReady:
+		if !t.conn.ready && !t.conn.closed {
 			t.conn.link.Close(wire.ErrClosed)
-			s.connLost(t.conn)
+			s.dropConn(t.conn)
 		}
-	case timeVote:
-		s.unanswered(t.id)
-	case timeList:
+	case timerVote:
+		s.voteTimedOut(t.id)
+	case timerList:
 		switch {
-		case s.listSeq != t.id || !s.list.asked:
-		case s.list.keep && s.list.link != nil:
-			s.list.link.Close(wire.ErrClosed) // and is opened again, to be followed anew
+		case s.listSeq != t.id || !s.discovery.awaitsList:
+		case s.discovery.persistent && s.discovery.link != nil:
+			s.discovery.link.Close(wire.ErrClosed) // and is opened again, to be followed anew
 		default:
-			s.listRefused("no answer", false)
+			s.listRequestFailed("no answer", false)
 		}
-	case timeRedial:
-		t.up.waits = false
-		s.connect(t.up)
-	case timeSweep:
+	case timerRedial:
+		t.upstream.redialPending = false
+		s.connect(t.upstream)
+	case timerSweep:
 		s.sweep()
-	case timeSave:
+	case timerSave:
 		s.save()
-	case timeRested:
-		t.worker.restDue = 0
-		s.sendWaiting(t.worker)
+	case timerCooldownEnd:
+		t.worker.cooldownTimerDue = 0
+		s.sendQueued(t.worker)
 	}
 }
 
 // due is when something of a transaction is due next, 0 if nothing is.
-func (t *transaction) due(grace logic.Micros) (due logic.Micros) {
+func (t *transaction) nextDue(grace logic.Micros) (due logic.Micros) {
 	if !t.closed {
-		due = t.limit + grace
+		due = t.deadline + grace
 	}
-	for i := range t.sends {
-		h := &t.sends[i]
-		at := h.until
+	for i := range t.handOffs {
+		h := &t.handOffs[i]
+		at := h.deadline
 		if h.conn == nil {
-			at = min(at, h.connect)
+			at = min(at, h.connectBy)
 		}
-		if !h.over && (due == 0 || at < due) {
+		if !h.ended && (due == 0 || at < due) {
 			due = at
 		}
 	}
@@ -330,33 +330,33 @@
 }
 
 // alarm sets a transaction's timer for what is due next.
-func (s *Sentry) alarm(t *transaction) { s.timers.set(t, t.due(s.orders.AnswerGrace)) }
+func (s *Sentry) setTimer(t *transaction) { s.timers.set(t, t.nextDue(s.config.AnswerGrace)) }
 
 // transactionDue ends the hand-offs whose time is up, and sees to it that no final answer is overdue.
-func (s *Sentry) transactionDue(t *transaction, due logic.Micros) {
+func (s *Sentry) handleTransactionTimer(t *transaction, due logic.Micros) {
 	gen := t.gen
-	for n := 0; t.gen == gen && n < len(t.sends); n++ {
-		h := &t.sends[n]
+	for n := 0; t.gen == gen && n < len(t.handOffs); n++ {
+		h := &t.handOffs[n]
 		switch {
-		case h.over:
-		case h.conn != nil && h.until <= due:
-			s.handOffEnds(t, n, logic.TimedOut, logic.NoLoad)
-		case h.conn == nil && h.until <= due: // nothing of it was written
-			s.handOffEnds(t, n, logic.Unsent, logic.NoLoad)
-		case h.conn == nil && h.connect <= due:
-			s.handOffEnds(t, n, logic.Unconnected, logic.NoLoad)
+		case h.ended:
+		case h.conn != nil && h.deadline <= due:
+			s.endHandOff(t, n, logic.TimedOut, logic.NoLoad)
+		case h.conn == nil && h.deadline <= due: // nothing of it was written
+			s.endHandOff(t, n, logic.Unsent, logic.NoLoad)
+		case h.conn == nil && h.connectBy <= due:
+			s.endHandOff(t, n, logic.Unconnected, logic.NoLoad)
 		}
 	}
 	if t.gen != gen {
 		return
 	}
-	if !t.closed && t.limit+s.orders.AnswerGrace <= due {
+	if !t.closed && t.deadline+s.config.AnswerGrace <= due {
 		s.answerOverdue(t)
-		s.tell(input.Input{Kind: input.ClientLeft, ID: t.id})
-		s.drop(t)
+		s.deliver(input.Input{Kind: input.ClientLeft, ID: t.id})
+		s.releaseIfDone(t)
 	}
 	if t.gen == gen {
-		s.alarm(t)
+		s.setTimer(t)
 	}
 }
 
@@ -365,105 +365,105 @@
 func (s *Sentry) answerOverdue(t *transaction) {
 	outcome := pb.Outcome_WRITTEN_OFF
 	switch {
-	case t.limit != s.answerBy:
+	case t.deadline != s.answerBy:
 		s.metrics.overdue.Inc()
 		s.log.Error().Str("transaction", string(t.id)).Msg("no final answer in time, written off")
-	case logic.FinalAction(len(t.sends)) == logic.Defer:
+	case logic.FinalAction(len(t.handOffs)) == logic.Defer:
 		outcome = pb.Outcome_NOT_TAKEN
 	}
-	s.answer(t, outcome, 0, nil, nil)
+	s.sendAnswer(t, outcome, 0, nil, nil)
 }
 
 // answerAllBy cuts short the time of all requests that are open, and of those to come.
-func (s *Sentry) answerAllBy(by logic.Micros) {
+func (s *Sentry) shortenDeadlines(by logic.Micros) {
 	s.answerBy = by
-	for _, t := range s.open {
-		if !t.closed && t.limit > by {
-			t.limit = by
-			s.alarm(t)
+	for _, t := range s.transactions {
+		if !t.closed && t.deadline > by {
+			t.deadline = by
+			s.setTimer(t)
 		}
 	}
 }
 
 func (s *Sentry) event(e *event) {
 	switch e.kind {
-	case evAsk:
-		s.take(e)
-	case evDone:
-		s.workDone(e)
-	case evLeave:
-		if t := e.client.open[e.id]; t != nil {
-			s.clientLeft(t)
-		}
-	case evClientGone:
-		e.client.gone = true
+	case eventTransaction:
+		s.acceptTransaction(e)
+	case eventWorkerAnswer:
+		s.handleWorkerAnswer(e)
+	case eventClientLeft:
+		if t := e.client.transactions[e.id]; t != nil {
+			s.handleClientLeft(t)
+		}
+	case eventClientClosed:
+		e.client.disconnected = true
 		// The latest first: what waits for room must not get that of one before it.
-		for _, id := range slices.Backward(slices.Sorted(maps.Keys(e.client.open))) {
-			if t := e.client.open[id]; t != nil { // one that left may have closed another
-				s.clientLeft(t)
+		for _, id := range slices.Backward(slices.Sorted(maps.Keys(e.client.transactions))) {
+			if t := e.client.transactions[id]; t != nil { // one that left may have closed another
+				s.handleClientLeft(t)
 			}
 		}
-	case evWorkerLost:
-		s.connLost(e.conn)
-	case evDialed:
-		s.dialed(e)
-	case evWelcome:
-		s.welcomed(e.conn)
-	case evProbed:
-		s.tell(input.Input{Kind: input.ProbeAnswered, Worker: e.conn.worker.id, Held: float64(e.held) - 1})
-	case evUpDialed:
-		s.upDialed(e.up, e.link, e.err)
-	case evUpLost:
-		s.upLost(e.up, e.link, e.err)
-	case evReport:
-		if e.takes == nil || e.takes() {
-			s.reported(e.report)
-		}
-	case evRefused:
-		if e.takes() {
-			s.listRefused("refused", e.turned)
-		}
-	case evUnsure:
-		if e.takes() {
-			s.ListMayBeStale(e.at - e.ago)
-		}
-	case evNews:
-		s.told(e.news)
-	case evPeer:
-		s.tell(input.Input{Kind: input.PeerMessageReceived, From: e.client.from, Body: e.payload})
-	case evComplaint:
-		s.tell(input.Input{Kind: input.ComplaintReceived, Complaint: logic.Complaint{
-			Profile: logic.ProfileID(e.profile), Worker: logic.WorkerID(e.key), Age: logic.Micros(e.left)}})
-	case evUnanswered:
-		s.unanswered(e.id)
-	case evSaved:
-		s.saved(e.err)
-	case evStop:
+	case eventConnClosed:
+		s.dropConn(e.conn)
+	case eventDialed:
+		s.handleDialed(e)
+	case eventConnReady:
+		s.handleConnReady(e.conn)
+	case eventProbeAnswer:
+		s.deliver(input.Input{Kind: input.ProbeAnswered, Worker: e.conn.worker.id, Held: float64(e.held) - 1})
+	case eventUpstreamDialed:
+		s.handleUpstreamDialed(e.upstream, e.upstreamLink, e.err)
+	case eventUpstreamClosed:
+		s.handleUpstreamClosed(e.upstream, e.upstreamLink, e.err)
+	case eventList:
+		if e.stillWanted == nil || e.stillWanted() {
+			s.handleReport(e.report)
+		}
+	case eventListRequestFailed:
+		if e.stillWanted() {
+			s.listRequestFailed("refused", e.overloaded)
+		}
+	case eventListPartlyReceived:
+		if e.stillWanted() {
+			s.ListMayBeStale(e.at - e.startedAgo)
+		}
+	case eventRelease:
+		s.handleReleaseStatus(e.status)
+	case eventPeerMessage:
+		s.deliver(input.Input{Kind: input.PeerMessageReceived, From: e.client.position, Body: e.payload})
+	case eventComplaint:
+		s.deliver(input.Input{Kind: input.ComplaintReceived, Complaint: logic.Complaint{
+			Profile: logic.ProfileID(e.profile), Worker: logic.WorkerID(e.key), Age: logic.Micros(e.timeLeft)}})
+	case eventVoteTimedOut:
+		s.voteTimedOut(e.id)
+	case eventListSaved:
+		s.handleSaved(e.err)
+	case eventStop:
 		if !s.stopping {
 			s.stopping = true
-			s.log.Info().Int("open", s.unclosed).Msg("stopping: nothing new is taken")
+			s.log.Info().Int("open", s.openCount).Msg("stopping: nothing new is taken")
 		}
-	case evAnswerBy:
-		s.answerAllBy(e.at + logic.Micros(e.left))
-	case evCounts:
-		s.counted(e.counts)
-	case evInspect:
+	case eventAnswerWithin:
+		s.shortenDeadlines(e.at + logic.Micros(e.timeLeft))
+	case eventCounts:
+		s.handleCounts(e.counts)
+	case eventCall:
 		e.call()
 	}
 }
 
 // tell gives the module one input and carries out what it rules. What that brings about at once waits its turn.
-func (s *Sentry) tell(in input.Input) {
-	s.todo = append(s.todo, in)
-	if s.telling {
+func (s *Sentry) deliver(in input.Input) {
+	s.pendingInputs = append(s.pendingInputs, in)
+	if s.delivering {
 		return
 	}
-	s.telling = true
-	for i := 0; i < len(s.todo); i++ {
-		in := &s.todo[i]
+	s.delivering = true
+	for i := 0; i < len(s.pendingInputs); i++ {
+		in := &s.pendingInputs[i]
 		in.At = s.now
 		if in.Kind == input.HandOffEnded {
-			t := s.open[in.End.Transaction]
+			t := s.transactions[in.End.Transaction]
 			in.End.TransactionClosed = t == nil || t.closed
 		}
 		s.result = s.decide(in)
@@ -471,26 +471,26 @@
 			s.record(in, &s.result)
 		}
 		if in.Kind == input.HandOffEnded {
-			if t := s.open[in.End.Transaction]; t != nil {
-				t.out--
+			if t := s.transactions[in.End.Transaction]; t != nil {
+				t.openHandOffs--
 			}
 		}
 		s.wakeAt = s.result.WakeAt
 		done := in.End.Transaction
-		s.carryOut(&s.result)
-		if t := s.open[done]; t != nil && done != "" {
-			s.drop(t)
+		s.execute(&s.result)
+		if t := s.transactions[done]; t != nil && done != "" {
+			s.releaseIfDone(t)
 		}
 	}
-	clear(s.todo)
-	s.todo = s.todo[:0]
-	s.telling = false
+	clear(s.pendingInputs)
+	s.pendingInputs = s.pendingInputs[:0]
+	s.delivering = false
 }
 
-func (s *Sentry) carryOut(r *logic.Result) {
+func (s *Sentry) execute(r *logic.Result) {
 	for i := range r.Actions {
 		x := &r.Actions[i]
-		t := s.open[x.Transaction]
+		t := s.transactions[x.Transaction]
 		if t == nil {
 			s.log.Error().Str("transaction", string(x.Transaction)).Msg("ruling on a transaction that is not open")
 			continue
@@ -498,31 +498,31 @@
 		switch x.Kind {
 		case logic.HandOff:
 			s.handOff(t, x)
-			s.breachAfter(t, x)
+			s.breachHandOffRules(t, x)
 		case logic.CancelHandOff:
-			s.cancel(t, x.HandOffNumber)
+			s.cancelHandOff(t, x.HandOffNumber)
 		case logic.Defer:
-			s.answer(t, pb.Outcome_DEFERRED, x.RetryAfter, nil, nil)
-			s.drop(t)
+			s.sendAnswer(t, pb.Outcome_DEFERRED, x.RetryAfter, nil, nil)
+			s.releaseIfDone(t)
 		case logic.WriteOff:
-			s.answer(t, pb.Outcome_WRITTEN_OFF, 0, nil, nil)
-			s.drop(t)
+			s.sendAnswer(t, pb.Outcome_WRITTEN_OFF, 0, nil, nil)
+			s.releaseIfDone(t)
 		}
 	}
 	for _, v := range r.Votes {
-		s.vote(v)
+		s.castVote(v)
 	}
 	if r.WatchList {
-		s.ends.RequestList(true, s.book.version)
+		s.transport.RequestList(true, s.workerList.version)
 	}
 	if r.FetchList {
-		s.ends.RequestList(false, s.book.version)
+		s.transport.RequestList(false, s.workerList.version)
 	}
 	for _, id := range r.Probes {
-		s.probe(id)
+		s.probeWorker(id)
 	}
 	for _, m := range r.Messages {
-		s.say(m)
+		s.sendToPeers(m)
 	}
 	for _, n := range r.LogLines {
 		s.log.Info().Str("from", "module").Msg(n)
@@ -531,205 +531,205 @@
 
 // Clients.
 
-func (s *Sentry) fromClient(ear ClientHandler, kind wire.Kind, body []byte) error {
-	c := ear.c
-	if !c.greeted {
-		return s.greet(c, kind, body)
+func (s *Sentry) handleClientFrame(handler ClientHandler, kind wire.Kind, body []byte) error {
+	c := handler.c
+	if !c.helloReceived {
+		return s.handleHello(c, kind, body)
 	}
 	r := s.routing.Load()
 	switch {
-	case kind == wire.KindAsk && !c.peer:
+	case kind == wire.KindAsk && !c.isPeer:
 		var m wire.Ask
 		if err := m.Read(body); err != nil {
 			return err
 		}
-		if most := len(r.sheet.ProfileNames); int(m.Profile) >= most {
-			return fault("profile "+strconv.Itoa(int(m.Profile)), "one of "+strconv.Itoa(most))
+		if count := len(r.settings.ProfileNames); int(m.Profile) >= count {
+			return invalid("profile "+strconv.Itoa(int(m.Profile)), "one of "+strconv.Itoa(count))
 		}
-		if most := len(r.sheet.AccountNames); int(m.Account) > most {
-			return fault("account "+strconv.Itoa(int(m.Account)), "at most "+strconv.Itoa(most))
+		if count := len(r.settings.AccountNames); int(m.Account) > count {
+			return invalid("account "+strconv.Itoa(int(m.Account)), "at most "+strconv.Itoa(count))
 		}
-		e := ear.asked(&m)
+		e := handler.newEvent(&m)
 		if m.Attributes == nil {
 			e.key = logic.Key(m.Key)
-		} else if err := s.judged(r, &e, m.Attributes); err != nil {
+		} else if err := s.routeTransaction(r, &e, m.Attributes); err != nil {
 			return err
 		}
-		ear.put(&e, &m)
+		handler.enqueue(&e, &m)
 		return nil
-	case kind == wire.KindLeave && !c.peer:
+	case kind == wire.KindLeave && !c.isPeer:
 		var m wire.IDMessage
 		if err := m.Read(body); err != nil {
 			return err
 		}
-		s.inbox.put(&event{kind: evLeave, client: c, id: m.ID}, true)
+		s.inbox.put(&event{kind: eventClientLeft, client: c, id: m.ID}, true)
 		return nil
-	case kind == wire.KindComplain && !c.peer:
+	case kind == wire.KindComplain && !c.isPeer:
 		var m pb.Complain
 		if err := unmarshal(body, &m); err != nil {
 			return err
 		}
-		if most := len(r.sheet.ProfileNames); int(m.Profile) >= most {
-			return fault("profile "+strconv.Itoa(int(m.Profile)), "one of "+strconv.Itoa(most))
+		if count := len(r.settings.ProfileNames); int(m.Profile) >= count {
+			return invalid("profile "+strconv.Itoa(int(m.Profile)), "one of "+strconv.Itoa(count))
 		}
-		s.inbox.put(&event{kind: evComplaint, profile: m.Profile, key: logic.Key(m.Worker), left: m.Age}, true)
+		s.inbox.put(&event{kind: eventComplaint, profile: m.Profile, key: logic.Key(m.Worker), timeLeft: m.Age}, true)
 		return nil
-	case kind == wire.KindSay && c.peer:
+	case kind == wire.KindSay && c.isPeer:
 		var m pb.Say
 		if err := unmarshal(body, &m); err != nil {
 			return err
 		}
 		if len(m.Body) > MaxPeerMessageBytes {
-			return fault(strconv.Itoa(len(m.Body))+" bytes between sentries", "at most "+strconv.Itoa(MaxPeerMessageBytes))
+			return invalid(strconv.Itoa(len(m.Body))+" bytes between sentries", "at most "+strconv.Itoa(MaxPeerMessageBytes))
 		}
-		s.inbox.put(&event{kind: evPeer, client: c, payload: m.Body}, true)
+		s.inbox.put(&event{kind: eventPeerMessage, client: c, payload: m.Body}, true)
 		return nil
 	}
-	return fault("a frame of kind "+strconv.Itoa(int(kind)), "one that this side may send")
+	return invalid("a frame of kind "+strconv.Itoa(int(kind)), "one that this side may send")
 }
 
-func (s *Sentry) greet(c *client, kind wire.Kind, body []byte) error {
+func (s *Sentry) handleHello(c *client, kind wire.Kind, body []byte) error {
 	if kind != wire.KindHello {
-		return fault("a frame of kind "+strconv.Itoa(int(kind)), "a hello first")
+		return invalid("a frame of kind "+strconv.Itoa(int(kind)), "a hello first")
 	}
 	var m pb.Hello
 	if err := unmarshal(body, &m); err != nil {
 		return err
 	}
 	if m.Version != wire.ProtocolVersion {
-		return fault("protocol version "+strconv.Itoa(int(m.Version)), strconv.Itoa(wire.ProtocolVersion))
+		return invalid("protocol version "+strconv.Itoa(int(m.Version)), strconv.Itoa(wire.ProtocolVersion))
 	}
 	switch m.Role {
 	case pb.Hello_CLIENT:
 	case pb.Hello_PEER:
-		if o := &s.routing.Load().sheet.Policy; int(m.Position) >= o.Sentries || logic.SentryID(m.Position) == o.Position {
-			return fault("a peer at position "+strconv.Itoa(int(m.Position)), "that of another sentry")
+		if o := &s.routing.Load().settings.Policy; int(m.Position) >= o.Sentries || logic.SentryID(m.Position) == o.Position {
+			return invalid("a peer at position "+strconv.Itoa(int(m.Position)), "that of another sentry")
 		}
-		c.peer, c.from = true, logic.SentryID(m.Position)
+		c.isPeer, c.position = true, logic.SentryID(m.Position)
 	default:
-		return fault("role "+m.Role.String(), "a client or a peer")
+		return invalid("role "+m.Role.String(), "a client or a peer")
 	}
-	c.greeted = true
+	c.helloReceived = true
 	return nil
 }
 
-func fault(found, expected string) error { return &wire.FrameError{Found: found, Expected: expected} }
+func invalid(found, expected string) error { return &wire.FrameError{Found: found, Expected: expected} }
 
-func (s *Sentry) take(e *event) {
+func (s *Sentry) acceptTransaction(e *event) {
 	c := e.client
-	if c.gone {
+	if c.disconnected {
 		return
 	}
-	if c.open == nil {
-		c.open = map[uint64]*transaction{}
+	if c.transactions == nil {
+		c.transactions = map[uint64]*transaction{}
 	}
-	if c.open[e.id] != nil {
-		s.metrics.faults.Inc()
+	if c.transactions[e.id] != nil {
+		s.metrics.protocolErrors.Inc()
 		s.log.Warn().Str("from", c.link.RemoteAddr()).Uint64("id", e.id).
 			Msg("connection closed: transaction id used twice, expected a new one")
 		c.link.Close(wire.ErrClosed)
 		return
 	}
 	// A profile may have gone since the frame was read.
-	if s.stopping || s.answerBy != 0 && e.at >= s.answerBy || s.unclosed >= s.sheet.Bounds.OpenTransactions || e.unrouted == 0 && !s.sheet.AcceptsProfile(int(e.profile)) {
+	if s.stopping || s.answerBy != 0 && e.at >= s.answerBy || s.openCount >= s.settings.Bounds.OpenTransactions || e.noRouteReason == 0 && !s.settings.AcceptsProfile(int(e.profile)) {
 		s.metrics.notTaken.Inc()
 		a := &s.scratch.answer
 		*a = wire.Answer{ID: e.id, Outcome: uint32(pb.Outcome_NOT_TAKEN)}
-		s.put(c, a)
+		s.queueAnswer(c, a)
 		return
 	}
-	if e.unrouted != 0 {
-		s.metrics.unrouted[e.unrouted].Inc()
+	if e.noRouteReason != 0 {
+		s.metrics.noRoute[e.noRouteReason].Inc()
 		a := &s.scratch.answer
 		*a = wire.Answer{ID: e.id, Outcome: uint32(pb.Outcome_NO_ROUTE)}
-		s.put(c, a)
+		s.queueAnswer(c, a)
 		return
 	}
 	t := s.newTransaction()
-	t.client, t.asked, t.profile, t.key, t.mark, t.payload = c, e.id, e.profile, e.key, e.mark, e.payload
-	t.hint, t.came, t.buffer = e.hint, e.at, e.buffer
+	t.client, t.idAtClient, t.profile, t.key, t.dedupToken, t.payload = c, e.id, e.profile, e.key, e.dedupToken, e.payload
+	t.expectedWork, t.arrivedAt, t.buffer = e.expectedWork, e.at, e.buffer
 	e.buffer = nil
-	t.limit = e.at + min(logic.Micros(min(e.left, 1<<40)), s.orders.Profiles[e.profile].MaxDeadline)
+	t.deadline = e.at + min(logic.Micros(min(e.timeLeft, 1<<40)), s.config.Profiles[e.profile].MaxDeadline)
 	if s.answerBy != 0 {
-		t.limit = min(t.limit, s.answerBy)
+		t.deadline = min(t.deadline, s.answerBy)
 	}
-	c.open[e.id] = t
-	s.open[t.id] = t
-	s.unclosed++
+	c.transactions[e.id] = t
+	s.transactions[t.id] = t
+	s.openCount++
 	s.metrics.taken[e.profile].Inc()
-	s.alarm(t)
-	s.tell(input.Input{Kind: input.TransactionArrived, Transaction: logic.Transaction{
+	s.setTimer(t)
+	s.deliver(input.Input{Kind: input.TransactionArrived, Transaction: logic.Transaction{
 		ID: t.id, Profile: logic.ProfileID(e.profile), Account: logic.AccountID(e.account) - 1, Key: e.key,
-		Deadline: t.limit, ExpectedWork: logic.Micros(e.hint), IsRetry: e.again}})
+		Deadline: t.deadline, ExpectedWork: logic.Micros(e.expectedWork), IsRetry: e.isRetry}})
 }
 
 func (s *Sentry) newTransaction() *transaction {
 	var t *transaction
-	if n := len(s.spare); n > 0 {
-		t, s.spare = s.spare[n-1], s.spare[:n-1]
+	if n := len(s.freeTransactions); n > 0 {
+		t, s.freeTransactions = s.freeTransactions[n-1], s.freeTransactions[:n-1]
 	} else {
 		t = &transaction{}
 	}
-	s.named++
-	s.scratch.name = strconv.AppendUint(append(s.scratch.name[:0], s.run...), s.named, 36)
+	s.transactionSeq++
+	s.scratch.name = strconv.AppendUint(append(s.scratch.name[:0], s.idPrefix...), s.transactionSeq, 36)
 	t.id = logic.TransactionID(s.scratch.name)
 	return t
 }
 
 // answer sends the one final answer.
-func (s *Sentry) answer(t *transaction, o pb.Outcome, comeBack logic.Micros, payload, worker []byte) {
+func (s *Sentry) sendAnswer(t *transaction, o pb.Outcome, retryAfter logic.Micros, payload, worker []byte) {
 	if t.closed {
 		return
 	}
 	t.closed = true
-	s.unclosed--
-	delete(t.client.open, t.asked)
-	s.metrics.answered(t, o, s.now)
+	s.openCount--
+	delete(t.client.transactions, t.idAtClient)
+	s.metrics.recordAnswer(t, o, s.now)
 	if o != pb.Outcome_SATISFIED {
-		s.log.Debug().Str("request", string(t.id)).Stringer("outcome", o).Int("attempts", len(t.sends)).
-			Dur("after_ms", span(s.now-t.came)).Msg("request ended without a server's answer")
+		s.log.Debug().Str("request", string(t.id)).Stringer("outcome", o).Int("attempts", len(t.handOffs)).
+			Dur("after_ms", toDuration(s.now-t.arrivedAt)).Msg("request ended without a server's answer")
 	}
 	a := &s.scratch.answer
-	*a = wire.Answer{ID: t.asked, Outcome: uint32(o), RetryAfter: uint64(comeBack), Payload: payload, Worker: worker,
+	*a = wire.Answer{ID: t.idAtClient, Outcome: uint32(o), RetryAfter: uint64(retryAfter), Payload: payload, Worker: worker,
 		Profile: t.profile}
-	s.put(t.client, a)
-	s.breachAnswer(t, a)
-	s.alarm(t)
+	s.queueAnswer(t.client, a)
+	s.breachAnswerRule(t, a)
+	s.setTimer(t)
 }
 
-func (s *Sentry) clientLeft(t *transaction) {
+func (s *Sentry) handleClientLeft(t *transaction) {
 	if t.closed {
 		return
 	}
 	t.closed = true
-	s.unclosed--
-	delete(t.client.open, t.asked)
-	s.metrics.left.Inc()
-	s.tell(input.Input{Kind: input.ClientLeft, ID: t.id})
-	s.drop(t)
+	s.openCount--
+	delete(t.client.transactions, t.idAtClient)
+	s.metrics.clientsLeft.Inc()
+	s.deliver(input.Input{Kind: input.ClientLeft, ID: t.id})
+	s.releaseIfDone(t)
 }
 
 // drop forgets a transaction that is closed and has nothing out.
-func (s *Sentry) drop(t *transaction) {
-	if !t.closed || t.out > 0 || s.open[t.id] != t {
+func (s *Sentry) releaseIfDone(t *transaction) {
+	if !t.closed || t.openHandOffs > 0 || s.transactions[t.id] != t {
 		return
 	}
-	delete(s.open, t.id)
+	delete(s.transactions, t.id)
 	s.timers.set(t, 0)
-	giveBack(t.buffer)
-	sends, gen := t.sends[:0], t.gen+1
-	clear(t.sends)
-	*t = transaction{gen: gen, sends: sends}
-	if len(s.spare) < 4096 {
-		s.spare = append(s.spare, t)
+	putBuffer(t.buffer)
+	sends, gen := t.handOffs[:0], t.gen+1
+	clear(t.handOffs)
+	*t = transaction{gen: gen, handOffs: sends}
+	if len(s.freeTransactions) < 4096 {
+		s.freeTransactions = append(s.freeTransactions, t)
 	}
 }
 
 // put has an answer written at the end of the batch. How much waits for a client by then is no reason to let it go: the links
 // judge by the client's socket whether it reads, and stop reading from one for which much waits.
-func (s *Sentry) put(c *client, a *wire.Answer) {
+func (s *Sentry) queueAnswer(c *client, a *wire.Answer) {
 	if c.link.Answer(a) {
-		s.dirty = append(s.dirty, c.link)
+		s.unflushed = append(s.unflushed, c.link)
 	}
 }
 
@@ -737,45 +737,45 @@
 type flusher interface{ Flush() }
 
 func (s *Sentry) flush() {
-	for i, l := range s.dirty {
-		if i == 0 || l != s.dirty[i-1] {
+	for i, l := range s.unflushed {
+		if i == 0 || l != s.unflushed[i-1] {
 			l.Flush()
 		}
 	}
-	clear(s.dirty)
-	s.dirty = s.dirty[:0]
+	clear(s.unflushed)
+	s.unflushed = s.unflushed[:0]
 }
 
 // start is the beginning of the stream: what was remembered of the list, then what the services tell.
 func (s *Sentry) start() {
 	s.now = s.clock.now()
-	s.listAt = s.now
-	list := s.remembered()
-	s.tell(input.Input{Kind: input.ListReceived, ListKind: logic.CachedList, List: list})
-	s.ends.Start()
-	s.sweepLater()
+	s.listConfirmedAt = s.now
+	list := s.loadCachedList()
+	s.deliver(input.Input{Kind: input.ListReceived, ListKind: logic.CachedList, List: list})
+	s.transport.Start()
+	s.scheduleSweep()
 }
 
 // end closes everything, after what was answered has been written.
-func (s *Sentry) end() {
+func (s *Sentry) shutDown() {
 	if !s.killed.Load() {
 		s.flush()
 		// What has been read by now or is until reading stops gets its answer: it came too late to be taken.
 		for _, e := range s.inbox.close() {
-			if e.kind == evAsk {
+			if e.kind == eventTransaction {
 				ClientHandler{s, e.client}.refuse(&e)
 			}
 		}
-		s.ends.StopReading()
-		for i := 0; i < 500 && s.ends.UnwrittenConnections() > 0; i++ {
+		s.transport.StopReading()
+		for i := 0; i < 500 && s.transport.UnwrittenConnections() > 0; i++ {
 			time.Sleep(2 * time.Millisecond)
 		}
-		s.saveLast()
+		s.saveFinal()
 	}
 	for _, c := range s.conns {
 		c.link.Close(wire.ErrClosed)
 	}
-	s.ends.Close()
+	s.transport.Close()
 	s.metrics.close()
 	s.log.Info().Msg("stopped")
 }
--- a/internal/sentry/sentry_test.go
+++ b/internal/sentry/sentry_test.go
@@ -83,7 +83,7 @@
 		c := r.caller()
 		c.ask(1, 0)
 		r.wait("a hand-off that waits for its connection", func() (waits bool) {
-			r.s.Inspect(func() { w := r.s.workers["w"]; waits = w != nil && len(w.waiting) == 1 })
+			r.s.Inspect(func() { w := r.s.workers["w"]; waits = w != nil && len(w.queue) == 1 })
 			return waits
 		})
 		c.link.Put(wire.KindLeave, &wire.IDMessage{ID: 1})
@@ -92,7 +92,7 @@
 		r.wait("the client's leaving", func() bool { return r.seen(input.ClientLeft) == 1 })
 		r.s.Inspect(func() { // the connection is welcomed only now
 			for _, x := range r.s.conns {
-				r.s.welcomed(x)
+				r.s.handleConnReady(x)
 			}
 		})
 		if !r.ended(logic.Unsent) {
@@ -112,20 +112,20 @@
 		var in *transaction
 		r.wait("the hand-off", func() bool {
 			r.s.Inspect(func() {
-				for _, x := range r.s.open {
-					if len(x.sends) == 1 && x.sends[0].conn != nil {
-						in, h = x, x.sends[0]
+				for _, x := range r.s.transactions {
+					if len(x.handOffs) == 1 && x.handOffs[0].conn != nil {
+						in, h = x, x.handOffs[0]
 					}
 				}
 			})
 			return in != nil
 		})
 		r.s.Inspect(func() {
-			e := event{at: h.until + after, kind: evDone, conn: h.conn, id: h.id}
-			r.s.fire(e.at, e.at)
+			e := event{at: h.deadline + after, kind: eventWorkerAnswer, conn: h.conn, id: h.id}
+			r.s.runTimers(e.at, e.at)
 			r.s.now = max(r.s.now, e.at)
 			r.s.event(&e)
-			r.s.fire(e.at+1, e.at)
+			r.s.runTimers(e.at+1, e.at)
 		})
 		want, outcome := logic.Answered, pb.Outcome_SATISFIED
 		if after > 0 {
@@ -176,7 +176,7 @@
 	close(release)
 	other.want(1, pb.Outcome_SATISFIED)
 	r.wait("nothing open", func() (none bool) {
-		r.s.Inspect(func() { none = len(r.s.open) == 0 && r.s.unclosed == 0 })
+		r.s.Inspect(func() { none = len(r.s.transactions) == 0 && r.s.openCount == 0 })
 		return none
 	})
 	if a, c := r.count(logic.Answered), r.count(logic.Cancelled); a != 1 || c != 1 {
@@ -370,10 +370,10 @@
 	}
 	r.tell(lines[:150]...)
 	r.s.Inspect(func() { // the others are missing from a whole list
-		r.s.reported(&pb.Report{Whole: true, Version: 99, Lines: []*pb.Line{line("w", address)}})
+		r.s.handleReport(&pb.Report{Whole: true, Version: 99, Lines: []*pb.Line{line("w", address)}})
 	})
 	r.wait("one worker known", func() (one bool) {
-		r.s.Inspect(func() { one = len(r.s.workers) == 1 && len(r.s.book.lives) == 1 })
+		r.s.Inspect(func() { one = len(r.s.workers) == 1 && len(r.s.workerList.instances) == 1 })
 		return one
 	})
 }
@@ -469,7 +469,7 @@
 		if err != nil {
 			return false
 		}
-		m, err := decodeBook(data)
+		m, err := decodeListFile(data)
 		return err == nil && len(m.Lines) == 2
 	})
 	first.s.Kill()
@@ -478,7 +478,7 @@
 	c.ask(1, 2)
 	c.want(1, pb.Outcome_SATISFIED)
 	second.s.Inspect(func() {
-		if w := second.s.workers["cold"]; w == nil || w.line.Started == 0 || w.line.Started > second.s.now {
+		if w := second.s.workers["cold"]; w == nil || w.info.Started == 0 || w.info.Started > second.s.now {
 			t.Errorf("the start of a worker remembered: %+v", w)
 		}
 	})
@@ -486,7 +486,7 @@
 	// A damaged file costs the memory and nothing else.
 	data, _ := os.ReadFile(memory)
 	for _, cut := range []int{0, 5, 20, len(data) - 1} {
-		if _, err := decodeBook(data[:cut]); err == nil {
+		if _, err := decodeListFile(data[:cut]); err == nil {
 			t.Errorf("a list cut at %d is taken", cut)
 		}
 	}
@@ -549,7 +549,7 @@
 	}
 	r.tell(lines...)
 	r.s.Inspect(func() {
-		if n := len(r.s.book.lines); n != 2 {
+		if n := len(r.s.workerList.lines); n != 2 {
 			t.Errorf("%d workers remembered, expected 2", n)
 		}
 	})
@@ -655,9 +655,9 @@
 	for id := uint64(1); id <= n; id++ {
 		c.ask(id, 0)
 	}
-	r.wait("reading that stopped", func() bool { _, waits := r.s.inbox.load(); return waits > 0 })
+	r.wait("reading that stopped", func() bool { _, waits := r.s.inbox.stats(); return waits > 0 })
 	time.Sleep(50 * time.Millisecond)
-	if waiting, _ := r.s.inbox.load(); waiting > 64+8 {
+	if waiting, _ := r.s.inbox.stats(); waiting > 64+8 {
 		t.Errorf("%d wait in an inbox of 64", waiting)
 	}
 	close(held)
@@ -691,10 +691,10 @@
 	f.Add(uint8(wire.KindHello), []byte{8, 1, 16, 2, 24, 1})
 	f.Fuzz(func(t *testing.T, kind uint8, body []byte) {
 		o := &logic.Config{Sentries: 2, Profiles: make([]logic.Profile, 3), Accounts: make([]logic.Account, 1)}
-		for _, c := range []*client{{}, {greeted: true}, {greeted: true, peer: true, from: 1}} {
-			s := &Sentry{orders: o, inbox: newInbox(8, newClock())}
+		for _, c := range []*client{{}, {helloReceived: true}, {helloReceived: true, isPeer: true, position: 1}} {
+			s := &Sentry{config: o, inbox: newInbox(8, newClock())}
 			s.routing.Store(newRouting(&orders.Settings{Policy: *o, ProfileNames: make([]string, 3), AccountNames: make([]string, 1)}))
-			err := s.fromClient(ClientHandler{s, c}, wire.Kind(kind), body)
+			err := s.handleClientFrame(ClientHandler{s, c}, wire.Kind(kind), body)
 			for _, e := range s.inbox.take(nil) {
 				if err != nil || int(e.profile) >= len(o.Profiles) || int(e.account) > len(o.Accounts) || len(e.payload) > len(body) {
 					t.Errorf("event %+v from %d %x, error %v", e, kind, body, err)
@@ -734,15 +734,15 @@
 	bad.Size = math.NaN()
 	r.tell(bad, line("", address), line("good", address))
 	r.s.Inspect(func() {
-		if r.s.workers["bad"] != nil || r.s.workers["good"] == nil || len(r.s.book.lines) != 2 {
+		if r.s.workers["bad"] != nil || r.s.workers["good"] == nil || len(r.s.workerList.lines) != 2 {
 			t.Errorf("workers %v", r.s.workers)
 		}
-		before := r.s.book.news
+		before := r.s.workerList.releaseStatus
 		for _, m := range []*pb.News{{Valid: true, Cap: math.NaN()}, {Valid: true, Cap: 1.5}, {Valid: true, Cap: -1}, {Valid: true, Phase: 4}} {
-			r.s.told(m)
+			r.s.handleReleaseStatus(m)
 		}
-		if r.s.book.news != before {
-			t.Errorf("news taken: %+v", r.s.book.news)
+		if r.s.workerList.releaseStatus != before {
+			t.Errorf("news taken: %+v", r.s.workerList.releaseStatus)
 		}
 	})
 	if !r.logged("lines of the list passed over") || !r.logged("news passed over") {
@@ -778,12 +778,12 @@
 }
 
 // neverWhole is the ends on frames with ways of which no last byte leaves, as their links know.
-type neverWhole struct{ *frames }
+type neverWhole struct{ *frameTransport }
 
 type brokenWay struct{ WorkerConn }
 
 func (n neverWhole) Dial(ear WorkerConnHandler, address string, limit time.Duration) (WorkerConn, error) {
-	way, err := n.frames.Dial(ear, address, limit)
+	way, err := n.frameTransport.Dial(ear, address, limit)
 	return brokenWay{way}, err
 }
 
@@ -796,7 +796,7 @@
 		r.worker("w", func(l *wire.Link, _ *wire.Work) { l.Close(wire.ErrClosed) })
 		r.s.Inspect(func() {
 			if !whole {
-				r.s.ends = neverWhole{r.s.ends.(*frames)}
+				r.s.transport = neverWhole{r.s.transport.(*frameTransport)}
 			}
 		})
 		c := r.caller()
@@ -874,7 +874,7 @@
 		last++
 		c.ask(last, 0)
 	}
-	r.wait("requests in the inbox", func() bool { waiting, _ := r.s.inbox.load(); return waiting >= 3 })
+	r.wait("requests in the inbox", func() bool { waiting, _ := r.s.inbox.stats(); return waiting >= 3 })
 	close(stop)
 	answers := map[uint64]uint32{}
 	for len(answers) < int(last) {
--- a/internal/sentry/switch_test.go
+++ b/internal/sentry/switch_test.go
@@ -105,7 +105,7 @@
 	r.desk.Set(func(d *standin.ControlPlane) { d.Deny = true }) // the trial stays where it is
 	r.desk.StartTrial(11)
 	r.wait("the trial at the sentry", func() (on bool) {
-		r.s.Inspect(func() { on = r.s.book.news.Build == 11 && len(r.s.workers) == 7 })
+		r.s.Inspect(func() { on = r.s.workerList.releaseStatus.Build == 11 && len(r.s.workers) == 7 })
 		return on
 	})
 	load := standin.Workload{PerSecond: 300, KeyCount: 500, ZipfExponent: 0.7, MaxRetries: 1, Backoff: 20 * time.Millisecond, TryTimeoutShare: 0.9,
--- a/internal/sentry/timers_test.go
+++ b/internal/sentry/timers_test.go
@@ -12,7 +12,7 @@
 // Timers come out by their times, those of one time in the order in which they were set.
 func TestTimers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var h timers
+		var h timerHeap
 		var all []logic.Micros
 		for i, due := range rapid.SliceOfN(rapid.Int64Range(1, 50), 1, 200).Draw(t, "due") {
 			h.add(timer{due: logic.Micros(due), id: uint64(i)})
@@ -26,7 +26,7 @@
 			}
 		}
 		last := timer{}
-		for h.due() != 0 {
+		for h.nextDue() != 0 {
 			x := h.pop()
 			if x.due < last.due || x.due == last.due && x.id < last.id {
 				t.Fatalf("%d of %d after %d of %d", x.id, x.due, last.id, last.due)
