--- a/internal/benchwire/wire.go
+++ b/internal/benchwire/wire.go
@@ -189,7 +189,7 @@
 	var row []*float64
 	f.read(i, &row, false)
 	figures := [facts.LoadFieldCount]*float64{
-		facts.LoadFieldHeld: &load.InFlight, facts.LoadFieldBusy: &load.BusyShare, facts.LoadFieldServed: &load.ServedPerSecond}
+		facts.LoadFieldInFlight: &load.InFlight, facts.LoadFieldBusy: &load.BusyShare, facts.LoadFieldServed: &load.ServedPerSecond}
 	for n, at := range in.names.LoadFieldIndex {
 		*figures[n] = -1
 		if at >= 0 && at < len(row) && row[at] != nil {
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -1,5 +1,5 @@
-// Package facts decodes the settings that an operator's platform hands to a sentry, on the bench's wire and in a real
-// sentry's configuration alike, to the standing orders of the decision module.
+// Package facts decodes the settings that a platform gives to a sentry into the configuration of the decision module.
+// The benchmark's protocol and the platform's configuration file use the same format.
 package facts
 
 import (
@@ -10,26 +10,26 @@
 	"scalechute/logic"
 )
 
-// Names resolves the settings' names for what the module knows by number.
+// Names maps the names in the settings to the decision module's numbers.
 type Names struct {
 	Profiles             map[string]logic.ProfileID
 	Accounts             map[string]logic.AccountID
-	LoadFieldIndex       [LoadFieldCount]int // places of the figures in a load report, -1 where there is none
-	StreamsPerConnection int                 // requests that a connection to a server carries at a time
+	LoadFieldIndex       [LoadFieldCount]int // index of each figure in a load report, -1 if it is not reported
+	StreamsPerConnection int                 // hand-offs that a connection to a worker carries at a time
 }
 
-// The figures of a load report that are passed on.
+// The figures of a load report that the decision module uses.
 const (
-	LoadFieldHeld = iota
+	LoadFieldInFlight = iota
 	LoadFieldBusy
 	LoadFieldServed
 	LoadFieldCount
 )
 
-// LoadNames are the settings' words for them.
-var LoadFieldNames = [LoadFieldCount]string{LoadFieldHeld: "busy_reqs", LoadFieldBusy: "cpu_share", LoadFieldServed: "served_ps"}
+// LoadFieldNames holds their names in the settings.
+var LoadFieldNames = [LoadFieldCount]string{LoadFieldInFlight: "busy_reqs", LoadFieldBusy: "cpu_share", LoadFieldServed: "served_ps"}
 
-// Zone numbers the zones in the order in which they are first named.
+// AssignZone returns the number of a zone. Zones are numbered in the order in which they first appear.
 func AssignZone(zones map[string]logic.ZoneID, name string) logic.ZoneID {
 	id, ok := zones[name]
 	if !ok {
@@ -39,17 +39,17 @@
 	return id
 }
 
-// Micros are whole microseconds of nanoseconds.
+// ToMicros converts nanoseconds to whole microseconds, rounding towards zero.
 func ToMicros(ns int64) logic.Micros { return logic.Micros(ns / 1000) }
 
-// What the settings' words stand for.
+// Values of the settings' enumerations.
 var (
-	controls = map[string]logic.Control{"share": logic.ControlShare, "timer": logic.ControlTimer}
-	repeats  = map[string]logic.Repeatability{"retryable": logic.Idempotent, "dedup": logic.Deduplicated}
-	scopes   = map[string]logic.DedupScope{"zone": logic.ScopeZone, "cell": logic.ScopeCell}
+	controls        = map[string]logic.Control{"share": logic.ControlShare, "timer": logic.ControlTimer}
+	repeatabilities = map[string]logic.Repeatability{"retryable": logic.Idempotent, "dedup": logic.Deduplicated}
+	scopes          = map[string]logic.DedupScope{"zone": logic.ScopeZone, "cell": logic.ScopeCell}
 )
 
-// word is what a word stands for, another thing if it is none of these.
+// lookUp returns the value of a word, or the fallback if the word is unknown.
 func lookUp[T any](word string, fallback T, values map[string]T) T {
 	if x, ok := values[word]; ok {
 		return x
@@ -57,7 +57,8 @@
 	return fallback
 }
 
-// Orders decodes the settings. Unknown keys are ignored, absent ones are zero.
+// DecodeConfig decodes the settings into a configuration and the names in it. zones numbers the zones and is extended
+// by the settings' zones. Unknown keys are ignored; the values of missing ones are zero.
 func DecodeConfig(raw json.RawMessage, zones map[string]logic.ZoneID) (logic.Config, *Names, error) {
 	var settings struct {
 		Azs        []string
@@ -177,7 +178,7 @@
 		p := logic.Profile{
 			DueTime: ToMicros(c.AimNs), MaxDeadline: ToMicros(c.DeadlineNs), Value: c.Value, LateValueShare: c.LateWorth,
 			DedupWindow: ToMicros(c.WindowNs), Streamed: c.Stream,
-			Repeatability: lookUp(c.Effect, logic.NonIdempotent, repeats), DedupScope: lookUp(c.Group, logic.ScopeAll, scopes),
+			Repeatability: lookUp(c.Effect, logic.NonIdempotent, repeatabilities), DedupScope: lookUp(c.Group, logic.ScopeAll, scopes),
 		}
 		config.Profiles = append(config.Profiles, p)
 	}
@@ -187,8 +188,8 @@
 	}
 	if settings.Report.How != "off" {
 		for i, name := range settings.Report.Fields {
-			if at := slices.Index(LoadFieldNames[:], name); at >= 0 {
-				names.LoadFieldIndex[at] = i
+			if index := slices.Index(LoadFieldNames[:], name); index >= 0 {
+				names.LoadFieldIndex[index] = i
 			}
 		}
 	}
--- a/internal/input/input.go
+++ b/internal/input/input.go
@@ -1,13 +1,13 @@
-// Package input is the one definition of what a sentry's decision module is told: a stream of typed inputs, each
-// with its time, in the order in which they were taken. Whatever drives the module (the running sentry, a replay,
-// an emulator) does it with this stream and nothing else.
+// Package input defines the inputs of the decision module: a stream of typed, timestamped inputs in the order in which
+// they were received. Every driver of the module (the running sentry, a replay, an emulator) uses only this stream.
 package input
 
 import "scalechute/logic"
 
-// Kind says what happened.
+// Kind says what an input reports.
 type Kind uint8
 
+// The kinds of inputs.
 const (
 	TransactionArrived Kind = iota
 	HandOffEnded
@@ -21,31 +21,31 @@
 	PeerMessageReceived
 	CountsReceived
 	Reconfigured
-	ProbeAnswered // tells the module nothing; it is kept for the record
+	ProbeAnswered // not passed to the module; only recorded
 )
 
-// Input is one thing that happened. Of the fields after Kind only those that belong to it count.
+// Input is one input. After Kind only the fields of its kind are used.
 type Input struct {
-	At            logic.Micros // never falls within a stream
+	At            logic.Micros // does not decrease within a stream
 	Kind          Kind
-	Transaction   logic.Transaction   // TransactionCame
+	Transaction   logic.Transaction   // TransactionArrived
 	End           logic.HandOffEnd    // HandOffEnded
 	ID            logic.TransactionID // ClientLeft
-	ListKind      logic.ListKind      // ListCame
-	List          []logic.Worker
-	Busy          bool         // ListRefused: discovery turned the call away
-	StaleSince    logic.Micros // ListUnsure
-	ReleaseStatus logic.ReleaseStatus
-	Complaint     logic.Complaint
-	Counts        logic.BuildCounts // Counted
-	Config        *logic.Config     // Ordered
-	From          logic.SentryID    // PeerSaid
-	Body          []byte
-	Worker        logic.WorkerID // Probed
-	Held          float64
+	ListKind      logic.ListKind      // ListReceived
+	List          []logic.Worker      // ListReceived
+	Busy          bool                // ListRequestFailed: discovery turned the request away
+	StaleSince    logic.Micros        // ListMayBeStale
+	ReleaseStatus logic.ReleaseStatus // ReleaseUpdated
+	Complaint     logic.Complaint     // ComplaintReceived
+	Counts        logic.BuildCounts   // CountsReceived
+	Config        *logic.Config       // Reconfigured
+	From          logic.SentryID      // PeerMessageReceived
+	Body          []byte              // PeerMessageReceived
+	Worker        logic.WorkerID      // ProbeAnswered
+	InFlight      float64             // of the worker, negative if not reported
 }
 
-// Apply makes the module's call for an input.
+// Apply calls the module's method for an input.
 func Apply(s *logic.Sentry, in *Input) logic.Result {
 	switch in.Kind {
 	case TransactionArrived:
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -1,5 +1,5 @@
-// Package orders reads the operator's file: the standing orders of the decision module, and where the sentry
-// listens and whom it speaks to.
+// Package orders reads a sentry's settings file: the configuration of the decision module, the addresses that the
+// sentry listens on and connects to, its bounds and its routes. It also says which settings a reload may change.
 package orders
 
 import (
@@ -16,29 +16,30 @@
 	"scalechute/logic"
 )
 
-// Sheet is what an operator's file says.
+// Settings is the content of a sentry's settings file.
 type Settings struct {
 	Policy          logic.Config
 	ProfileNames    []string
 	AccountNames    []string
-	RemovedProfiles []bool // places whose profile is no longer taken, by a sentry that runs on
+	RemovedProfiles []bool // by profile slot: a reload has removed the profile, and it is no longer accepted
 	Zones           []string
 	Endpoints       Endpoints
 	Bounds          Bounds
-	IncludedFiles   []string     // that the sentry's file includes
-	Routes          *routes.Book // nil if transactions say themselves what they are
+	IncludedFiles   []string     // files that the settings file includes
+	Routes          *routes.Book // nil if clients send profile, account and key themselves
 }
 
-// Clash is what a running sentry can't take from a new sheet: the block and value at fault, and what was expected.
+// Conflict is a change that a running sentry cannot apply: the block and setting in conflict, and what was expected.
 type Conflict struct{ Block, Name, Message string }
 
+// Error returns the block, the setting and the message.
 func (c Conflict) Error() string { return c.Block + ": " + c.Name + ": " + c.Message }
 
-// Clashes lists what a sentry that runs by one sheet can't change over to from it. Everything else it can.
+// Conflicts lists the changes from s to updated that a running sentry cannot apply. It can apply all others.
 func (s *Settings) Conflicts(updated *Settings) (conflicts []Conflict) {
 	check := func(block, name string, current, next any) {
 		if !reflect.DeepEqual(current, next) {
-			conflicts = append(conflicts, Conflict{block, name, fmt.Sprintf("found %v, expected %v as the sentry runs with: it changes with a new start", next, current)})
+			conflicts = append(conflicts, Conflict{block, name, fmt.Sprintf("found %v, expected %v as the sentry runs with; it changes only at a restart", next, current)})
 		}
 	}
 	current, next := &s.Endpoints, &updated.Endpoints
@@ -56,21 +57,22 @@
 	check("bounds", "frame_bytes", s.Bounds.FrameBytes, updated.Bounds.FrameBytes)
 	check("bounds", "unwritten_bytes", s.Bounds.UnwrittenBytes, updated.Bounds.UnwrittenBytes)
 	for _, x := range []struct {
-		kind     string
-		was, now []string
+		kind             string
+		current, updated []string
 	}{{"profile", s.ProfileNames, updated.ProfileNames}, {"account", s.AccountNames, updated.AccountNames}} {
-		for i, name := range x.now {
-			if i < len(x.was) && x.was[i] != "" && name != "" && x.was[i] != name {
+		for i, name := range x.updated {
+			if i < len(x.current) && x.current[i] != "" && name != "" && x.current[i] != name {
 				conflicts = append(conflicts, Conflict{x.kind + " " + name, "place", fmt.Sprintf(
-					"found at place %d, expected %s there as clients know it: an empty place or a new one", i, x.was[i])})
+					"found at place %d, expected %s there, as clients know it: use an empty place or a new one", i, x.current[i])})
 			}
 		}
 	}
 	return conflicts
 }
 
-// After is the sheet for a sentry that has run by another one: a place that it no longer fills stays with its old
-// name, so that no other can take it, and takes nothing.
+// KeepSlots returns the settings for a sentry that has run with previous ones: a profile slot that the new settings
+// leave empty keeps its old name, so that no other profile gets it, and accepts no transactions. Removed accounts at
+// the end of the list are kept too.
 func (s *Settings) KeepSlots(previous *Settings) *Settings {
 	merged := *s
 	merged.ProfileNames, merged.Policy.Profiles = slices.Clone(s.ProfileNames), slices.Clone(s.Policy.Profiles)
@@ -88,7 +90,7 @@
 	return &merged
 }
 
-// fill makes places up to one; none has them yet, and they take nothing.
+// growProfiles adds empty profile slots up to and including one. Empty slots accept no transactions.
 func (s *Settings) growProfiles(slot int) {
 	for len(s.ProfileNames) <= slot {
 		s.ProfileNames = append(s.ProfileNames, "")
@@ -96,12 +98,12 @@
 	}
 }
 
-// Takes says whether a place has a profile that is taken.
+// AcceptsProfile reports whether a slot has a profile whose transactions are accepted.
 func (s *Settings) AcceptsProfile(slot int) bool {
 	return slot < len(s.ProfileNames) && s.ProfileNames[slot] != "" && !(slot < len(s.RemovedProfiles) && s.RemovedProfiles[slot])
 }
 
-// OuterLimit is that of the profile with the longest: nothing is open any longer.
+// MaxDeadline returns the longest max deadline of all profiles: no transaction is open for longer.
 func (s *Settings) MaxDeadline() (longest logic.Micros) {
 	for _, p := range s.Policy.Profiles {
 		longest = max(longest, p.MaxDeadline)
@@ -109,30 +111,30 @@
 	return longest
 }
 
-// Post is where one sentry stands.
+// Endpoints holds the addresses and files of one sentry.
 type Endpoints struct {
 	Listen         string
-	Metrics        string // empty if none
-	CachedListFile string // file of the last list
+	Metrics        string // empty for no metrics endpoint
+	CachedListFile string // file that the last worker list is saved to; empty for none
 	Discovery      string
 	ControlPlane   string
 	Peers          map[logic.SentryID]string
-	Seed           int64
+	Seed           int64 // of the decision module's random numbers; 0 to choose one at the start
 }
 
-// Bounds are what the sentry holds at the most. They are limits of the program, not of the module.
+// Bounds limits the resources of the sentry process. The decision module does not know them.
 type Bounds struct {
-	InboxEvents           int // inputs that wait for the loop
-	OpenTransactions      int // transactions open
-	ConnectionsPerWorker  int // to one worker
-	HandOffsPerConnection int // at one time on a connection
-	FrameBytes            int // bytes of a message
-	UnwrittenBytes        int // bytes that wait for a socket
-	WorkerConnections     int // connections to all workers, 0 for no bound
-	IdleTimeoutDivisor    int // an idle one is closed after this part of the orders' time, 0 for all of it
+	InboxEvents           int // events that wait for the event loop
+	OpenTransactions      int // open transactions
+	ConnectionsPerWorker  int // connections to one worker
+	HandOffsPerConnection int // open hand-offs on one connection
+	FrameBytes            int // bytes of one message
+	UnwrittenBytes        int // unwritten bytes of one connection
+	WorkerConnections     int // connections to all workers; 0 for no bound
+	IdleTimeoutDivisor    int // the idle timeout of worker connections is divided by this; 0 means 1
 }
 
-// Load reads a sentry's file and checks it whole.
+// Load reads and checks a sentry's settings file. Its error lists all errors of the file.
 func Load(name string) (*Settings, error) {
 	f, err := hclread.Open(name)
 	if err != nil {
@@ -141,7 +143,7 @@
 	return read(f)
 }
 
-// Parse is Load for what was read already.
+// Parse is Load for the content of a file.
 func Parse(name string, source []byte) (*Settings, error) {
 	f, err := hclread.Parse(name, source)
 	if err != nil {
@@ -150,7 +152,7 @@
 	return read(f)
 }
 
-// LoadBeside is Load for a sentry that runs by another sheet: what it can't change over to is a fault too.
+// LoadUpdate is Load for a sentry that runs with other settings: changes that it cannot apply are errors too.
 func LoadUpdate(name string, running *Settings) (*Settings, error) {
 	f, err := hclread.Open(name)
 	if err != nil {
@@ -159,7 +161,7 @@
 	return readUpdate(f, running)
 }
 
-// ParseBeside is LoadBeside for what was read already.
+// ParseUpdate is LoadUpdate for the content of a file.
 func ParseUpdate(name string, source []byte, running *Settings) (*Settings, error) {
 	f, err := hclread.Parse(name, source)
 	if err != nil {
@@ -176,11 +178,11 @@
 	s.readEndpoints(f.Root.Block("sentry", true))
 	f.Root.Done()
 	if running != nil && f.Err() == nil {
-		for _, c := range running.Conflicts(s) {
-			kind, label, _ := strings.Cut(c.Block, " ")
+		for _, conflict := range running.Conflicts(s) {
+			kind, label, _ := strings.Cut(conflict.Block, " ")
 			for _, b := range f.Root.Blocks(kind, labelCounts[kind]) {
 				if label == "" || b.Labels[0] == label {
-					b.FaultAt(c.Name, "%s", c.Message)
+					b.FaultAt(conflict.Name, "%s", conflict.Message)
 				}
 			}
 		}
@@ -191,7 +193,7 @@
 	return s, nil
 }
 
-// SharedBlocks names the blocks that all sentries of a deployment have in common.
+// SharedBlocks lists the kinds of blocks that are the same for all sentries of a deployment.
 var SharedBlocks = []string{"deployment", "profile", "account", "allowed", "list", "rules", "trial", "prices", "bounds",
 	"matching", "set", "measure", "attribute", "let", "route", "case"}
 
@@ -200,12 +202,12 @@
 	hour = time.Hour
 )
 
-// Shared reads what all sentries of a deployment have in common. Faults are booked with the file.
+// ReadShared reads the blocks that are the same for all sentries of a deployment. Errors are recorded in the file.
 func ReadShared(root *hclread.Body) *Settings {
 	s := &Settings{}
-	o := &s.Policy
+	config := &s.Policy
 	deployment := root.Block("deployment", true)
-	o.Sentries = deployment.Whole("sentries", true, 1, 1, 10_000)
+	config.Sentries = deployment.Whole("sentries", true, 1, 1, 10_000)
 	s.Zones = deployment.Texts("zones", true)
 	deployment.Done()
 	for i, z := range s.Zones {
@@ -222,11 +224,11 @@
 	s.readRules(root.Block("rules", true))
 	s.readTrial(root.Block("trial", true))
 	prices := root.Block("prices", false)
-	o.StaleBuildPrice = prices.Figure("behind", false, 0, 0, 10)
-	o.HarmPrice = prices.Figure("harm", false, 0, 0, 100)
-	o.CrossZonePrice = prices.Figure("cross", false, 0, 0, 1)
-	o.WastePrice = prices.Figure("waste", false, 0, 0, 1)
-	o.OverShareValue = prices.Figure("over_share_value", false, 1, 0, 1)
+	config.StaleBuildPrice = prices.Figure("behind", false, 0, 0, 10)
+	config.HarmPrice = prices.Figure("harm", false, 0, 0, 100)
+	config.CrossZonePrice = prices.Figure("cross", false, 0, 0, 1)
+	config.WastePrice = prices.Figure("waste", false, 0, 0, 1)
+	config.OverShareValue = prices.Figure("over_share_value", false, 1, 0, 1)
 	prices.Done()
 	bounds := root.Block("bounds", false)
 	s.Bounds = Bounds{
@@ -241,27 +243,28 @@
 	return s
 }
 
+// readProfiles reads the profile blocks into their slots.
 func (s *Settings) readProfiles(root *hclread.Body) {
 	for i, b := range root.Blocks("profile", 1) {
-		p := logic.Profile{
+		profile := logic.Profile{
 			DueTime:        b.Span("due_time", true, ms, ms, hour),
 			MaxDeadline:    b.Span("outer_limit", true, hour, ms, 24*hour),
 			Value:          b.Figure("value", false, 1, 0, 1e9),
 			LateValueShare: b.Figure("late_share", false, 0, 0, 1),
 			Repeatability:  logic.Repeatability(b.Word("repeat", true, int(logic.NonIdempotent), "redoable", "labelled", "irreversible")),
 		}
-		deduplicated := p.Repeatability == logic.Deduplicated
-		p.DedupScope = logic.DedupScope(b.Word("scope", deduplicated, 0, "all", "zone", "cell"))
-		p.DedupWindow = b.Span("window", deduplicated, 0, ms, hour)
+		deduplicated := profile.Repeatability == logic.Deduplicated
+		profile.DedupScope = logic.DedupScope(b.Word("scope", deduplicated, 0, "all", "zone", "cell"))
+		profile.DedupWindow = b.Span("window", deduplicated, 0, ms, hour)
 		if !deduplicated && (b.Has("scope") || b.Has("window")) {
 			b.Fault("profile %s has a scope or window, expected them with repeat = \"labelled\" only", b.Labels[0])
 		}
-		if p.MaxDeadline < p.DueTime {
+		if profile.MaxDeadline < profile.DueTime {
 			b.FaultAt("outer_limit", "found less than due_time, expected at least as much")
 		}
 		for _, other := range s.ProfileNames {
 			if other == b.Labels[0] {
-				b.Fault("profile %s stands twice, expected once", other)
+				b.Fault("profile %s is declared twice, expected once", other)
 			}
 		}
 		slot := b.Whole("place", false, min(i, 255), 0, 255)
@@ -271,10 +274,10 @@
 		}
 		s.growProfiles(slot)
 		if other := s.ProfileNames[slot]; other != "" {
-			b.FaultAt("place", "found %d, expected one that %s does not have", slot, other)
+			b.FaultAt("place", "found %d, expected one that profile %s does not have", slot, other)
 			continue
 		}
-		s.ProfileNames[slot], s.Policy.Profiles[slot] = b.Labels[0], p
+		s.ProfileNames[slot], s.Policy.Profiles[slot] = b.Labels[0], profile
 	}
 	if len(s.ProfileNames) == 0 {
 		root.Fault("no block profile, expected at least one")
@@ -284,111 +287,111 @@
 func (s *Settings) readAccounts(root *hclread.Body) {
 	total := 0.0
 	for _, b := range root.Blocks("account", 1) {
-		a := logic.Account{Share: b.Figure("share", true, 0, 0, 1), Quota: b.Figure("quota", true, 0, 0, 1e9)}
+		account := logic.Account{Share: b.Figure("share", true, 0, 0, 1), Quota: b.Figure("quota", true, 0, 0, 1e9)}
 		b.Done()
-		if total += a.Share; total > 1+1e-9 {
+		if total += account.Share; total > 1+1e-9 {
 			b.FaultAt("share", "found %g over all accounts so far, expected at most 1", total)
 		}
 		s.AccountNames = append(s.AccountNames, b.Labels[0])
-		s.Policy.Accounts = append(s.Policy.Accounts, a)
+		s.Policy.Accounts = append(s.Policy.Accounts, account)
 	}
 }
 
 func (s *Settings) readAllowed(b *hclread.Body) {
-	o := &s.Policy
-	o.MayProbe, o.MayCancel = b.Flag("probes", false), b.Flag("cancel", true)
-	o.MayHedge, o.MayMessage = b.Flag("copies", false), b.Flag("messages", false)
-	o.MayNameRetryAfter = b.Flag("name_return", true)
-	o.MaxHandOffs = b.Whole("hand_offs", false, 3, 1, 100)
-	o.MaxRetryAfter = b.Span("most_return", false, time.Second, 0, hour)
-	o.ConnectTimeout = b.Span("connect_limit", false, 250*ms, ms, time.Minute)
-	o.IdleTimeout = b.Span("idle_close", false, 30*time.Second, 0, 24*hour)
+	config := &s.Policy
+	config.MayProbe, config.MayCancel = b.Flag("probes", false), b.Flag("cancel", true)
+	config.MayHedge, config.MayMessage = b.Flag("copies", false), b.Flag("messages", false)
+	config.MayNameRetryAfter = b.Flag("name_return", true)
+	config.MaxHandOffs = b.Whole("hand_offs", false, 3, 1, 100)
+	config.MaxRetryAfter = b.Span("most_return", false, time.Second, 0, hour)
+	config.ConnectTimeout = b.Span("connect_limit", false, 250*ms, ms, time.Minute)
+	config.IdleTimeout = b.Span("idle_close", false, 30*time.Second, 0, 24*hour)
 	b.Done()
 }
 
 func (s *Settings) readList(b *hclread.Body) {
-	o := &s.Policy
-	o.ListOnRequest = b.Flag("ask", false)
-	o.MaxListAge = b.Span("ask_within", o.ListOnRequest, 10*time.Second, 100*ms, hour)
+	config := &s.Policy
+	config.ListOnRequest = b.Flag("ask", false)
+	config.MaxListAge = b.Span("ask_within", config.ListOnRequest, 10*time.Second, 100*ms, hour)
 	b.Done()
 }
 
 func (s *Settings) readRules(b *hclread.Body) {
-	o := &s.Policy
-	o.TimerGranularity = b.Span("tick", false, 5*ms, time.Microsecond, time.Second)
-	o.AnswerGrace = b.Span("answer_grace", true, 20*ms, 0, time.Minute)
-	o.DrainGrace = b.Span("drain_grace", true, 2*time.Second, 0, time.Minute)
-	o.ColdCapacity = b.Figure("cold_from", true, 1, 0.01, 1)
-	o.WarmUp = b.Span("warm_up", true, 0, 0, hour)
-	o.ColdLoadMultiple = b.Figure("fall_multiple", true, 4, 1, 1000)
-	o.ColdLoadWindow = b.Span("fall_span", true, time.Second, 10*ms, time.Minute)
+	config := &s.Policy
+	config.TimerGranularity = b.Span("tick", false, 5*ms, time.Microsecond, time.Second)
+	config.AnswerGrace = b.Span("answer_grace", true, 20*ms, 0, time.Minute)
+	config.DrainGrace = b.Span("drain_grace", true, 2*time.Second, 0, time.Minute)
+	config.ColdCapacity = b.Figure("cold_from", true, 1, 0.01, 1)
+	config.WarmUp = b.Span("warm_up", true, 0, 0, hour)
+	config.ColdLoadMultiple = b.Figure("fall_multiple", true, 4, 1, 1000)
+	config.ColdLoadWindow = b.Span("fall_span", true, time.Second, 10*ms, time.Minute)
 	b.Done()
 }
 
 func (s *Settings) readTrial(b *hclread.Body) {
-	o := &s.Policy
-	o.Control = logic.Control(b.Word("control", true, 0, "any", "share", "timer"))
-	o.EarlierWorkersStay = b.Word("layout", false, 0, "beside", "in_place") == 0
-	o.StageShares = b.Figures("stage_shares", true, 0, 1)
-	o.StageCaps = b.Figures("stage_caps", true, 0, 1)
-	o.FreeExposure = b.Figure("free", true, 0, 0, 1e6)
-	o.ExposureWindow = b.Span("window", true, 4*time.Second, 10*ms, hour)
-	o.ExposureByProfile = b.Flag("by_profile", false)
-	o.GuardedStages = b.Whole("guarded_stages", false, 0, 0, 100)
-	o.ForwardOnly = b.Flag("forward_only", false)
-	timer := o.Control == logic.ControlTimer
-	o.AdvanceVotes = b.Whole("on_votes", !timer, 0, 0, 10_000)
-	o.HoldVotes = b.Whole("hold_votes", timer, 0, 0, 10_000)
-	o.RollBackVotes = b.Whole("back_votes", true, 1, 1, 10_000)
-	o.VoteTTL = b.Span("vote_life", true, 6*time.Second, 10*ms, hour)
-	o.VoteTimeout = b.Span("vote_wait", true, time.Second, 10*ms, time.Minute)
-	o.VotesPerSecond = b.Figure("votes_per_second", false, 100, 0.01, 1e6)
-	o.BakeTime = b.Span("bake", true, time.Second, 0, 24*hour)
-	o.ComplaintShare = b.Figure("complaint_share", false, 0, 0, 1)
-	o.CountsPeriod = b.Span("counts_every", false, 0, 0, hour)
-	o.CountsSampleShare = b.Figure("counts_share", o.CountsPeriod > 0, 0, 0, 1)
-	if o.CountsSampleShare > 0 && o.CountsPeriod == 0 {
-		b.FaultAt("counts_share", "found %g without counts_every, expected both or none", o.CountsSampleShare)
+	config := &s.Policy
+	config.Control = logic.Control(b.Word("control", true, 0, "any", "share", "timer"))
+	config.EarlierWorkersStay = b.Word("layout", false, 0, "beside", "in_place") == 0
+	config.StageShares = b.Figures("stage_shares", true, 0, 1)
+	config.StageCaps = b.Figures("stage_caps", true, 0, 1)
+	config.FreeExposure = b.Figure("free", true, 0, 0, 1e6)
+	config.ExposureWindow = b.Span("window", true, 4*time.Second, 10*ms, hour)
+	config.ExposureByProfile = b.Flag("by_profile", false)
+	config.GuardedStages = b.Whole("guarded_stages", false, 0, 0, 100)
+	config.ForwardOnly = b.Flag("forward_only", false)
+	timer := config.Control == logic.ControlTimer
+	config.AdvanceVotes = b.Whole("on_votes", !timer, 0, 0, 10_000)
+	config.HoldVotes = b.Whole("hold_votes", timer, 0, 0, 10_000)
+	config.RollBackVotes = b.Whole("back_votes", true, 1, 1, 10_000)
+	config.VoteTTL = b.Span("vote_life", true, 6*time.Second, 10*ms, hour)
+	config.VoteTimeout = b.Span("vote_wait", true, time.Second, 10*ms, time.Minute)
+	config.VotesPerSecond = b.Figure("votes_per_second", false, 100, 0.01, 1e6)
+	config.BakeTime = b.Span("bake", true, time.Second, 0, 24*hour)
+	config.ComplaintShare = b.Figure("complaint_share", false, 0, 0, 1)
+	config.CountsPeriod = b.Span("counts_every", false, 0, 0, hour)
+	config.CountsSampleShare = b.Figure("counts_share", config.CountsPeriod > 0, 0, 0, 1)
+	if config.CountsSampleShare > 0 && config.CountsPeriod == 0 {
+		b.FaultAt("counts_share", "found %g without counts_every, expected both or none", config.CountsSampleShare)
 	}
 	b.Done()
-	if len(o.StageCaps) != len(o.StageShares) || len(o.StageCaps) == 0 {
+	if len(config.StageCaps) != len(config.StageShares) || len(config.StageCaps) == 0 {
 		b.FaultAt("stage_caps", "found %d, expected as many as stage_shares (%d) and one at least",
-			len(o.StageCaps), len(o.StageShares))
+			len(config.StageCaps), len(config.StageShares))
 	}
-	for name, list := range map[string][]float64{"stage_caps": o.StageCaps, "stage_shares": o.StageShares} {
-		for i := 1; i < len(list); i++ {
-			if list[i] < list[i-1] {
-				b.FaultAt(name, "found %g after %g, expected none to fall", list[i], list[i-1])
+	for name, values := range map[string][]float64{"stage_caps": config.StageCaps, "stage_shares": config.StageShares} {
+		for i := 1; i < len(values); i++ {
+			if values[i] < values[i-1] {
+				b.FaultAt(name, "found %g after %g, expected values that do not decrease", values[i], values[i-1])
 			}
 		}
 	}
-	if o.AdvanceVotes > o.Sentries || o.RollBackVotes > o.Sentries {
-		b.Fault("more votes wanted than there are sentries (%d)", o.Sentries)
+	if config.AdvanceVotes > config.Sentries || config.RollBackVotes > config.Sentries {
+		b.Fault("on_votes or back_votes is more than the number of sentries (%d)", config.Sentries)
 	}
 }
 
 func (s *Settings) readEndpoints(b *hclread.Body) {
-	o, p := &s.Policy, &s.Endpoints
-	o.Position = logic.SentryID(b.Whole("position", true, 0, 0, max(0, o.Sentries-1)))
+	config, endpoints := &s.Policy, &s.Endpoints
+	config.Position = logic.SentryID(b.Whole("position", true, 0, 0, max(0, config.Sentries-1)))
 	zones := s.Zones
 	if len(zones) == 0 {
 		zones = []string{"(none)"}
 	}
-	o.Zone = logic.ZoneID(b.Word("zone", true, 0, zones...))
-	p.Listen = readAddress(b, "listen", true)
-	p.Metrics = readAddress(b, "metrics", false)
-	p.Discovery = readAddress(b, "list", true)
-	p.ControlPlane = readAddress(b, "desk", true)
-	p.CachedListFile = b.Text("memory", true, "")
-	p.Seed = int64(b.Whole("seed", false, 0, 0, 1<<53))
-	p.Peers = map[logic.SentryID]string{}
-	for _, x := range b.Blocks("peer", 1) {
-		n, err := strconv.Atoi(x.Labels[0])
-		if err != nil || n < 0 || n >= o.Sentries || logic.SentryID(n) == o.Position {
-			x.Fault("peer %q, expected the position of another sentry, 0 to %d", x.Labels[0], o.Sentries-1)
+	config.Zone = logic.ZoneID(b.Word("zone", true, 0, zones...))
+	endpoints.Listen = readAddress(b, "listen", true)
+	endpoints.Metrics = readAddress(b, "metrics", false)
+	endpoints.Discovery = readAddress(b, "list", true)
+	endpoints.ControlPlane = readAddress(b, "desk", true)
+	endpoints.CachedListFile = b.Text("memory", true, "")
+	endpoints.Seed = int64(b.Whole("seed", false, 0, 0, 1<<53))
+	endpoints.Peers = map[logic.SentryID]string{}
+	for _, peer := range b.Blocks("peer", 1) {
+		position, err := strconv.Atoi(peer.Labels[0])
+		if err != nil || position < 0 || position >= config.Sentries || logic.SentryID(position) == config.Position {
+			peer.Fault("peer %q, expected the position of another sentry, 0 to %d", peer.Labels[0], config.Sentries-1)
 		}
-		p.Peers[logic.SentryID(n)] = readAddress(x, "address", true)
-		x.Done()
+		endpoints.Peers[logic.SentryID(position)] = readAddress(peer, "address", true)
+		peer.Done()
 	}
 	b.Done()
 }
@@ -399,16 +402,16 @@
 		return ""
 	}
 	host, port, err := net.SplitHostPort(text)
-	if n, bad := strconv.Atoi(port); err != nil || bad != nil || n < 0 || n > 65535 || host == "" {
+	if number, portErr := strconv.Atoi(port); err != nil || portErr != nil || number < 0 || number > 65535 || host == "" {
 		b.FaultAt(name, "found %q, expected host:port", text)
 	}
 	return text
 }
 
-// labels are how many a kind of block has, if any.
+// labelCounts holds the number of labels of each kind of block that has any.
 var labelCounts = map[string]int{"profile": 1, "account": 1, "set": 1, "measure": 1, "attribute": 1, "let": 1, "route": 1, "case": 1}
 
-// SharedSource is the blocks that Shared reads, as they stand in the file.
+// SharedSource returns the source text of the blocks that ReadShared reads.
 func SharedSource(root *hclread.Body) (source []byte) {
 	for _, kind := range SharedBlocks {
 		for _, b := range root.Blocks(kind, labelCounts[kind]) {
--- a/internal/platform/way.go
+++ b/internal/platform/way.go
@@ -233,7 +233,7 @@
 			continue
 		}
 		switch slices.Index(facts.LoadFieldNames[:], string(name)) {
-		case facts.LoadFieldHeld:
+		case facts.LoadFieldInFlight:
 			d.InFlight = uint32(math.Round(v)) + 1
 		case facts.LoadFieldBusy:
 			d.CPUUse = uint32(math.Round(1000*v)) + 1
--- a/internal/sentry/book.go
+++ b/internal/sentry/book.go
@@ -16,19 +16,20 @@
 	"scalechute/logic"
 )
 
-// book is the list of workers as last told, which a restarted sentry begins with.
+// workerList is the worker list as last received from discovery. It is saved to a file, which a restarted sentry loads.
 type workerList struct {
 	zones         []string
 	version       uint64
-	lines         []*pb.Line // in the order in which they were first told; none that is gone
+	lines         []*pb.Line // in the order in which the workers were first listed, without those that are gone
 	lineIndex     map[logic.WorkerID]int
 	instances     map[logic.WorkerID]workerInstance
-	releaseStatus logic.ReleaseStatus // as last told, for the breaches
-	unsaved       bool                // the timer to save it runs, or a change came while it was being written
+	releaseStatus logic.ReleaseStatus // as last received, for Breach
+	unsaved       bool                // the timer to save it is set, or it has changed while it was being written
 	writing       bool
 }
 
-// life keeps a worker's start the same on this sentry's clock, however often its age is told.
+// workerInstance is one run of a worker's process. Its start time is computed from the first report of the worker's
+// age, so that later reports do not move it.
 type workerInstance struct {
 	id        uint64
 	startedAt logic.Micros
@@ -39,83 +40,85 @@
 	return workerList{zones: zones, lineIndex: map[logic.WorkerID]int{}, instances: map[logic.WorkerID]workerInstance{}}
 }
 
-func (b *workerList) zoneName(z logic.ZoneID) string {
-	if z >= 0 && int(z) < len(b.zones) {
-		return b.zones[z]
+func (l *workerList) zoneName(z logic.ZoneID) string {
+	if z >= 0 && int(z) < len(l.zones) {
+		return l.zones[z]
 	}
 	return ""
 }
 
-// zone numbers the zones of the sheet; what the list names beyond them follows.
-func (b *workerList) zoneID(name string) logic.ZoneID {
-	for i, z := range b.zones {
+// zoneID returns the number of a zone. Zones that are not in the settings are numbered after them, in order of
+// appearance.
+func (l *workerList) zoneID(name string) logic.ZoneID {
+	for i, z := range l.zones {
 		if z == name {
 			return logic.ZoneID(i)
 		}
 	}
-	b.zones = append(b.zones[:len(b.zones):len(b.zones)], name)
-	return logic.ZoneID(len(b.zones) - 1)
+	l.zones = append(l.zones[:len(l.zones):len(l.zones)], name)
+	return logic.ZoneID(len(l.zones) - 1)
 }
 
-func (b *workerList) address(id logic.WorkerID) string { return b.instances[id].address }
+func (l *workerList) address(id logic.WorkerID) string { return l.instances[id].address }
 
-// take books a report and gives it in the module's terms.
-func (b *workerList) apply(m *pb.Report, now logic.Micros) []logic.Worker {
+// apply updates the list by a report, and returns the report's workers in the module's types.
+func (l *workerList) apply(m *pb.Report, now logic.Micros) []logic.Worker {
 	if m.Whole {
-		b.lines, b.lineIndex = nil, map[logic.WorkerID]int{}
+		l.lines, l.lineIndex = nil, map[logic.WorkerID]int{}
 	}
-	b.version = m.Version
-	list := make([]logic.Worker, 0, len(m.Lines))
+	l.version = m.Version
+	workers := make([]logic.Worker, 0, len(m.Lines))
 	for _, line := range m.Lines {
 		id := logic.WorkerID(line.Id)
 		if id == "" || math.IsNaN(line.Size) || math.IsInf(line.Size, 0) {
 			continue
 		}
-		w := logic.Worker{ID: id, Build: logic.BuildID(line.Build), Zone: b.zoneID(line.Zone), Cell: int(line.Cell),
+		w := logic.Worker{ID: id, Build: logic.BuildID(line.Build), Zone: l.zoneID(line.Zone), Cell: int(line.Cell),
 			Size: line.Size, State: logic.WorkerState(min(max(line.State, 0), pb.Line_GONE))}
-		l, known := b.instances[id]
-		if !known || l.id != line.Life {
-			l = workerInstance{id: line.Life}
+		instance, known := l.instances[id]
+		if !known || instance.id != line.Life {
+			instance = workerInstance{id: line.Life}
 			if line.Young && line.Age < uint64(now) {
-				l.startedAt = now - logic.Micros(line.Age)
+				instance.startedAt = now - logic.Micros(line.Age)
 			}
 		}
 		if line.Address != "" {
-			l.address = line.Address
+			instance.address = line.Address
 		}
-		b.instances[id] = l
-		w.Started = l.startedAt
-		list = append(list, w)
-		at, listed := b.lineIndex[id]
+		l.instances[id] = instance
+		w.Started = instance.startedAt
+		workers = append(workers, w)
+		index, listed := l.lineIndex[id]
 		switch {
 		case w.State == logic.Gone && listed:
-			b.lines = append(b.lines[:at], b.lines[at+1:]...)
-			delete(b.lineIndex, id)
-			for i := at; i < len(b.lines); i++ {
-				b.lineIndex[logic.WorkerID(b.lines[i].Id)] = i
+			l.lines = append(l.lines[:index], l.lines[index+1:]...)
+			delete(l.lineIndex, id)
+			for i := index; i < len(l.lines); i++ {
+				l.lineIndex[logic.WorkerID(l.lines[i].Id)] = i
 			}
 		case w.State == logic.Gone:
 		case listed:
-			b.lines[at] = line
+			l.lines[index] = line
 		default:
-			b.lineIndex[id] = len(b.lines)
-			b.lines = append(b.lines, line)
+			l.lineIndex[id] = len(l.lines)
+			l.lines = append(l.lines, line)
 		}
 	}
-	return list
+	return workers
 }
 
-// The file: eight bytes of hash, eight of the wall clock in microseconds, for people, a Report. Ages of servers are those as
-// it was written: no clock that can be trusted tells how long ago that was, and a server taken for too young is spared, not
-// overloaded.
+// The list file holds a hash of the rest (8 bytes), the wall clock time in microseconds for human readers (8 bytes)
+// and a Report. The ages of workers are those at the time of writing and are not corrected when the file is loaded:
+// there is no reliable clock for the time since. A worker that seems younger than it is receives less load, not too
+// much.
 
 const listFileHeaderBytes = 16
 
-func (b *workerList) encode(now logic.Micros) ([]byte, error) {
-	m := &pb.Report{Whole: true, Version: b.version}
-	for _, line := range b.lines {
+func (l *workerList) encode(now logic.Micros) ([]byte, error) {
+	m := &pb.Report{Whole: true, Version: l.version}
+	for _, line := range l.lines {
 		line := proto.Clone(line).(*pb.Line)
-		if started := b.instances[logic.WorkerID(line.Id)].startedAt; started > 0 {
+		if started := l.instances[logic.WorkerID(line.Id)].startedAt; started > 0 {
 			line.Young, line.Age = true, uint64(now-started)
 		} else {
 			line.Young = false
@@ -126,14 +129,14 @@
 	if err != nil {
 		return nil, err
 	}
-	binary.BigEndian.PutUint64(out[8:], uint64(time.Now().UnixMicro())) // wall clock: for people
+	binary.BigEndian.PutUint64(out[8:], uint64(time.Now().UnixMicro())) // wall clock: for human readers
 	binary.BigEndian.PutUint64(out, xxh3.Hash(out[8:]))
 	return out, nil
 }
 
 func decodeListFile(data []byte) (*pb.Report, error) {
 	if len(data) < listFileHeaderBytes || binary.BigEndian.Uint64(data) != xxh3.Hash(data[8:]) {
-		return nil, errors.New("found a damaged file, expected a list as a sentry saves it")
+		return nil, errors.New("found a damaged file, expected a worker list saved by a sentry")
 	}
 	m := &pb.Report{}
 	if err := proto.Unmarshal(data[listFileHeaderBytes:], m); err != nil {
@@ -142,7 +145,8 @@
 	return m, nil
 }
 
-// remembered is the list that the last run of this sentry saved, empty if there is none.
+// loadCachedList loads the worker list from Options.CachedList or from the file that the last run saved. It returns
+// nil if there is none, or if it cannot be read.
 func (s *Sentry) loadCachedList() []logic.Worker {
 	m, err := s.cachedList, error(nil)
 	if m == nil {
@@ -156,20 +160,21 @@
 		}
 	}
 	if err != nil {
-		s.log.Warn().Str("file", s.settings.Endpoints.CachedListFile).Err(err).Msg("no remembered list")
+		s.log.Warn().Str("file", s.settings.Endpoints.CachedListFile).Err(err).Msg("cached worker list not read")
 		return nil
 	}
 	list := s.workerList.apply(m, s.now)
 	if s.cachedList == nil {
-		s.workerList.version = 0 // a service of frames may have begun anew meanwhile: it tells all
+		s.workerList.version = 0 // discovery on the frame protocol may have restarted since; version 0 requests the full list
 	}
-	for _, in := range list {
-		s.updateWorker(in)
+	for _, info := range list {
+		s.updateWorker(info)
 	}
-	s.log.Info().Int("workers", len(list)).Msg("remembered list")
+	s.log.Info().Int("workers", len(list)).Msg("cached worker list loaded")
 	return list
 }
 
+// saveDelayMicros is the time from a change of the list to its saving, which several changes may share.
 const saveDelayMicros = logic.Micros(500_000)
 
 func (s *Sentry) scheduleSave() {
@@ -182,8 +187,8 @@
 	}
 }
 
-// save writes the list beside the old file and puts it in its place, so that a kill at any point leaves one whole. The
-// loop does not wait for the disk.
+// save writes the list to a new file and renames it over the old one, so that a crash at any point leaves a complete
+// file. The event loop does not wait for the disk.
 func (s *Sentry) save() {
 	data, err := s.workerList.encode(s.now)
 	if err != nil {
@@ -192,7 +197,7 @@
 	}
 	s.workerList.unsaved, s.workerList.writing = false, true
 	s.listWrites.Add(1)
-	file := s.settings.Endpoints.CachedListFile // new orders may take the sheet's place meanwhile
+	file := s.settings.Endpoints.CachedListFile // a reload may replace the settings meanwhile
 	go func() {
 		defer s.listWrites.Done()
 		s.inbox.put(&event{kind: eventListSaved, err: replaceFile(file, data)}, false)
@@ -202,14 +207,14 @@
 func (s *Sentry) handleSaved(err error) {
 	s.workerList.writing = false
 	if err != nil {
-		s.log.Error().Str("file", s.settings.Endpoints.CachedListFile).Err(err).Msg("the list could not be saved")
+		s.log.Error().Str("file", s.settings.Endpoints.CachedListFile).Err(err).Msg("worker list not saved")
 	}
 	if s.workerList.unsaved {
 		s.timers.add(timer{due: s.now + saveDelayMicros, kind: timerSave})
 	}
 }
 
-// saveLast saves what has changed since, at the end of the loop.
+// saveFinal saves unsaved changes of the list when the event loop ends.
 func (s *Sentry) saveFinal() {
 	s.listWrites.Wait()
 	if !s.workerList.unsaved {
--- a/internal/sentry/breach.go
+++ b/internal/sentry/breach.go
@@ -8,10 +8,11 @@
 	"scalechute/logic"
 )
 
-// Breach has this sentry break one rule on purpose, behind the module's back, so that the auditor can be shown to
-// find it. Nothing else in the program uses it.
+// Breach is a rule that the sentry breaks on purpose, bypassing the decision module, to test that the auditor finds
+// it. It has no other use.
 type Breach int
 
+// The rules that can be broken, and NoBreach for none.
 const (
 	NoBreach Breach = iota
 	BreachAnswer
@@ -21,10 +22,10 @@
 	BreachExposure
 )
 
-// BreachNames are the words for Breach, from BreachAnswer on.
+// BreachNames lists the names of the breaches, starting with BreachAnswer.
 var BreachNames = []string{"answer", "effect", "drain", "cold", "exposure"}
 
-// ParseBreach finds the breach of a word, none for an empty one.
+// ParseBreach returns the breach of a name, NoBreach for an empty one.
 func ParseBreach(word string) (Breach, error) {
 	if word == "" {
 		return NoBreach, nil
@@ -36,30 +37,30 @@
 	return Breach(i + 1), nil
 }
 
-// breachAnswer answers one transaction in twenty a second time.
+// breachAnswerRule answers one transaction in 20 a second time.
 func (s *Sentry) breachAnswerRule(t *transaction, a *wire.Answer) {
 	if s.breach == BreachAnswer && s.transactionSeq%20 == 0 {
 		s.queueAnswer(t.client, a)
 	}
 }
 
-// breachAfter hands a transaction off once more, or many times, after a ruling was carried out.
-func (s *Sentry) breachHandOffRules(t *transaction, r *logic.Action) {
+// breachHandOffRules sends a transaction's work to a worker again, once or many times, after its first hand-off.
+func (s *Sentry) breachHandOffRules(t *transaction, action *logic.Action) {
 	if s.breach < BreachEffect || len(t.handOffs) != 1 || t.closed {
 		return
 	}
 	repeatability := s.config.Profiles[t.profile].Repeatability
-	if chosen := s.workers[r.Worker]; chosen == nil || chosen.info.Build >= s.workerList.releaseStatus.Build {
-		return // its key has met the trial: once more at an earlier build would break another rule too
+	if chosen := s.workers[action.Worker]; chosen == nil || chosen.info.Build >= s.workerList.releaseStatus.Build {
+		return // its key has been handed to the trial: a further hand-off to an earlier build would break another rule too
 	}
-	// What breaks no other rule: warm, ready, of a build that is not on trial.
+	// A worker whose use breaks no other rule: warm, ready, of a build that is not on trial.
 	isOrdinary := func(w *worker) bool {
 		return w.info.State == logic.Ready && w.info.Build < s.workerList.releaseStatus.Build && s.isWarm(w)
 	}
 	switch s.breach {
 	case BreachEffect:
 		if repeatability == logic.NonIdempotent {
-			s.sendExtraHandOffs(t, 1, func(w *worker) bool { return isOrdinary(w) && w.id != r.Worker })
+			s.sendExtraHandOffs(t, 1, func(w *worker) bool { return isOrdinary(w) && w.id != action.Worker })
 		}
 	case BreachDrain:
 		if repeatability == logic.Idempotent {
@@ -83,11 +84,13 @@
 	}
 }
 
+// isWarm reports whether a worker's warm-up has ended.
 func (s *Sentry) isWarm(w *worker) bool {
 	return w.info.Started == 0 || s.now-w.info.Started > s.config.WarmUp
 }
 
-// again writes the work to the first connected worker that fits, under an id whose answer nobody awaits.
+// sendExtraHandOffs sends a transaction's work to a worker that fits, under an id whose answer is ignored.
+// If the worker has no connection it only dials one.
 func (s *Sentry) sendExtraHandOffs(t *transaction, times int, fits func(*worker) bool) {
 	var candidates []*worker
 	for _, w := range s.workers {
--- a/internal/sentry/ends.go
+++ b/internal/sentry/ends.go
@@ -11,28 +11,29 @@
 	"scalechute/logic"
 )
 
-// Ends are all that a sentry writes to and hears from. Frames are one implementation, internal/platform another. What
-// they hear goes to the sentry's ears from any goroutine; calls out come from the loop, unless said otherwise, and must
-// not wait. Ends decide nothing.
+// Transport connects a sentry to its clients, workers, discovery, control plane and peers. frameTransport is one
+// implementation, internal/platform has another. An implementation passes what it receives to ClientHandler,
+// WorkerConnHandler and the methods of Sentry, from any goroutine. The sentry calls the methods of a Transport from the
+// event loop unless stated otherwise, and they must not block.
 type Transport interface {
 	ClientListener
 	WorkerDialer
 	Discovery
 	ControlPlane
 	PeerSender
-	Start() // once, before anything else is called by the loop
-	Close() // once, when the loop has ended: everything is closed
+	Start() // called once, before any other call from the event loop
+	Close() // called once, when the event loop has ended; closes everything
 }
 
-// Clients come to a door.
+// ClientListener accepts the connections of clients.
 type ClientListener interface {
-	Listen(s *Sentry) (address string, err error) // before the loop begins
-	StopListening()                               // from any goroutine
-	StopReading()                                 // no more of any connection, from when it returns
-	UnwrittenConnections() int                    // connections on which something waits to be written
+	Listen(s *Sentry) (address string, err error) // called before the event loop starts
+	StopListening()                               // may be called from any goroutine
+	StopReading()                                 // nothing is read from any connection after it returns
+	UnwrittenConnections() int                    // number of connections with unwritten data
 }
 
-// Caller is a connection of a client or of a peer.
+// ClientConn is a connection from a client or a peer.
 type ClientConn interface {
 	Answer(*wire.Answer) bool // false if the connection has ended
 	Flush()
@@ -41,168 +42,172 @@
 	RemoteAddr() string
 }
 
-// Workers are reached by ways, each a connection.
+// WorkerDialer opens connections to workers.
 type WorkerDialer interface {
-	// Dial blocks for at most the limit, on a goroutine of its own.
+	// Dial opens a connection. It may block for up to the timeout and is called on a goroutine of its own.
 	Dial(handler WorkerConnHandler, address string, timeout time.Duration) (WorkerConn, error)
-	// Ordered says that answers on a way come in the order of its hand-offs: one that is given up costs the way, so each gets
-	// one of its own while there may be more.
+	// AnswersInOrder reports whether answers on a connection come in the order of its hand-offs. A hand-off that is
+	// given up then closes its connection, so each gets a connection of its own while more may be opened.
 	AnswersInOrder() bool
 }
 
-// Way is a connection to a worker.
+// WorkerConn is a connection to a worker.
 type WorkerConn interface {
-	SendHello()               // the first call
-	SendWork(*wire.Work) bool // false if nothing of it will ever leave
+	SendHello()               // called once, before any other call
+	SendWork(*wire.Work) bool // false if no byte of it will be sent
 	Cancel(id uint64)
-	MayHaveReceived(id uint64) bool // the worker may have all of a hand-off
-	AnswerStarted(id uint64) bool   // its answer has begun to come and is not whole, or could not be read
+	MayHaveReceived(id uint64) bool // whether the worker may have received a hand-off completely
+	AnswerStarted(id uint64) bool   // whether a hand-off's answer has arrived in part, or could not be parsed
 	SendProbe(id uint64)
 	Flush()
 	Dead() bool
 	Close(reason error)
 }
 
-// List is asked for the workers.
+// Discovery requests the worker list. since is the version of the list that the sentry has.
 type Discovery interface {
-	RequestList(watch bool, since uint64) // for changes from now on, or for all of it once
+	RequestList(watch bool, since uint64) // with watch updates from now on, otherwise the full list once
 }
 
-// Desk takes votes.
+// ControlPlane sends votes to the control plane.
 type ControlPlane interface {
 	SendVote(*pb.Vote) bool // false if it was not sent
 }
 
-// Peers are told what the module says to them.
+// PeerSender sends the module's messages to other sentries.
 type PeerSender interface {
-	SendMessage(logic.Message) (sent int)
+	SendMessage(logic.Message) (sent int) // returns the number of peers that it was sent to
 }
 
-// ClientEar hears what comes on one client's connection.
+// ClientHandler receives what arrives on one client's connection.
 type ClientHandler struct {
 	s *Sentry
 	c *client
 }
 
-// Joined makes a client of a connection.
+// AddClient registers a new connection as a client.
 func (s *Sentry) AddClient(c ClientConn) ClientHandler { return ClientHandler{s, &client{link: c}} }
 
-// Asked hears a transaction. Its profile and account are ones that there are; key and payload are copied.
-func (e ClientHandler) TransactionReceived(m *wire.Ask) {
-	ev := e.newEvent(m)
+// TransactionReceived passes on a transaction. Its profile and account must exist. Key, token and payload are copied.
+func (h ClientHandler) TransactionReceived(m *wire.Ask) {
+	ev := h.newEvent(m)
 	ev.key = logic.Key(m.Key)
-	e.enqueue(&ev, m)
+	h.enqueue(&ev, m)
 }
 
-func (e ClientHandler) newEvent(m *wire.Ask) event {
-	return event{kind: eventTransaction, client: e.c, id: m.ID, profile: m.Profile, account: m.Account, timeLeft: m.Timeout, expectedWork: m.ExpectedWork,
+// newEvent returns the event of a transaction, without its key, token and payload.
+func (h ClientHandler) newEvent(m *wire.Ask) event {
+	return event{kind: eventTransaction, client: h.c, id: m.ID, profile: m.Profile, account: m.Account, timeLeft: m.Timeout, expectedWork: m.ExpectedWork,
 		isRetry: m.Retry}
 }
 
-// put keeps mark and payload beyond what they came in.
-func (e ClientHandler) enqueue(ev *event, m *wire.Ask) {
+// enqueue copies the deduplication token and the payload, whose memory the caller reuses, and puts the event into the
+// inbox.
+func (h ClientHandler) enqueue(ev *event, m *wire.Ask) {
 	if len(m.DeduplicationToken)+len(m.Payload) > 0 {
 		ev.buffer = getBuffer()
 		buffer := append(append((*ev.buffer)[:0], m.DeduplicationToken...), m.Payload...)
 		*ev.buffer = buffer
 		ev.dedupToken, ev.payload = buffer[:len(m.DeduplicationToken):len(m.DeduplicationToken)], buffer[len(m.DeduplicationToken):]
 	}
-	if !e.s.inbox.put(ev, true) {
-		e.refuse(ev)
+	if !h.s.inbox.put(ev, true) {
+		h.refuse(ev)
 	}
 }
 
-// refuse answers a request that the loop did not take and will not: it has ended.
-func (e ClientHandler) refuse(ev *event) {
+// refuse answers a transaction that came after the event loop had ended.
+func (h ClientHandler) refuse(ev *event) {
 	putBuffer(ev.buffer)
-	if !e.s.killed.Load() && e.c.link.Answer(&wire.Answer{ID: ev.id, Outcome: uint32(pb.Outcome_NOT_TAKEN)}) {
-		e.c.link.Flush()
+	if !h.s.killed.Load() && h.c.link.Answer(&wire.Answer{ID: ev.id, Outcome: uint32(pb.Outcome_NOT_TAKEN)}) {
+		h.c.link.Flush()
 	}
 }
 
-// Gone hears that the connection has ended.
-func (e ClientHandler) ConnectionClosed(reason error) {
+// ConnectionClosed reports that the connection has ended.
+func (h ClientHandler) ConnectionClosed(reason error) {
 	if reason != nil && !errors.Is(reason, wire.ErrClosed) {
-		e.s.metrics.protocolErrors.Inc()
-		e.s.log.Warn().Str("from", e.c.link.RemoteAddr()).Err(reason).Msg("connection closed")
+		h.s.metrics.protocolErrors.Inc()
+		h.s.log.Warn().Str("from", h.c.link.RemoteAddr()).Err(reason).Msg("connection closed")
 	}
-	e.s.inbox.put(&event{kind: eventClientClosed, client: e.c}, false)
+	h.s.inbox.put(&event{kind: eventClientClosed, client: h.c}, false)
 }
 
-// WayEar hears what comes on one way.
+// WorkerConnHandler receives what arrives on one connection to a worker.
 type WorkerConnHandler struct {
 	s *Sentry
 	c *pooledConn
 }
 
-// Welcome hears that the way may carry hand-offs.
-func (e WorkerConnHandler) Ready() { e.s.inbox.put(&event{kind: eventConnReady, conn: e.c}, false) }
+// Ready reports that the connection may carry hand-offs.
+func (h WorkerConnHandler) Ready() { h.s.inbox.put(&event{kind: eventConnReady, conn: h.c}, false) }
 
-// Done hears the end of a hand-off; the payload is copied.
-func (e WorkerConnHandler) HandOffEnded(m *wire.Done) {
-	ev := event{kind: eventWorkerAnswer, conn: e.c, id: m.ID, ended: m.Ending, held: m.InFlight, busy: m.CPUUse, served: m.ServedRate}
+// HandOffEnded reports the end of a hand-off. The payload is copied.
+func (h WorkerConnHandler) HandOffEnded(m *wire.Done) {
+	ev := event{kind: eventWorkerAnswer, conn: h.c, id: m.ID, ending: m.Ending, inFlight: m.InFlight, busyShare: m.CPUUse, servedRate: m.ServedRate}
 	if len(m.Payload) > 0 {
 		ev.buffer = getBuffer()
 		*ev.buffer = append((*ev.buffer)[:0], m.Payload...)
 		ev.payload = *ev.buffer
 	}
-	e.s.inbox.put(&ev, false)
+	h.s.inbox.put(&ev, false)
 }
 
-// Lost hears that the way has ended.
-func (e WorkerConnHandler) ConnectionClosed(reason error) {
+// ConnectionClosed reports that the connection has ended.
+func (h WorkerConnHandler) ConnectionClosed(reason error) {
 	if reason != nil && !errors.Is(reason, wire.ErrClosed) {
-		e.s.metrics.protocolErrors.Inc()
-		e.s.log.Warn().Str("worker", string(e.c.worker.id)).Err(reason).Msg("connection closed")
+		h.s.metrics.protocolErrors.Inc()
+		h.s.log.Warn().Str("worker", string(h.c.worker.id)).Err(reason).Msg("connection closed")
 	}
-	e.s.inbox.put(&event{kind: eventConnClosed, conn: e.c}, false)
+	h.s.inbox.put(&event{kind: eventConnClosed, conn: h.c}, false)
 }
 
-// MostSaid bounds a message between sentries, in bytes.
+// MaxPeerMessageBytes bounds a message between sentries.
 const MaxPeerMessageBytes = 256
 
-// Reported hears a list or what has changed of it, or that it was refused. When its turn comes, the loop asks whether it is
-// still to be taken: what has told it may be outdated by then.
+// ListReceived passes on a full list, an update of it, or its refusal. When the event loop reaches the event it calls
+// stillWanted and ignores the report if that is false: the request that it answers may have been replaced since.
 func (s *Sentry) ListReceived(m *pb.Report, stillWanted func() bool) {
 	s.inbox.put(&event{kind: eventList, report: m, stillWanted: stillWanted}, true)
 }
 
-// ReportRefused hears that a call for the list has failed or a watch has ended; busy says that the call was turned away.
+// ListRequestFailed reports that a request for the list has failed or a watch has ended. busy means that discovery
+// turned the request away.
 func (s *Sentry) ListRequestFailed(busy bool, stillWanted func() bool) {
-	s.inbox.put(&event{kind: eventListRequestFailed, overloaded: busy, stillWanted: stillWanted}, true)
+	s.inbox.put(&event{kind: eventListRequestFailed, discoveryBusy: busy, stillWanted: stillWanted}, true)
 }
 
-// ReportBegun hears that a list has begun to come some time ago and is not whole yet. When its turn comes, the loop asks
-// whether that still matters.
+// ListPartlyReceived reports that a list started to arrive some time ago and is not complete yet. The event loop
+// ignores it if stillWanted returns false.
 func (s *Sentry) ListPartlyReceived(ago time.Duration, stillWanted func() bool) {
 	s.inbox.put(&event{kind: eventListPartlyReceived, startedAgo: logic.Micros(ago / time.Microsecond), stillWanted: stillWanted}, true)
 }
 
-// ListUnsure tells the module that what discovery tells from a time on counts as told and may not arrive. It is called on
-// the loop.
+// ListMayBeStale reports to the module that updates which discovery has sent since a time may not arrive, although
+// discovery counts them as delivered. It must be called on the event loop.
 func (s *Sentry) ListMayBeStale(since logic.Micros) {
-	s.log.Warn().Dur("since_ms", toDuration(since-s.now)).Msg("list in doubt: discovery may have told what has not arrived")
+	s.log.Warn().Dur("since_ms", toDuration(since-s.now)).Msg("worker list may be stale: updates that discovery has sent may not have arrived")
 	s.deliver(input.Input{Kind: input.ListMayBeStale, StaleSince: since})
 }
 
-// Now is the loop's time. It is called on the loop.
+// Now returns the event loop's time. It must be called on the event loop.
 func (s *Sentry) Now() logic.Micros { return s.now }
 
-// Told hears the platform's news.
+// ReleaseUpdated passes on a release status from the platform.
 func (s *Sentry) ReleaseUpdated(m *pb.News) { s.inbox.put(&event{kind: eventRelease, status: m}, true) }
 
-// Said hears a peer's message.
+// PeerMessageReceived passes on a message of a peer.
 func (s *Sentry) PeerMessageReceived(from logic.SentryID, body []byte) {
 	s.inbox.put(&event{kind: eventPeerMessage, client: &client{position: from}, payload: body}, true)
 }
 
-// Unanswered hears that no answer will come to some votes any more.
+// VotesTimedOut reports that no answers will come to some votes.
 func (s *Sentry) VotesTimedOut(votes []uint64) {
 	for _, id := range votes {
 		s.inbox.put(&event{kind: eventVoteTimedOut, id: id}, false)
 	}
 }
 
+// voteTimedOut reports to the module that a vote has timed out, unless it was answered or has timed out before.
 func (s *Sentry) voteTimedOut(id uint64) {
 	if s.pendingVotes[id] {
 		delete(s.pendingVotes, id)
@@ -210,16 +215,16 @@
 	}
 }
 
-// frames are the ends on the frame layer.
+// frameTransport is the Transport for the frame protocol of package wire.
 type frameTransport struct {
 	*Sentry
 	server *wire.Server
-	bounds wire.Limits // no new orders change them
+	limits wire.Limits // fixed at the start: a reload does not change them
 }
 
 func (f *frameTransport) Listen(s *Sentry) (string, error) {
-	f.bounds = s.linkBounds()
-	server, err := wire.Serve(s.settings.Endpoints.Listen, f.bounds, s.accept)
+	f.limits = s.linkLimits()
+	server, err := wire.Serve(s.settings.Endpoints.Listen, f.limits, s.accept)
 	if err != nil {
 		return "", fmt.Errorf("listen on %s: %w", s.settings.Endpoints.Listen, err)
 	}
@@ -248,10 +253,12 @@
 	f.server.Close()
 }
 
+// How long Close waits for clients to close their connections.
 const (
-	// A client that has acknowledged all and does not close at the end of the stream is closed after this.
+	// A client that has acknowledged all data and does not close its connection at the end of the stream is closed
+	// after this.
 	lingerTime = 20 * time.Millisecond
-	// One that has sent what was not read may have yet to come to its answers, and has longer.
+	// A client that has sent data which was not read may not have read its answers yet, and gets more time.
 	maxLingerTime = 250 * time.Millisecond
 )
 
@@ -284,8 +291,8 @@
 
 func (f *frameTransport) AnswersInOrder() bool { return false }
 
-func (f *frameTransport) Dial(handler WorkerConnHandler, address string, limit time.Duration) (WorkerConn, error) {
-	link, err := wire.Dial(address, limit, f.bounds,
+func (f *frameTransport) Dial(handler WorkerConnHandler, address string, timeout time.Duration) (WorkerConn, error) {
+	link, err := wire.Dial(address, timeout, f.limits,
 		func(_ *wire.Link, kind wire.Kind, body []byte) error { return f.handleWorkerFrame(handler, kind, body) },
 		func(_ *wire.Link, reason error) { handler.ConnectionClosed(reason) })
 	if err != nil {
@@ -294,12 +301,13 @@
 	return &frameWorkerConn{link, f.Sentry}, nil
 }
 
-// frameCaller is a Caller on frames.
+// frameClientConn is a ClientConn on the frame protocol.
 type frameClientConn struct{ *wire.Link }
 
 func (f frameClientConn) Answer(a *wire.Answer) bool { return f.PutUnbounded(wire.KindAnswer, a) }
 
-// frameWay is a Way on frames: hand-offs in any order, and a worker told of what is given up.
+// frameWorkerConn is a WorkerConn on the frame protocol: answers come in any order, and the worker is sent
+// cancellations.
 type frameWorkerConn struct {
 	*wire.Link
 	s *Sentry
--- a/internal/sentry/inbox.go
+++ b/internal/sentry/inbox.go
@@ -9,8 +9,8 @@
 	"scalechute/logic"
 )
 
-// clock counts whole microseconds on the monotonic clock. It does not begin at 0, so that a worker's start before
-// this sentry's has a time of its own; what started earlier still counts as long ago.
+// clock counts whole microseconds on the monotonic clock. It starts at clockStartMicros rather than 0, so that the
+// start of a worker up to an hour before the sentry's still has a positive time; earlier starts count as long ago.
 type clock struct{ base time.Time }
 
 const clockStartMicros = logic.Micros(3_600_000_000)
@@ -23,6 +23,7 @@
 
 func toDuration(m logic.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
+// eventKind says what an event reports.
 type eventKind uint8
 
 const (
@@ -50,55 +51,57 @@
 	eventAnswerWithin
 )
 
-// event is what a socket has brought, stamped when it was taken into the inbox.
+// event is an item of the inbox, with the time at which it was put there. Most events report what arrived on a socket.
 type event struct {
-	at         logic.Micros
-	kind       eventKind
-	profile    uint32
-	account    uint32
-	ended      uint32
-	held       uint32
-	busy       uint32
-	served     uint32
-	isRetry    bool
-	overloaded bool // away: discovery was busy
-
-	noRouteReason uint8 // why no route takes it, 0 if one does or none is asked
+	at            logic.Micros
+	kind          eventKind
+	profile       uint32
+	account       uint32
+	ending        uint32
+	inFlight      uint32
+	busyShare     uint32
+	servedRate    uint32
+	isRetry       bool
+	discoveryBusy bool // discovery turned the request away
+
+	noRouteReason uint8 // why no route applies; 0 if one does, or if the transaction has no attributes
 	id            uint64
 	timeLeft      uint64
 	expectedWork  uint64
 	key           logic.Key
 	dedupToken    []byte
 	payload       []byte
-	buffer        *[]byte // that mark and payload lie in
+	buffer        *[]byte // holds dedupToken and payload
 	client        *client
 	conn          *pooledConn
 	worker        *worker
 	upstream      *upstream
-	upstreamLink  *wire.Link // of an upstream
+	upstreamLink  *wire.Link // of an upstream connection
 	workerLink    WorkerConn
 	err           error
 	report        *pb.Report
-	startedAgo    logic.Micros // of a list that is not whole: since its first byte
-	stillWanted   func() bool  // whether the report is to be taken, nil if it always is
+	startedAgo    logic.Micros // of an incomplete list: time since its first byte
+	stillWanted   func() bool  // reports whether the event still applies; nil if it always does
 	status        *pb.News
 	counts        *pb.Counts
 	call          func()
 }
 
-// buffers hold what came in frames until the loop is done with it. A large one is not kept.
+// buffers is a pool of buffers for payloads, which are needed until the event loop has processed them.
 var buffers = sync.Pool{New: func() any { return new([]byte) }}
 
 func getBuffer() *[]byte { return buffers.Get().(*[]byte) }
 
+// putBuffer returns a buffer for reuse. Ones of more than 64 KiB are left to the garbage collector.
 func putBuffer(b *[]byte) {
 	if b != nil && cap(*b) <= 64<<10 {
 		buffers.Put(b)
 	}
 }
 
-// inbox holds what waits for the loop, in the order taken. What clients and peers send waits for room; what ends
-// or answers something does not, since its number is bounded by what is open.
+// inbox is the queue of events for the event loop, in order of arrival. Events that others initiate (clients, peers,
+// discovery, the control plane) wait while it is full. Events that end or answer something do not wait: their number
+// is bounded by that of open hand-offs, dials and requests.
 type inbox struct {
 	mu        sync.Mutex
 	notFull   *sync.Cond
@@ -107,7 +110,7 @@
 	closed    bool
 	clock     clock
 	wakeUp    chan struct{}
-	fullWaits int // puts that had to wait, for the metrics
+	fullWaits int // number of puts that had to wait, for the metrics
 }
 
 func newInbox(capacity int, c clock) *inbox {
@@ -116,7 +119,8 @@
 	return q
 }
 
-// put takes an event, and says whether it did: not once the inbox is closed.
+// put appends an event and reports whether it did. It does not once the inbox is closed. With mayWait it blocks while
+// the inbox is full.
 func (q *inbox) put(e *event, mayWait bool) bool {
 	q.mu.Lock()
 	if mayWait && len(q.events) >= q.capacity && !q.closed {
@@ -142,7 +146,7 @@
 	return true
 }
 
-// take swaps what waits for an empty slice.
+// take returns all waiting events, and keeps the empty slice for new ones.
 func (q *inbox) take(empty []event) []event {
 	q.mu.Lock()
 	events := q.events
@@ -154,7 +158,7 @@
 	return events
 }
 
-// close takes nothing more, and gives what was not taken from it.
+// close makes the inbox reject further events, and returns those that were not taken.
 func (q *inbox) close() []event {
 	q.mu.Lock()
 	remaining := q.events
@@ -168,6 +172,7 @@
 	return remaining
 }
 
+// stats returns the number of waiting events, and how often a put had to wait.
 func (q *inbox) stats() (waiting, fullWaits int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/sentry/metrics.go
+++ b/internal/sentry/metrics.go
@@ -16,12 +16,14 @@
 	"scalechute/logic"
 )
 
+// outcomeNames holds the label values of outcomes.
 var outcomeNames = [...]string{"satisfied", "deferred", "written_off"}
 
+// endingNames holds the label values of the endings of hand-offs.
 var endingNames = [...]string{"answered", "errored", "turned_away", "timed_out", "unconnected", "broken",
 	"cancelled", "unsent", "spoilt"}
 
-// metrics are what the sentry counts. The counters are looked up once: the loop only adds.
+// metrics holds the sentry's counters. They are looked up once, so that the event loop only increments them.
 type metrics struct {
 	registry *prometheus.Registry
 	taken    []prometheus.Counter
@@ -37,7 +39,7 @@
 	takenByProfile, outcomesByProfile *prometheus.CounterVec
 
 	mu           sync.Mutex
-	answerTimes  []*hdrhistogram.Histogram // by profile, microseconds to a satisfying answer
+	answerTimes  []*hdrhistogram.Histogram // by profile, microseconds to a satisfied answer
 	profileNames []string
 
 	server  *http.Server
@@ -52,37 +54,37 @@
 		return c
 	}
 	counter := func(name, help string) prometheus.Counter { return counterVec(name, help).WithLabelValues() }
-	m.takenByProfile = counterVec("transactions_taken_total", "Transactions taken.", "profile")
+	m.takenByProfile = counterVec("transactions_taken_total", "Transactions accepted.", "profile")
 	m.outcomesByProfile = counterVec("answers_total", "Final answers.", "profile", "outcome")
 	endings := counterVec("hand_off_ends_total", "Ends of hand-offs.", "ending")
 	for i, e := range endingNames {
 		m.endings[i] = endings.WithLabelValues(e)
 	}
-	m.clientsLeft = counter("clients_left_total", "Transactions whose client left before its answer.")
-	m.notTaken = counter("not_taken_total", "Transactions refused before they were taken.")
-	unrouted := counterVec("unrouted_total", "Transactions that no route took.", "reason")
+	m.clientsLeft = counter("clients_left_total", "Transactions whose client left before their final answer.")
+	m.notTaken = counter("not_taken_total", "Transactions refused before they were accepted.")
+	unrouted := counterVec("unrouted_total", "Transactions with attributes to which no route applied.", "reason")
 	for i, name := range noRouteReasonNames[1:] {
 		m.noRoute[i+1] = unrouted.WithLabelValues(name)
 	}
-	m.unknownAttributes = counter("attributes_unknown_total", "Attributes that came and are not declared.")
-	m.typeMismatches = counter("attributes_misfit_total", "Attributes that came and do not fit their type; they count as missing.")
-	m.settingsLoaded = counter("orders_loaded_total", "Loads of orders that were taken.")
-	m.settingsRefused = counter("orders_refused_total", "Loads of orders that were refused.")
-	m.overdue = counter("overdue_total", "Transactions that the module left unanswered; always 0.")
-	m.protocolErrors = counter("connection_faults_total", "Connections closed for what came over them.")
+	m.unknownAttributes = counter("attributes_unknown_total", "Attributes received that are not declared.")
+	m.typeMismatches = counter("attributes_misfit_total", "Attributes received with a value that does not match their type; they count as missing.")
+	m.settingsLoaded = counter("orders_loaded_total", "Reloads of the settings that were applied.")
+	m.settingsRefused = counter("orders_refused_total", "Reloads of the settings that were refused.")
+	m.overdue = counter("overdue_total", "Transactions that the decision module did not end in time; always 0.")
+	m.protocolErrors = counter("connection_faults_total", "Protocol errors: connections closed and messages ignored because of invalid data.")
 	m.handOffs = counter("hand_offs_total", "Hand-offs written to a worker.")
-	m.dials = counter("dials_total", "Connections to workers begun.")
-	m.lateEnds = counter("late_ends_total", "Answers of workers to hand-offs that had ended.")
-	m.fullLists = counter("whole_lists_total", "Whole lists received.")
-	m.handOffsOnOldLists = counter("attempts_on_old_lists_total", "Servers that got an attempt while discovery had confirmed nothing for 4 s, each time once.")
-	m.expiredHandOffs = counter("attempts_expired_total", "Attempts not written because the list that they rest on could not be relied on any more.")
+	m.dials = counter("dials_total", "Connections to workers dialed.")
+	m.lateEnds = counter("late_ends_total", "Answers of workers to hand-offs that had already ended.")
+	m.fullLists = counter("whole_lists_total", "Full worker lists received.")
+	m.handOffsOnOldLists = counter("attempts_on_old_lists_total", "Workers that received a hand-off when discovery had sent no update for 4 s, counted once per worker and update.")
+	m.expiredHandOffs = counter("attempts_expired_total", "Hand-offs not sent because the lease on the worker list that they rely on had expired.")
 	m.votes = counter("votes_total", "Votes sent.")
 	m.messagesSent = counter("messages_total", "Messages sent to peers.")
 	gauge := func(name, help string, f func() float64) {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(
 			prometheus.GaugeOpts{Namespace: "scalechute", Name: name, Help: help}, f))
 	}
-	gauge("inbox_waiting", "Inputs that wait for the loop.", func() float64 {
+	gauge("inbox_waiting", "Events that wait for the event loop.", func() float64 {
 		n, _ := s.inbox.stats()
 		return float64(n)
 	})
@@ -92,7 +94,7 @@
 		}
 		return 0
 	})
-	gauge("inbox_full_waits", "Times that reading stopped because the inbox was full.", func() float64 {
+	gauge("inbox_full_waits", "Times that reading from a connection stopped because the inbox was full.", func() float64 {
 		_, n := s.inbox.stats()
 		return float64(n)
 	})
@@ -100,7 +102,7 @@
 	return m
 }
 
-// name gives each place of a profile its counters: a new one new ones, one that was there keeps its own.
+// setProfiles assigns counters to each profile slot. A slot whose profile is unchanged keeps its counters.
 func (m *metrics) setProfiles(profiles []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,19 +132,21 @@
 	}
 	if o == pb.Outcome_SATISFIED {
 		m.mu.Lock()
-		_ = m.answerTimes[t.profile].RecordValue(max(1, int64(now-t.arrivedAt))) // longer than its hour is not recorded
+		_ = m.answerTimes[t.profile].RecordValue(max(1, int64(now-t.arrivedAt))) // values above one hour are not recorded
 		m.mu.Unlock()
 	}
 }
 
-// times gives the histograms' quantiles as summaries.
+// answerTimeCollector exports the quantiles of the histograms as summaries.
 type answerTimeCollector struct{ m *metrics }
 
-var answerTimeDesc = prometheus.NewDesc("scalechute_answer_seconds", "Time from taking a transaction to its satisfying "+
+var answerTimeDesc = prometheus.NewDesc("scalechute_answer_seconds", "Time from accepting a transaction to its satisfied "+
 	"answer, at the sentry, since its start.", []string{"profile"}, nil)
 
+// Describe implements prometheus.Collector.
 func (t answerTimeCollector) Describe(out chan<- *prometheus.Desc) { out <- answerTimeDesc }
 
+// Collect implements prometheus.Collector.
 func (t answerTimeCollector) Collect(out chan<- prometheus.Metric) {
 	t.m.mu.Lock()
 	defer t.m.mu.Unlock()
@@ -181,7 +185,8 @@
 	}
 }
 
-// Count reads a counter by name, for tests and reports: its labels joined in the order of their names.
+// CounterValues returns the values of a counter or gauge by its labels, for tests and reports. The labels' values are
+// joined with slashes, in the order of the labels' names.
 func (s *Sentry) CounterValues(name string) map[string]float64 {
 	found := map[string]float64{}
 	families, err := s.metrics.registry.Gather()
--- a/internal/sentry/routing.go
+++ b/internal/sentry/routing.go
@@ -12,23 +12,24 @@
 	"scalechute/logic"
 )
 
-// routing is the routes in use. A transaction that carries attributes is judged when its frame is read, on the poller, by
-// the one routing that it finds then; what it got it keeps, however often it is handed off and whatever is loaded later.
+// routing is a snapshot of the settings and the routes in use. A transaction with attributes is routed once, when its
+// frame is read on the poller. It keeps the profile, account and key that it got then for all its hand-offs, also
+// across reloads.
 type routing struct {
 	settings *orders.Settings
-	routeSet *routes.Book // nil if it has none
-	matchers sync.Pool    // of *judge
+	routeSet *routes.Book // nil if the settings have no routes
+	matchers sync.Pool    // of *matcher
 }
 
-// judge is what reading and matching one transaction needs.
+// matcher holds the buffers for reading and matching the attributes of one transaction.
 type matcher struct {
 	routeSet       *routes.Book
 	record         *match.Record
 	reader         wire.AttributeReader
 	key            []byte
-	attributeIndex int   // attribute of this transaction
-	lastSlots      []int // places of the attributes, as the last one had them: most clients keep to one order
-	schemaSlot     int   // of the attribute in hand
+	attributeIndex int   // position of the current attribute in the transaction
+	lastSlots      []int // schema slots by position, from earlier transactions: most clients send attributes in the same order
+	schemaSlot     int   // schema slot of the current attribute, -1 if it is not declared
 	isNeededFunc   func(name []byte) bool
 	storeFunc      func(v *match.Carried)
 
@@ -36,96 +37,99 @@
 }
 
 func newRouting(settings *orders.Settings) *routing {
-	b := settings.Routes
-	r := &routing{settings: settings, routeSet: b}
-	if b == nil {
+	routeSet := settings.Routes
+	r := &routing{settings: settings, routeSet: routeSet}
+	if routeSet == nil {
 		return r
 	}
 	r.matchers.New = func() any {
-		j := &matcher{routeSet: b, record: b.Schema.NewRecord(), lastSlots: make([]int, len(b.Schema.Attributes))}
-		j.isNeededFunc, j.storeFunc = j.isNeeded, func(v *match.Carried) {
-			if b.Schema.Put(j.record, j.schemaSlot, v) != nil {
-				j.typeMismatches++
+		m := &matcher{routeSet: routeSet, record: routeSet.Schema.NewRecord(), lastSlots: make([]int, len(routeSet.Schema.Attributes))}
+		m.isNeededFunc, m.storeFunc = m.isNeeded, func(v *match.Carried) {
+			if routeSet.Schema.Put(m.record, m.schemaSlot, v) != nil {
+				m.typeMismatches++
 			}
 		}
-		return j
+		return m
 	}
 	return r
 }
 
-// want finds an attribute's place, and says whether anything depends on it.
-func (j *matcher) isNeeded(name []byte) bool {
-	s, n := j.routeSet.Schema, j.attributeIndex
-	j.attributeIndex++
-	if n >= len(j.lastSlots) {
-		j.schemaSlot = s.At(name)
-	} else if j.schemaSlot = j.lastSlots[n]; j.schemaSlot < 0 || s.Attributes[j.schemaSlot].Name != string(name) {
-		j.schemaSlot = s.At(name)
-		j.lastSlots[n] = j.schemaSlot
+// isNeeded looks up an attribute's schema slot and reports whether a route needs the attribute.
+func (m *matcher) isNeeded(name []byte) bool {
+	schema, index := m.routeSet.Schema, m.attributeIndex
+	m.attributeIndex++
+	if index >= len(m.lastSlots) {
+		m.schemaSlot = schema.At(name)
+	} else if m.schemaSlot = m.lastSlots[index]; m.schemaSlot < 0 || schema.Attributes[m.schemaSlot].Name != string(name) {
+		m.schemaSlot = schema.At(name)
+		m.lastSlots[index] = m.schemaSlot
 	}
-	if j.schemaSlot < 0 {
-		j.unknownAttributes++
+	if m.schemaSlot < 0 {
+		m.unknownAttributes++
 		return false
 	}
-	return j.routeSet.Table.Needs[j.schemaSlot]
+	return m.routeSet.Table.Needs[m.schemaSlot]
 }
 
-// Why a transaction with attributes is not taken.
+// Reasons why a transaction with attributes has no route.
 const (
-	reasonAbsent = iota + 1 // an attribute that must be there is missing
+	reasonAbsent = iota + 1 // a required attribute is missing
 	reasonNoMatch
-	reasonNoRoutes // the sentry has no routes
+	reasonNoRoutes // the settings have no routes
 )
 
+// noRouteReasonNames holds the label values of the reasons.
 var noRouteReasonNames = [...]string{reasonAbsent: "absent", reasonNoMatch: "no_match", reasonNoRoutes: "no_routes"}
 
-// judged fills in an event what its transaction's attributes say: profile, account and key, or why it is not taken.
+// routeTransaction sets the profile, account and key of an event by its transaction's attributes, or the reason why no
+// route applies.
 func (s *Sentry) routeTransaction(r *routing, e *event, attributes []byte) error {
 	if r.routeSet == nil {
 		e.noRouteReason = reasonNoRoutes
 		return nil
 	}
-	j := r.matchers.Get().(*matcher)
-	defer r.matchers.Put(j)
-	j.record.Clear()
-	j.attributeIndex, j.unknownAttributes, j.typeMismatches = 0, 0, 0
-	if err := j.reader.Read(attributes, j.isNeededFunc, j.storeFunc); err != nil {
-		return invalid("attributes that can't be read", "a message as the schema has it")
+	m := r.matchers.Get().(*matcher)
+	defer r.matchers.Put(m)
+	m.record.Clear()
+	m.attributeIndex, m.unknownAttributes, m.typeMismatches = 0, 0, 0
+	if err := m.reader.Read(attributes, m.isNeededFunc, m.storeFunc); err != nil {
+		return invalid("attributes that can't be read", "a message that follows the schema")
 	}
-	if j.unknownAttributes > 0 {
-		s.metrics.unknownAttributes.Add(float64(j.unknownAttributes))
+	if m.unknownAttributes > 0 {
+		s.metrics.unknownAttributes.Add(float64(m.unknownAttributes))
 	}
-	if j.typeMismatches > 0 {
-		s.metrics.typeMismatches.Add(float64(j.typeMismatches))
+	if m.typeMismatches > 0 {
+		s.metrics.typeMismatches.Add(float64(m.typeMismatches))
 	}
-	if r.routeSet.Schema.Absent(j.record) >= 0 {
+	if r.routeSet.Schema.Absent(m.record) >= 0 {
 		e.noRouteReason = reasonAbsent
 		return nil
 	}
-	at := r.routeSet.Table.First(j.record)
-	if at < 0 {
+	index := r.routeSet.Table.First(m.record)
+	if index < 0 {
 		e.noRouteReason = reasonNoMatch
 		return nil
 	}
-	x := &r.routeSet.Table.Routes[at]
-	j.key = r.routeSet.Table.AppendKey(at, j.key[:0], j.record)
-	e.profile, e.account, e.key = uint32(x.Profile), uint32(x.Account), logic.Key(j.key)
+	route := &r.routeSet.Table.Routes[index]
+	m.key = r.routeSet.Table.AppendKey(index, m.key[:0], m.record)
+	e.profile, e.account, e.key = uint32(route.Profile), uint32(route.Account), logic.Key(m.key)
 	return nil
 }
 
-// Sheet is what the sentry runs by. What is read to be loaded is read beside it.
+// Settings returns the settings in use. Settings for Reload must be read with orders.LoadUpdate or orders.ParseUpdate
+// against them.
 func (s *Sentry) Settings() *orders.Settings { return s.routing.Load().settings }
 
-// Reload takes the orders of a sheet that was read anew, whole, between two inputs of the loop. What was taken ends under
-// the profile that it came with; nothing that a rule counts starts anew. What a running sentry can't change is refused,
-// and the old orders stay.
+// Reload applies new settings atomically, between two inputs of the event loop. Open transactions end under the
+// profile that they arrived with, and no count of a rule is reset. If the settings change a value that cannot change
+// while the sentry runs, Reload returns an error and the old settings stay in use.
 func (s *Sentry) Reload(settings *orders.Settings) (err error) {
-	err = errors.New("the sentry has stopped, expected it to run")
+	err = errors.New("the sentry has stopped, expected a running one")
 	s.Inspect(func() { err = s.applySettings(settings) })
 	return err
 }
 
-// reorder is Reload on the loop.
+// applySettings is the part of Reload that runs on the event loop.
 func (s *Sentry) applySettings(settings *orders.Settings) error {
 	if conflicts := s.settings.Conflicts(settings); len(conflicts) > 0 {
 		return conflicts[0]
@@ -143,7 +147,7 @@
 	return nil
 }
 
-// Loaded books the outcome of a reload, with what was wrong.
+// RecordReload counts and logs the result of a reload.
 func (s *Sentry) RecordReload(settings *orders.Settings, err error) {
 	if err != nil {
 		s.metrics.settingsRefused.Inc()
--- a/internal/sentry/sentry.go
+++ b/internal/sentry/sentry.go
@@ -1,9 +1,11 @@
-// Package sentry runs one sentry: it tells the decision module what happens on the sockets and carries out what the
-// module rules. It decides nothing itself.
+// Package sentry runs one sentry: it reports what happens on the sockets to the decision module (package logic) and
+// executes the actions that the module returns. It makes no routing decision itself.
 //
-// One goroutine, the loop, owns the module and all that is known of transactions and connections. Everything that
-// happens reaches it through the inbox as an event with its time; the loop turns events and timers that come due
-// into a stream of input.Input, the only way in which the module is told anything. docs/sentry.md says why.
+// One goroutine, the event loop, owns the module and the state of all transactions and connections. Everything else
+// reaches it through the inbox as a timestamped event. The loop turns events and expired timers into a stream of
+// input.Input, which is the only way in which the module receives information. A Transport connects the loop to the
+// sockets: frameTransport for the frame protocol, package internal/platform for the platform's protocols.
+// docs/sentry.md gives the reasons for this design.
 package sentry
 
 import (
@@ -24,7 +26,7 @@
 	"scalechute/logic"
 )
 
-// Sentry is one running sentry.
+// Sentry is one running sentry. Start creates it.
 type Sentry struct {
 	settings   *orders.Settings
 	config     *logic.Config
@@ -39,38 +41,38 @@
 	breach     Breach
 	killed     atomic.Bool
 	routing    atomic.Pointer[routing]
-	listWrites sync.WaitGroup // of the list's file
+	listWrites sync.WaitGroup // of the worker list's file
 
-	// What follows belongs to the loop.
+	// The fields below are accessed by the event loop only.
 	decide           func(*input.Input) logic.Result
-	now              logic.Micros
+	now              logic.Micros // time of the current event or timer
 	pendingInputs    []input.Input
 	delivering       bool
-	result           logic.Result // of the input in hand; kept here since on the stack it would escape each time
+	result           logic.Result // of the current input; a local variable would be allocated on the heap for each input
 	wakeAt           logic.Micros
 	timers           timerHeap
-	transactions     map[logic.TransactionID]*transaction
-	openCount        int
+	transactions     map[logic.TransactionID]*transaction // open, or with open hand-offs
+	openCount        int                                  // transactions without a final answer whose client has not left
 	transactionSeq   uint64
-	idPrefix         string // tells this run's transactions from those of another
+	idPrefix         string // makes the transaction ids of this run distinct from those of other runs
 	freeTransactions []*transaction
 	unflushed        []flusher
 	workers          map[logic.WorkerID]*worker
-	conns            []*pooledConn // in the order in which they were opened
+	conns            []*pooledConn // in the order in which they were established
 	dials            int           // connections being opened
 	workerList       workerList
 	discovery        *upstream
 	controlPlane     *upstream
-	peers            []*upstream // by position, nil for those that are not told
+	peers            []*upstream // by position; nil for a sentry without an address
 	pendingVotes     map[uint64]bool
 	voteSeq          uint64
 	listSeq          uint64
-	listConfirmedAt  logic.Micros // when discovery last said how the list stands, at first the start
-	// the confirmation after which an attempt on an old list was told of
+	listConfirmedAt  logic.Micros // when discovery last sent an update of the list; at first, when the sentry started
+	// the value of listConfirmedAt for which a hand-off on an old list was last logged at level info
 	oldListLoggedFor logic.Micros
 	stopping         bool
-	answerBy         logic.Micros // every request has its final answer by then; 0 if there is no such time
-	cachedList       *pb.Report   // the list as it was remembered, nil if a file has it
+	answerBy         logic.Micros // deadline of all transactions, set by AnswerWithin; 0 if there is none
+	cachedList       *pb.Report   // from Options.CachedList; nil if the list is read from a file
 	scratch          struct {
 		answer wire.Answer
 		work   wire.Work
@@ -79,22 +81,22 @@
 	}
 }
 
-// Options are what a caller may add to a sentry's sheet.
+// Options are what a caller may set in addition to a sentry's settings.
 type Options struct {
 	Log        zerolog.Logger
-	Record     func(*input.Input, *logic.Result) // sees each input with what the module made of it, on the loop
-	Breach     Breach                            // breaks a rule on purpose, to try the auditor
-	Decide     func(*input.Input) logic.Result   // in the module's place: a baseline to compare with
-	Transport  Transport                         // frames if there are none
-	CachedList *pb.Report                        // the list as remembered, in place of the file
+	Record     func(*input.Input, *logic.Result) // called on the event loop for each input with the module's result
+	Breach     Breach                            // breaks a rule on purpose, to test the auditor
+	Decide     func(*input.Input) logic.Result   // replaces the decision module, for baselines and tests
+	Transport  Transport                         // nil for the frame protocol
+	CachedList *pb.Report                        // initial worker list, used in place of the file
 }
 
-// transaction is one that a client asked for and the sentry took.
+// transaction is one that a client sent and the sentry accepted.
 type transaction struct {
 	id           logic.TransactionID
-	gen          uint32 // tells the uses of this record apart
+	gen          uint32 // incremented each time this struct is reused
 	client       *client
-	idAtClient   uint64
+	idAtClient   uint64 // that the client chose; unique among the open ones of its connection
 	profile      uint32
 	key          logic.Key
 	dedupToken   []byte
@@ -104,33 +106,34 @@
 	deadline     logic.Micros
 	handOffs     []handOff
 	openHandOffs int
-	closed       bool
-	timerSlot    int // its place among the timers and one, 0 if it has none
+	closed       bool // it has its final answer, or its client has left
+	timerSlot    int  // its index in the timer heap plus one; 0 if it has no timer
 	buffer       *[]byte
 }
 
+// handOff is one attempt to have a worker process a transaction.
 type handOff struct {
 	worker    *worker
-	conn      *pooledConn // nil while it waits for a connection
+	conn      *pooledConn // nil while it is queued for a connection
 	id        uint64
 	startedAt logic.Micros
 	deadline  logic.Micros
-	sendBy    logic.Micros // not to be written later, 0 if there is no such limit
-	connectBy logic.Micros // without a connection by then, it is given up
+	sendBy    logic.Micros // it must not be written after this time; 0 if there is no such limit
+	connectBy logic.Micros // it ends if it has no connection by this time
 	ended     bool
 }
 
-// client is a connection of a client or of a peer.
+// client is a connection from a client or a peer.
 type client struct {
 	link          ClientConn
 	helloReceived bool
 	isPeer        bool
 	position      logic.SentryID
 	disconnected  bool
-	transactions  map[uint64]*transaction // by the client's id; the loop's
+	transactions  map[uint64]*transaction // by the client's id; accessed by the event loop only
 }
 
-// Start opens the sockets and begins to work.
+// Start opens the sockets and starts the event loop.
 func Start(settings *orders.Settings, opts Options) (*Sentry, error) {
 	s := &Sentry{
 		settings: settings, config: &settings.Policy, log: opts.Log, clock: newClock(), done: make(chan struct{}),
@@ -176,46 +179,48 @@
 	return s, nil
 }
 
-func (s *Sentry) linkBounds() wire.Limits {
+func (s *Sentry) linkLimits() wire.Limits {
 	return wire.Limits{MaxFrameBytes: s.settings.Bounds.FrameBytes, MaxPendingBytes: s.settings.Bounds.UnwrittenBytes}
 }
 
-// Address is where the sentry listens.
+// Address returns the address that the sentry listens on.
 func (s *Sentry) Address() string { return s.address }
 
-// Stop has the sentry take nothing new, answer all that it holds, and end. Done is closed then.
+// Stop makes the sentry accept no new transactions, answer all open ones and end. Done is closed then.
 func (s *Sentry) Stop() {
 	s.transport.StopListening()
 	s.inbox.put(&event{kind: eventStop}, false)
 }
 
-// AnswerWithin has every request, whether it is open or still to come, answered within a span from now.
+// AnswerWithin makes the sentry answer every transaction, open or future, within a duration from now.
 func (s *Sentry) AnswerWithin(d time.Duration) {
 	s.inbox.put(&event{kind: eventAnswerWithin, timeLeft: uint64(d / time.Microsecond)}, false)
 }
 
-// Done is closed when the sentry has ended.
+// Done returns a channel that is closed when the sentry has ended.
 func (s *Sentry) Done() <-chan struct{} { return s.done }
 
-// Inspect calls f on the loop, between two inputs, and waits for it.
+// Inspect calls f on the event loop, between two inputs, and waits for it to return or for the sentry to end.
 func (s *Sentry) Inspect(f func()) {
-	made := make(chan struct{})
-	s.inbox.put(&event{kind: eventCall, call: func() { f(); close(made) }}, false)
+	returned := make(chan struct{})
+	s.inbox.put(&event{kind: eventCall, call: func() { f(); close(returned) }}, false)
 	select {
-	case <-made:
+	case <-returned:
 	case <-s.done:
 	}
 }
 
-// accept makes a client of a new connection. Its frames are decoded on the poller and wait there for room.
+// accept registers a new connection as a client. Its frames are decoded on the poller, which blocks while the inbox is
+// full.
 func (s *Sentry) accept(l *wire.Link) (wire.Handler, func(*wire.Link, error)) {
 	handler := s.AddClient(frameClientConn{l})
 	return func(l *wire.Link, kind wire.Kind, body []byte) error { return s.handleClientFrame(handler, kind, body) },
 		func(_ *wire.Link, reason error) { handler.ConnectionClosed(reason) }
 }
 
-// Loop and timers.
+// Event loop and timers.
 
+// loop is the event loop. It ends once the sentry is stopping and no transaction is open, or when it is killed.
 func (s *Sentry) loop() {
 	defer close(s.done)
 	defer s.shutDown()
@@ -224,7 +229,7 @@
 	wakeUp := time.NewTimer(time.Hour)
 	defer wakeUp.Stop()
 	for {
-		now := s.clock.now() // before taking: whatever was taken into the inbox by then is in the batch
+		now := s.clock.now() // read before take: the batch then holds every event that was put up to this time
 		batch = s.inbox.take(batch)
 		if s.killed.Load() {
 			return
@@ -260,7 +265,8 @@
 	}
 }
 
-// fire handles all timers due before a time. What came in the same microsecond as a time-out goes first.
+// runTimers handles all timers that are due before a time, and advances the loop's time to at if any is due. An event
+// of the same microsecond as a timeout is thus handled before the timeout.
 func (s *Sentry) runTimers(before, at logic.Micros) {
 	for {
 		due := s.timers.nextDue()
@@ -279,6 +285,7 @@
 	}
 }
 
+// timer handles a timer that is due.
 func (s *Sentry) timer(t *timer) {
 	switch t.kind {
 	case timerTransaction:
@@ -294,7 +301,7 @@
 		switch {
 		case s.listSeq != t.id || !s.discovery.awaitsList:
 		case s.discovery.persistent && s.discovery.link != nil:
-			s.discovery.link.Close(wire.ErrClosed) // and is opened again, to be followed anew
+			s.discovery.link.Close(wire.ErrClosed) // it is then dialed again and the watch is restarted
 		default:
 			s.listRequestFailed("no answer", false)
 		}
@@ -311,7 +318,7 @@
 	}
 }
 
-// due is when something of a transaction is due next, 0 if nothing is.
+// nextDue returns when the next deadline of a transaction or of its hand-offs expires, 0 if there is none.
 func (t *transaction) nextDue(grace logic.Micros) (due logic.Micros) {
 	if !t.closed {
 		due = t.deadline + grace
@@ -329,22 +336,23 @@
 	return due
 }
 
-// alarm sets a transaction's timer for what is due next.
+// setTimer sets a transaction's timer to its next deadline.
 func (s *Sentry) setTimer(t *transaction) { s.timers.set(t, t.nextDue(s.config.AnswerGrace)) }
 
-// transactionDue ends the hand-offs whose time is up, and sees to it that no final answer is overdue.
+// handleTransactionTimer ends the hand-offs whose deadline has passed, and answers the transaction if its final answer
+// is overdue.
 func (s *Sentry) handleTransactionTimer(t *transaction, due logic.Micros) {
 	gen := t.gen
-	for n := 0; t.gen == gen && n < len(t.handOffs); n++ {
-		h := &t.handOffs[n]
+	for index := 0; t.gen == gen && index < len(t.handOffs); index++ {
+		h := &t.handOffs[index]
 		switch {
 		case h.ended:
 		case h.conn != nil && h.deadline <= due:
-			s.endHandOff(t, n, logic.TimedOut, logic.NoLoad)
-		case h.conn == nil && h.deadline <= due: // nothing of it was written
-			s.endHandOff(t, n, logic.Unsent, logic.NoLoad)
+			s.endHandOff(t, index, logic.TimedOut, logic.NoLoad)
+		case h.conn == nil && h.deadline <= due: // no byte of it was written
+			s.endHandOff(t, index, logic.Unsent, logic.NoLoad)
 		case h.conn == nil && h.connectBy <= due:
-			s.endHandOff(t, n, logic.Unconnected, logic.NoLoad)
+			s.endHandOff(t, index, logic.Unconnected, logic.NoLoad)
 		}
 	}
 	if t.gen != gen {
@@ -360,21 +368,21 @@
 	}
 }
 
-// answerOverdue gives the final answer to a request of which the module has not ruled in time. That is a fault, but for a
-// request whose time was cut short after the module had been told of it.
+// answerOverdue sends the final answer of a transaction that the module has not ended in time. This is an error of the
+// module, unless AnswerWithin shortened the deadline after the module had received the transaction.
 func (s *Sentry) answerOverdue(t *transaction) {
 	outcome := pb.Outcome_WRITTEN_OFF
 	switch {
 	case t.deadline != s.answerBy:
 		s.metrics.overdue.Inc()
-		s.log.Error().Str("transaction", string(t.id)).Msg("no final answer in time, written off")
+		s.log.Error().Str("transaction", string(t.id)).Msg("no final answer before the deadline; transaction written off")
 	case logic.FinalAction(len(t.handOffs)) == logic.Defer:
 		outcome = pb.Outcome_NOT_TAKEN
 	}
 	s.sendAnswer(t, outcome, 0, nil, nil)
 }
 
-// answerAllBy cuts short the time of all requests that are open, and of those to come.
+// shortenDeadlines limits the deadlines of all open and all future transactions.
 func (s *Sentry) shortenDeadlines(by logic.Micros) {
 	s.answerBy = by
 	for _, t := range s.transactions {
@@ -385,6 +393,7 @@
 	}
 }
 
+// event handles an event of the inbox.
 func (s *Sentry) event(e *event) {
 	switch e.kind {
 	case eventTransaction:
@@ -397,9 +406,10 @@
 		}
 	case eventClientClosed:
 		e.client.disconnected = true
-		// The latest first: what waits for room must not get that of one before it.
+		// The latest transaction first: ending an earlier one may free capacity, which a later one of this client must
+		// not get.
 		for _, id := range slices.Backward(slices.Sorted(maps.Keys(e.client.transactions))) {
-			if t := e.client.transactions[id]; t != nil { // one that left may have closed another
+			if t := e.client.transactions[id]; t != nil { // ending one transaction may have ended another
 				s.handleClientLeft(t)
 			}
 		}
@@ -410,7 +420,7 @@
 	case eventConnReady:
 		s.handleConnReady(e.conn)
 	case eventProbeAnswer:
-		s.deliver(input.Input{Kind: input.ProbeAnswered, Worker: e.conn.worker.id, Held: float64(e.held) - 1})
+		s.deliver(input.Input{Kind: input.ProbeAnswered, Worker: e.conn.worker.id, InFlight: float64(e.inFlight) - 1})
 	case eventUpstreamDialed:
 		s.handleUpstreamDialed(e.upstream, e.upstreamLink, e.err)
 	case eventUpstreamClosed:
@@ -421,7 +431,7 @@
 		}
 	case eventListRequestFailed:
 		if e.stillWanted() {
-			s.listRequestFailed("refused", e.overloaded)
+			s.listRequestFailed("refused", e.discoveryBusy)
 		}
 	case eventListPartlyReceived:
 		if e.stillWanted() {
@@ -441,7 +451,7 @@
 	case eventStop:
 		if !s.stopping {
 			s.stopping = true
-			s.log.Info().Int("open", s.openCount).Msg("stopping: nothing new is taken")
+			s.log.Info().Int("open", s.openCount).Msg("stopping: no new transactions are accepted")
 		}
 	case eventAnswerWithin:
 		s.shortenDeadlines(e.at + logic.Micros(e.timeLeft))
@@ -452,7 +462,8 @@
 	}
 }
 
-// tell gives the module one input and carries out what it rules. What that brings about at once waits its turn.
+// deliver passes one input to the module and executes the resulting actions. Inputs that these actions cause are
+// queued and delivered afterwards, in order.
 func (s *Sentry) deliver(in input.Input) {
 	s.pendingInputs = append(s.pendingInputs, in)
 	if s.delivering {
@@ -487,22 +498,23 @@
 	s.delivering = false
 }
 
+// execute carries out the actions and requests in a result of the module.
 func (s *Sentry) execute(r *logic.Result) {
 	for i := range r.Actions {
-		x := &r.Actions[i]
-		t := s.transactions[x.Transaction]
+		action := &r.Actions[i]
+		t := s.transactions[action.Transaction]
 		if t == nil {
-			s.log.Error().Str("transaction", string(x.Transaction)).Msg("ruling on a transaction that is not open")
+			s.log.Error().Str("transaction", string(action.Transaction)).Msg("action for a transaction that is not open")
 			continue
 		}
-		switch x.Kind {
+		switch action.Kind {
 		case logic.HandOff:
-			s.handOff(t, x)
-			s.breachHandOffRules(t, x)
+			s.handOff(t, action)
+			s.breachHandOffRules(t, action)
 		case logic.CancelHandOff:
-			s.cancelHandOff(t, x.HandOffNumber)
+			s.cancelHandOff(t, action.HandOffNumber)
 		case logic.Defer:
-			s.sendAnswer(t, pb.Outcome_DEFERRED, x.RetryAfter, nil, nil)
+			s.sendAnswer(t, pb.Outcome_DEFERRED, action.RetryAfter, nil, nil)
 			s.releaseIfDone(t)
 		case logic.WriteOff:
 			s.sendAnswer(t, pb.Outcome_WRITTEN_OFF, 0, nil, nil)
@@ -524,13 +536,14 @@
 	for _, m := range r.Messages {
 		s.sendToPeers(m)
 	}
-	for _, n := range r.LogLines {
-		s.log.Info().Str("from", "module").Msg(n)
+	for _, line := range r.LogLines {
+		s.log.Info().Str("from", "module").Msg(line)
 	}
 }
 
 // Clients.
 
+// handleClientFrame decodes a frame of a client or a peer. It runs on the poller.
 func (s *Sentry) handleClientFrame(handler ClientHandler, kind wire.Kind, body []byte) error {
 	c := handler.c
 	if !c.helloReceived {
@@ -544,7 +557,7 @@
 			return err
 		}
 		if count := len(r.settings.ProfileNames); int(m.Profile) >= count {
-			return invalid("profile "+strconv.Itoa(int(m.Profile)), "one of "+strconv.Itoa(count))
+			return invalid("profile "+strconv.Itoa(int(m.Profile)), "a number below "+strconv.Itoa(count))
 		}
 		if count := len(r.settings.AccountNames); int(m.Account) > count {
 			return invalid("account "+strconv.Itoa(int(m.Account)), "at most "+strconv.Itoa(count))
@@ -570,7 +583,7 @@
 			return err
 		}
 		if count := len(r.settings.ProfileNames); int(m.Profile) >= count {
-			return invalid("profile "+strconv.Itoa(int(m.Profile)), "one of "+strconv.Itoa(count))
+			return invalid("profile "+strconv.Itoa(int(m.Profile)), "a number below "+strconv.Itoa(count))
 		}
 		s.inbox.put(&event{kind: eventComplaint, profile: m.Profile, key: logic.Key(m.Worker), timeLeft: m.Age}, true)
 		return nil
@@ -585,9 +598,10 @@
 		s.inbox.put(&event{kind: eventPeerMessage, client: c, payload: m.Body}, true)
 		return nil
 	}
-	return invalid("a frame of kind "+strconv.Itoa(int(kind)), "one that this side may send")
+	return invalid("a frame of kind "+strconv.Itoa(int(kind)), "one that this role may send")
 }
 
+// handleHello checks the first frame of a connection, and sets the connection's role.
 func (s *Sentry) handleHello(c *client, kind wire.Kind, body []byte) error {
 	if kind != wire.KindHello {
 		return invalid("a frame of kind "+strconv.Itoa(int(kind)), "a hello first")
@@ -602,7 +616,7 @@
 	switch m.Role {
 	case pb.Hello_CLIENT:
 	case pb.Hello_PEER:
-		if o := &s.routing.Load().settings.Policy; int(m.Position) >= o.Sentries || logic.SentryID(m.Position) == o.Position {
+		if config := &s.routing.Load().settings.Policy; int(m.Position) >= config.Sentries || logic.SentryID(m.Position) == config.Position {
 			return invalid("a peer at position "+strconv.Itoa(int(m.Position)), "that of another sentry")
 		}
 		c.isPeer, c.position = true, logic.SentryID(m.Position)
@@ -613,8 +627,11 @@
 	return nil
 }
 
+// invalid returns an error that closes the connection.
 func invalid(found, expected string) error { return &wire.FrameError{Found: found, Expected: expected} }
 
+// acceptTransaction creates the transaction of an event and delivers it to the module. It answers one that it cannot
+// accept.
 func (s *Sentry) acceptTransaction(e *event) {
 	c := e.client
 	if c.disconnected {
@@ -630,7 +647,7 @@
 		c.link.Close(wire.ErrClosed)
 		return
 	}
-	// A profile may have gone since the frame was read.
+	// The profile may have been removed since the frame was read.
 	if s.stopping || s.answerBy != 0 && e.at >= s.answerBy || s.openCount >= s.settings.Bounds.OpenTransactions || e.noRouteReason == 0 && !s.settings.AcceptsProfile(int(e.profile)) {
 		s.metrics.notTaken.Inc()
 		a := &s.scratch.answer
@@ -663,6 +680,7 @@
 		Deadline: t.deadline, ExpectedWork: logic.Micros(e.expectedWork), IsRetry: e.isRetry}})
 }
 
+// newTransaction returns an empty transaction with a new id.
 func (s *Sentry) newTransaction() *transaction {
 	var t *transaction
 	if n := len(s.freeTransactions); n > 0 {
@@ -676,7 +694,7 @@
 	return t
 }
 
-// answer sends the one final answer.
+// sendAnswer sends the final answer of a transaction, unless it has one or its client has left.
 func (s *Sentry) sendAnswer(t *transaction, o pb.Outcome, retryAfter logic.Micros, payload, worker []byte) {
 	if t.closed {
 		return
@@ -687,7 +705,7 @@
 	s.metrics.recordAnswer(t, o, s.now)
 	if o != pb.Outcome_SATISFIED {
 		s.log.Debug().Str("request", string(t.id)).Stringer("outcome", o).Int("attempts", len(t.handOffs)).
-			Dur("after_ms", toDuration(s.now-t.arrivedAt)).Msg("request ended without a server's answer")
+			Dur("after_ms", toDuration(s.now-t.arrivedAt)).Msg("transaction ended without a worker's answer")
 	}
 	a := &s.scratch.answer
 	*a = wire.Answer{ID: t.idAtClient, Outcome: uint32(o), RetryAfter: uint64(retryAfter), Payload: payload, Worker: worker,
@@ -697,6 +715,7 @@
 	s.setTimer(t)
 }
 
+// handleClientLeft closes a transaction whose client no longer waits for its answer.
 func (s *Sentry) handleClientLeft(t *transaction) {
 	if t.closed {
 		return
@@ -709,7 +728,7 @@
 	s.releaseIfDone(t)
 }
 
-// drop forgets a transaction that is closed and has nothing out.
+// releaseIfDone releases a transaction that is closed and has no open hand-offs, and keeps its struct for reuse.
 func (s *Sentry) releaseIfDone(t *transaction) {
 	if !t.closed || t.openHandOffs > 0 || s.transactions[t.id] != t {
 		return
@@ -717,23 +736,24 @@
 	delete(s.transactions, t.id)
 	s.timers.set(t, 0)
 	putBuffer(t.buffer)
-	sends, gen := t.handOffs[:0], t.gen+1
+	handOffs, gen := t.handOffs[:0], t.gen+1
 	clear(t.handOffs)
-	*t = transaction{gen: gen, handOffs: sends}
+	*t = transaction{gen: gen, handOffs: handOffs}
 	if len(s.freeTransactions) < 4096 {
 		s.freeTransactions = append(s.freeTransactions, t)
 	}
 }
 
-// put has an answer written at the end of the batch. How much waits for a client by then is no reason to let it go: the links
-// judge by the client's socket whether it reads, and stop reading from one for which much waits.
+// queueAnswer queues an answer, to be written at the end of the batch. The amount of unwritten data is no reason to
+// close a client's connection here: the link detects by the client's socket whether it reads, and stops reading from a
+// client with much unwritten data.
 func (s *Sentry) queueAnswer(c *client, a *wire.Answer) {
 	if c.link.Answer(a) {
 		s.unflushed = append(s.unflushed, c.link)
 	}
 }
 
-// flusher is what has something to be written.
+// flusher is a connection with buffered output.
 type flusher interface{ Flush() }
 
 func (s *Sentry) flush() {
@@ -746,7 +766,7 @@
 	s.unflushed = s.unflushed[:0]
 }
 
-// start is the beginning of the stream: what was remembered of the list, then what the services tell.
+// start delivers the cached worker list, the first input of the stream, and then starts the transport.
 func (s *Sentry) start() {
 	s.now = s.clock.now()
 	s.listConfirmedAt = s.now
@@ -756,11 +776,11 @@
 	s.scheduleSweep()
 }
 
-// end closes everything, after what was answered has been written.
+// shutDown closes everything, after the answers have been written.
 func (s *Sentry) shutDown() {
 	if !s.killed.Load() {
 		s.flush()
-		// What has been read by now or is until reading stops gets its answer: it came too late to be taken.
+		// Transactions in the inbox, and those read before reading stops, came too late: each is answered as not taken.
 		for _, e := range s.inbox.close() {
 			if e.kind == eventTransaction {
 				ClientHandler{s, e.client}.refuse(&e)
@@ -780,7 +800,7 @@
 	s.log.Info().Msg("stopped")
 }
 
-// Kill ends the sentry as a crash would: nothing more is answered or saved.
+// Kill ends the sentry as a crash would: it answers and saves nothing more.
 func (s *Sentry) Kill() {
 	s.killed.Store(true)
 	s.inbox.close()
--- a/internal/sentry/sentry_test.go
+++ b/internal/sentry/sentry_test.go
@@ -745,7 +745,7 @@
 			t.Errorf("news taken: %+v", r.s.workerList.releaseStatus)
 		}
 	})
-	if !r.logged("lines of the list passed over") || !r.logged("news passed over") {
+	if !r.logged("lines of the worker list ignored") || !r.logged("release status ignored") {
 		t.Errorf("log: %s", r.log.String())
 	}
 }
--- a/internal/sentry/timers.go
+++ b/internal/sentry/timers.go
@@ -2,24 +2,26 @@
 
 import "scalechute/logic"
 
+// timerKind says what happens when a timer is due.
 type timerKind uint8
 
 const (
-	timerTransaction timerKind = iota // something of a transaction is due: see transaction.due
-	timerConnReady                    // a worker has not welcomed a connection
-	timerVote                         // a vote has had no answer
-	timerList                         // the list's service has not answered
+	timerTransaction timerKind = iota // a deadline of a transaction or of its hand-offs has passed: see transaction.nextDue
+	timerConnReady                    // a worker has not reported a connection as ready
+	timerVote                         // a vote has not been answered
+	timerList                         // discovery has not answered
 	timerRedial
 	timerSweep
 	timerSave
-	timerCooldownEnd // a connection to a worker has rested
+	timerCooldownEnd // the cooldown of a connection to a worker has ended
 )
 
-// timer is due at a time. A transaction has one, which moves with what is due next and goes with the transaction, so
-// that the heap is as small as what is open; of the others, one whose cause has gone does nothing when it is due.
+// timer is an entry of the timer heap. A transaction has one timer at most, which is moved when its next deadline
+// changes and removed with the transaction, so that the heap does not outgrow the number of open transactions. Timers
+// of other kinds are not removed: one whose cause no longer exists does nothing when it is due.
 type timer struct {
 	due         logic.Micros
-	seq         uint64 // order among those due together
+	seq         uint64 // order among timers of the same due time
 	kind        timerKind
 	transaction *transaction
 	upstream    *upstream
@@ -29,7 +31,7 @@
 	worker *worker
 }
 
-// timers is a heap; container/heap would allocate for each.
+// timerHeap is a min-heap of timers by due time. container/heap is not used as it would allocate for each timer.
 type timerHeap struct {
 	entries []timer
 	seq     uint64
@@ -44,7 +46,7 @@
 	h.siftUp(len(h.entries)-1, t)
 }
 
-// put places a timer; a transaction knows its place, from 1 on.
+// place stores a timer at an index and records the index plus one in its transaction.
 func (h *timerHeap) place(i int, t timer) {
 	h.entries[i] = t
 	if t.transaction != nil {
@@ -82,7 +84,7 @@
 	h.place(i, t)
 }
 
-// due is when the first is due, 0 if there is none.
+// nextDue returns the earliest due time, 0 if there are no timers.
 func (h *timerHeap) nextDue() logic.Micros {
 	if len(h.entries) == 0 {
 		return 0
@@ -106,7 +108,7 @@
 	return removed
 }
 
-// move puts a timer where it belongs, from a place that is free.
+// fix stores a timer at a free index and restores the heap order.
 func (h *timerHeap) fix(i int, t timer) {
 	if i > 0 && h.less(&t, &h.entries[(i-1)/2]) {
 		h.siftUp(i, t)
@@ -115,7 +117,7 @@
 	}
 }
 
-// set moves a transaction's timer, makes it, or with 0 takes it away.
+// set sets a transaction's timer: it adds or moves it, and removes it if due is 0.
 func (h *timerHeap) set(t *transaction, due logic.Micros) {
 	switch i := t.timerSlot - 1; {
 	case i < 0 && due > 0:
--- a/internal/sentry/upstream.go
+++ b/internal/sentry/upstream.go
@@ -14,36 +14,37 @@
 	"scalechute/logic"
 )
 
-// upstream is a connection that this sentry opens to the list's service, the desk or a peer.
+// upstream is a connection that this sentry opens to discovery, the control plane or a peer.
 type upstream struct {
 	name, address              string
 	role                       pb.Hello_Role
-	persistent                 bool // opened again whenever it has broken
-	bestEffort                 bool // what can't be sent is lost and nobody is told
+	persistent                 bool // dialed again whenever it has closed
+	bestEffort                 bool // what cannot be sent is dropped without a log line
 	link                       *wire.Link
 	dialing                    bool
-	redialPending              bool // to be dialled again
+	redialPending              bool // the timer to dial again is set
 	redialDelay                logic.Micros
-	awaitsList                 bool // of the list: follows it or awaits an answer
-	watchPending, fetchPending bool // to be asked for once it is open
-	removed                    bool // new orders have no place for it
+	awaitsList                 bool // discovery only: it watches the list or awaits an answer
+	watchPending, fetchPending bool // list requests to be sent once it is connected
+	removed                    bool // a reload has removed its address
 }
 
+// Bounds of the delay before a persistent connection is dialed again.
 const (
 	minRedialDelay = logic.Micros(100_000)
 	maxRedialDelay = logic.Micros(2_000_000)
 )
 
-// connect dials in the background, unless that is being done.
+// connect dials in the background, unless the connection exists, is being dialed or waits to be dialed again.
 func (s *Sentry) connect(u *upstream) {
 	if u.link != nil || u.dialing || u.redialPending || s.stopping {
 		return
 	}
 	u.dialing = true
-	timeout, bounds := max(toDuration(s.config.ConnectTimeout), 250*time.Millisecond), s.linkBounds()
-	bounds.MaxFrameBytes = wire.MaxFrameBytes
+	timeout, limits := max(toDuration(s.config.ConnectTimeout), 250*time.Millisecond), s.linkLimits()
+	limits.MaxFrameBytes = wire.MaxFrameBytes
 	go func() {
-		link, err := wire.Dial(u.address, timeout, bounds,
+		link, err := wire.Dial(u.address, timeout, limits,
 			func(_ *wire.Link, kind wire.Kind, body []byte) error { return s.handleUpstreamFrame(u, kind, body) },
 			func(l *wire.Link, reason error) {
 				s.inbox.put(&event{kind: eventUpstreamClosed, upstream: u, upstreamLink: l, err: reason}, false)
@@ -84,10 +85,12 @@
 	s.handleUpstreamFailed(u, nil)
 }
 
+// handleUpstreamFailed handles a connection that has closed or could not be established. A persistent one is dialed
+// again after a delay that doubles with each failure.
 func (s *Sentry) handleUpstreamFailed(u *upstream, err error) {
 	u.redialDelay = min(max(minRedialDelay, 2*u.redialDelay), maxRedialDelay)
 	if !u.bestEffort {
-		s.log.Warn().Str("to", u.name).Str("address", u.address).Err(err).Msg("not connected")
+		s.log.Warn().Str("to", u.name).Str("address", u.address).Err(err).Msg("connection failed")
 	}
 	if u == s.discovery && (u.awaitsList || u.watchPending || u.fetchPending) {
 		u.watchPending, u.fetchPending = u.persistent, false
@@ -99,6 +102,7 @@
 	}
 }
 
+// handleUpstreamFrame decodes a frame of discovery or the control plane. It runs on the poller.
 func (s *Sentry) handleUpstreamFrame(u *upstream, kind wire.Kind, body []byte) error {
 	e, m := event{}, proto.Message(nil)
 	switch {
@@ -121,14 +125,16 @@
 	return nil
 }
 
-// The list.
+// Discovery.
 
+// requestList requests the list from discovery: updates of it with watch, otherwise the full list once.
 func (s *Sentry) requestList(watch bool) {
 	s.discovery.watchPending = s.discovery.watchPending || watch
 	s.discovery.fetchPending = s.discovery.fetchPending || !watch
 	s.sendListRequests()
 }
 
+// sendListRequests sends the pending list requests, or dials discovery first.
 func (s *Sentry) sendListRequests() {
 	u := s.discovery
 	if !u.watchPending && !u.fetchPending {
@@ -153,12 +159,13 @@
 func (s *Sentry) listRequestFailed(reason string, busy bool) {
 	s.discovery.awaitsList = false
 	s.listSeq++
-	s.log.Warn().Str("why", reason).Bool("busy", busy).Msg("the list could not be had")
+	s.log.Warn().Str("why", reason).Bool("busy", busy).Msg("worker list request failed")
 	s.deliver(input.Input{Kind: input.ListRequestFailed, Busy: busy})
 }
 
+// handleReport handles a list, an update of it, or a refusal from discovery.
 func (s *Sentry) handleReport(m *pb.Report) {
-	s.listSeq++ // no longer awaited
+	s.listSeq++ // the pending timer no longer applies
 	if m.Refused {
 		s.listRequestFailed("refused", true)
 		return
@@ -172,13 +179,13 @@
 	if refused := len(m.Lines) - len(list); refused > 0 {
 		s.metrics.protocolErrors.Add(float64(refused))
 		s.log.Warn().Int("lines", refused).
-			Msg("lines of the list passed over, expected an id and a size that is a finite number")
+			Msg("lines of the worker list ignored, expected an id and a size that is a finite number")
 	}
 	var stale []queuedHandOff
-	for _, in := range list {
-		stale = append(stale, s.updateWorker(in)...)
+	for _, info := range list {
+		stale = append(stale, s.updateWorker(info)...)
 	}
-	if m.Whole { // what it does not name is gone
+	if m.Whole { // workers that a full list does not contain are gone
 		s.metrics.fullLists.Inc()
 		for id, w := range s.workers {
 			if _, listed := s.workerList.lineIndex[id]; !listed && w.info.State != logic.Gone {
@@ -195,8 +202,9 @@
 	s.scheduleSave()
 }
 
-// known keeps where a listed worker is reached. One that is gone stays known, for what is out there. What waits for a
-// connection to it while it drains, or comes back with another build or address, was ruled for what it was: it is given back.
+// updateWorker updates the state and address of a listed worker. A worker that is gone is kept for its open hand-offs.
+// If the worker is not ready, or its build or address has changed, updateWorker returns its queued hand-offs as stale:
+// the module ordered them for the worker as it was.
 func (s *Sentry) updateWorker(listed logic.Worker) (stale []queuedHandOff) {
 	w := s.workers[listed.ID]
 	if w == nil {
@@ -206,7 +214,7 @@
 	address := s.workerList.address(listed.ID)
 	if moved := address != "" && address != w.address; moved || listed.Build != w.info.Build || listed.State != logic.Ready {
 		stale, w.queue = w.queue, nil
-		if moved { // what is open leads elsewhere: it closes once it is idle
+		if moved { // open connections lead to the old address: they are closed once they are idle
 			old := w.conns
 			w.address, w.conns = address, nil
 			for _, c := range old {
@@ -224,44 +232,44 @@
 	return stale
 }
 
-// The desk.
+// Control plane.
 
 func (s *Sentry) handleReleaseStatus(m *pb.News) {
 	if m.Valid && (!(m.Cap >= 0 && m.Cap <= 1) || m.Phase > uint32(logic.Withdrawn)) {
 		s.metrics.protocolErrors.Inc()
 		s.log.Warn().Float64("cap", m.Cap).Uint32("phase", m.Phase).
-			Msg("news passed over, expected a cap from 0 to 1 and a phase from 0 to 3")
+			Msg("release status ignored, expected a cap from 0 to 1 and a phase from 0 to 3")
 		return
 	}
-	n := logic.ReleaseStatus{Valid: m.Valid, Build: logic.BuildID(m.Build), Stage: int(m.Stage), Phase: logic.Phase(m.Phase),
+	status := logic.ReleaseStatus{Valid: m.Valid, Build: logic.BuildID(m.Build), Stage: int(m.Stage), Phase: logic.Phase(m.Phase),
 		Cap: m.Cap, Age: logic.Micros(min(m.Age, 1<<50))}
 	if m.Vote != 0 {
 		if !s.pendingVotes[m.Vote] {
-			return // it was held for unanswered
+			return // it has timed out
 		}
 		delete(s.pendingVotes, m.Vote)
 		switch m.Fate {
 		case pb.News_STANDS:
-			n.VoteResult = logic.VoteAccepted
+			status.VoteResult = logic.VoteAccepted
 		case pb.News_MOOT:
-			n.VoteResult = logic.VoteObsolete
+			status.VoteResult = logic.VoteObsolete
 		default:
-			n.VoteResult = logic.VoteRefused
+			status.VoteResult = logic.VoteRefused
 		}
 	}
-	s.deliver(input.Input{Kind: input.ReleaseUpdated, ReleaseStatus: n})
-	if n.Valid {
-		s.workerList.releaseStatus = n
+	s.deliver(input.Input{Kind: input.ReleaseUpdated, ReleaseStatus: status})
+	if status.Valid {
+		s.workerList.releaseStatus = status
 	}
 }
 
-// counted tells the module what the platform counted, a row at a time.
+// handleCounts delivers the platform's counts to the module, one input per row.
 func (s *Sentry) handleCounts(m *pb.Counts) {
 	for _, row := range m.Rows {
 		if int(row.Profile) >= len(s.config.Profiles) || row.Failed > row.HandOffs {
 			s.metrics.protocolErrors.Inc()
 			s.log.Warn().Uint32("profile", row.Profile).Uint32("failed", row.Failed).
-				Msg("counts passed over, expected a profile that there is and no more failed than handed off")
+				Msg("counts ignored, expected a known profile and no more failures than hand-offs")
 			continue
 		}
 		s.deliver(input.Input{Kind: input.CountsReceived, Counts: logic.BuildCounts{Build: logic.BuildID(row.Build),
@@ -270,7 +278,7 @@
 	}
 }
 
-// setPeers takes over the addresses of the other sentries; what is open to one that has not changed stays so.
+// setPeers applies the configured addresses of the other sentries. Connections to unchanged addresses stay open.
 func (s *Sentry) setPeers(settings *orders.Settings) {
 	previous := s.peers
 	s.peers = make([]*upstream, settings.Policy.Sentries)
@@ -293,6 +301,7 @@
 	}
 }
 
+// castVote sends a vote. One that cannot be sent counts as refused at once.
 func (s *Sentry) castVote(v logic.Vote) {
 	s.metrics.votes.Inc()
 	s.voteSeq++
@@ -305,10 +314,10 @@
 	s.timers.add(timer{due: s.now + s.config.VoteTimeout, kind: timerVote, id: s.voteSeq})
 }
 
-// say sends a message to peers. What can't be sent is lost.
+// sendToPeers sends a message to peers. Messages that cannot be sent are dropped.
 func (s *Sentry) sendToPeers(m logic.Message) {
 	if len(m.Body) > MaxPeerMessageBytes {
-		s.log.Error().Int("bytes", len(m.Body)).Msg("message between sentries dropped, expected at most 256")
+		s.log.Error().Int("bytes", len(m.Body)).Msg("message between sentries dropped, expected at most 256 bytes")
 		return
 	}
 	s.metrics.messagesSent.Add(float64(s.transport.SendMessage(m)))
--- a/internal/sentry/workers.go
+++ b/internal/sentry/workers.go
@@ -14,43 +14,44 @@
 	"scalechute/logic"
 )
 
-// worker is where hand-offs to one worker go.
+// worker is what the event loop keeps of one worker: its connections and the hand-offs queued for one.
 type worker struct {
 	id               logic.WorkerID
 	address          string
 	info             logic.Worker
-	stateSince       logic.Micros // in this state
+	stateSince       logic.Micros // since when it has been in its state
 	conns            []*pooledConn
 	dials            int
-	queue            []queuedHandOff // the earliest first
-	cooldownTimerDue logic.Micros    // of the timer for connections that rest
+	queue            []queuedHandOff // hand-offs without a connection, in order of arrival
+	cooldownTimerDue logic.Micros    // when the timer for the end of a connection's cooldown is due; 0 if none is set
 	probeSeq         uint64
-	oldListLoggedFor logic.Micros // the list's last confirmation of which noteOldList told
+	oldListLoggedFor logic.Micros // the value of Sentry.listConfirmedAt for which logOldList last counted this worker
 }
 
-// waiting is a hand-off without a connection yet.
+// queuedHandOff is a hand-off that has no connection yet.
 type queuedHandOff struct {
 	t     *transaction
 	gen   uint32
 	index int
 }
 
-// conn is a connection to a worker. A hand-off's id on it names its slot.
+// pooledConn is a connection to a worker. A hand-off's id on it, modulo the number of slots, is the index of its slot.
 type pooledConn struct {
 	worker      *worker
-	address     string // that it leads to
+	address     string // that was dialed
 	link        WorkerConn
 	slots       []slot
 	freeSlots   []int
 	seq         uint64
-	connectedAt logic.Micros // when it had come up
+	connectedAt logic.Micros // when it was established
 	lastUsed    logic.Micros
-	lastAnswer  logic.Micros // when the last answer came, 0 if none has
+	lastAnswer  logic.Micros // when the last answer arrived, 0 if none has
 	closed      bool
 
-	ready bool // by the worker: it may carry hand-offs
+	ready bool // the worker has reported that it may carry hand-offs
 }
 
+// slot holds one open hand-off of a connection.
 type slot struct {
 	id    uint64 // 0 if free
 	t     *transaction
@@ -58,33 +59,34 @@
 	index int
 }
 
-// open says whether a hand-off still waits.
+// isOpen reports whether the hand-off has not ended.
 func (w queuedHandOff) isOpen() bool { return w.t.gen == w.gen && !w.t.handOffs[w.index].ended }
 
-// handOff carries out a ruling. What is not sent ends at once, as proven not to have run.
-func (s *Sentry) handOff(t *transaction, r *logic.Action) {
-	w, n := s.workers[r.Worker], len(t.handOffs)
-	t.handOffs = append(t.handOffs, handOff{worker: w, startedAt: s.now, deadline: min(r.Deadline, t.deadline), sendBy: r.SendBy})
+// handOff executes a hand-off that the module has ordered. One that cannot be sent ends at once as unsent: it is proven
+// not to have run.
+func (s *Sentry) handOff(t *transaction, action *logic.Action) {
+	w, index := s.workers[action.Worker], len(t.handOffs)
+	t.handOffs = append(t.handOffs, handOff{worker: w, startedAt: s.now, deadline: min(action.Deadline, t.deadline), sendBy: action.SendBy})
 	t.openHandOffs++
-	h := &t.handOffs[n]
+	h := &t.handOffs[index]
 	if h.deadline <= 0 {
 		h.deadline = t.deadline
 	}
-	if s.closeIfClientGone(t); t.closed || w == nil || h.deadline <= s.now || n >= s.config.MaxHandOffs || s.leaseExpired(h) {
-		s.endHandOff(t, n, logic.Unsent, logic.NoLoad)
+	if s.closeIfClientGone(t); t.closed || w == nil || h.deadline <= s.now || index >= s.config.MaxHandOffs || s.leaseExpired(h) {
+		s.endHandOff(t, index, logic.Unsent, logic.NoLoad)
 		return
 	}
 	h.connectBy = s.now + s.config.ConnectTimeout
-	if !s.sendHandOff(w, t, n) {
-		w.queue = append(w.queue, queuedHandOff{t, t.gen, n})
+	if !s.sendHandOff(w, t, index) {
+		w.queue = append(w.queue, queuedHandOff{t, t.gen, index})
 		s.dial(w)
 		s.scheduleCooldownEnd(w)
 		s.setTimer(t)
 	}
 }
 
-// expired says whether the lease on the list that an attempt rests on is over by now. The clock is read again: the loop may
-// have been held up since the time of the input in hand.
+// leaseExpired reports whether the lease on the worker list that the hand-off relies on has expired, and counts it. It
+// reads the clock again: the loop may have been stalled since the time of the current input.
 func (s *Sentry) leaseExpired(h *handOff) bool {
 	if h.sendBy == 0 || s.clock.now() <= h.sendBy {
 		return false
@@ -93,19 +95,20 @@
 	return true
 }
 
-// leaving closes a transaction whose client has closed its connection, of which the loop has yet to hear: what is written
-// for it from now on would begin after its client has gone.
+// closeIfClientGone ends a transaction whose client has closed its connection, even if that event is still in the
+// inbox: a hand-off written now would start after the client has left.
 func (s *Sentry) closeIfClientGone(t *transaction) {
 	if !t.closed && t.client.link.Dead() {
 		s.handleClientLeft(t)
 	}
 }
 
-// restShare is the part of the time to connect for which a connection rests after an answer, where answers come in order: a
-// worker may send a second copy of one some milliseconds later, and it must not be taken for the next one's.
+// cooldownDivisor is the connect timeout divided by the cooldown of a connection: where answers come in order, a
+// connection carries no new hand-off for this time after an answer. A worker may send a duplicate of an answer some
+// milliseconds later, and it must not be mistaken for the answer to the next hand-off.
 const cooldownDivisor = 8
 
-// rests says until when a connection gets nothing new, 0 if it does not rest.
+// cooldownUntil returns until when a connection carries no new hand-off, 0 if it is not in its cooldown.
 func (s *Sentry) cooldownUntil(c *pooledConn) logic.Micros {
 	if until := c.lastAnswer + s.config.ConnectTimeout/cooldownDivisor; s.transport.AnswersInOrder() && c.lastAnswer > 0 && c.isIdle() && until > s.now {
 		return until
@@ -113,7 +116,8 @@
 	return 0
 }
 
-// rested has what waits for a worker sent once the first of its connections that rest is good again.
+// scheduleCooldownEnd sets a timer that sends a worker's queued hand-offs when the first cooldown of its connections
+// ends. It reports whether any of its connections is in its cooldown.
 func (s *Sentry) scheduleCooldownEnd(w *worker) (scheduled bool) {
 	earliest := logic.Micros(0)
 	for _, c := range w.conns {
@@ -128,9 +132,10 @@
 	return earliest > 0
 }
 
-// pick chooses a connection that has room, of those not tried: one with nothing out, or else the least; among equals the
-// one that has rested longest, for the worker may be about to close one after its last answer. Where a hand-off should
-// have a connection of its own and another is or may be opened, or will have rested soon, there is none.
+// pickConn returns the connection with the fewest open hand-offs that has a free slot and was not tried yet. Among
+// equals it returns the one unused for longest: the worker may be about to close a connection after its last answer.
+// Where answers come in order, each hand-off should have a connection of its own. There pickConn returns nil rather
+// than a connection with open hand-offs, if another connection is being dialed, may be dialed, or is in its cooldown.
 func (s *Sentry) pickConn(w *worker, tried []*pooledConn) (best *pooledConn) {
 	coolingDown := false
 	for _, c := range w.conns {
@@ -151,48 +156,48 @@
 	return best
 }
 
-// idle says that nothing is out on a connection.
+// isIdle reports whether a connection has no open hand-offs.
 func (c *pooledConn) isIdle() bool { return len(c.freeSlots) == len(c.slots) }
 
-// send writes a hand-off to a connection, if there is one for it.
-func (s *Sentry) sendHandOff(w *worker, t *transaction, n int) bool {
+// sendHandOff writes a hand-off to a connection and reports whether there was one for it.
+func (s *Sentry) sendHandOff(w *worker, t *transaction, index int) bool {
 	var tried []*pooledConn
 	for {
 		c := s.pickConn(w, tried)
 		if c == nil {
 			return false
 		}
-		at := c.freeSlots[len(c.freeSlots)-1]
+		slotIndex := c.freeSlots[len(c.freeSlots)-1]
 		c.seq++
-		h := &t.handOffs[n]
-		id := c.seq*uint64(len(c.slots)) + uint64(at)
+		h := &t.handOffs[index]
+		id := c.seq*uint64(len(c.slots)) + uint64(slotIndex)
 		m := &s.scratch.work
 		s.scratch.name = append(s.scratch.name[:0], t.id...)
 		s.scratch.key = append(s.scratch.key[:0], t.key...)
 		*m = wire.Work{ID: id, Profile: t.profile, Key: s.scratch.key, Timeout: uint64(h.deadline - s.now),
-			DeduplicationToken: t.dedupToken, Payload: t.payload, Transaction: s.scratch.name, HandOffNumber: uint32(n), ExpectedWork: t.expectedWork}
-		if !c.link.SendWork(m) { // nothing of it has left: another connection may take it
+			DeduplicationToken: t.dedupToken, Payload: t.payload, Transaction: s.scratch.name, HandOffNumber: uint32(index), ExpectedWork: t.expectedWork}
+		if !c.link.SendWork(m) { // no byte of it was sent: another connection may carry it
 			tried = append(tried, c)
 			continue
 		}
 		s.unflushed = append(s.unflushed, c.link)
 		c.freeSlots = c.freeSlots[:len(c.freeSlots)-1]
-		c.slots[at] = slot{id: id, t: t, gen: t.gen, index: n}
+		c.slots[slotIndex] = slot{id: id, t: t, gen: t.gen, index: index}
 		c.lastUsed, h.conn, h.id = s.now, c, id
 		s.setTimer(t)
 		s.metrics.handOffs.Inc()
-		s.logOldList(w, t, n)
+		s.logOldList(w, t, index)
 		return true
 	}
 }
 
-// oldList is how long ago discovery said how the list stands when an attempt that rests on it is worth a line in the log:
-// twice the time between its signs of life.
+// oldListMicros is the age of discovery's last update from which on hand-offs are logged as relying on an old list. It
+// is twice discovery's keep-alive interval.
 const oldListMicros = logic.Micros(4_000_000)
 
-// noteOldList tells of attempts that rest on what discovery said long ago: of the first one once for each such time, of
-// further servers at debug.
-func (s *Sentry) logOldList(w *worker, t *transaction, n int) {
+// logOldList counts and logs a hand-off that relies on an old worker list, once for each worker and update. The first
+// worker after an update is logged at level info, the others at debug.
+func (s *Sentry) logOldList(w *worker, t *transaction, index int) {
 	if s.now-s.listConfirmedAt < oldListMicros || w.oldListLoggedFor == s.listConfirmedAt {
 		return
 	}
@@ -203,11 +208,11 @@
 		s.oldListLoggedFor, level = s.listConfirmedAt, zerolog.InfoLevel
 	}
 	s.log.WithLevel(level).Str("server", string(w.id)).Str("address", w.address).Int("build", int(w.info.Build)).
-		Str("request", string(t.id)).Int("attempt", n).Dur("list_age_ms", toDuration(s.now-s.listConfirmedAt)).
-		Dur("request_age_ms", toDuration(s.now-t.arrivedAt)).Msg("attempt on an old list")
+		Str("request", string(t.id)).Int("attempt", index).Dur("list_age_ms", toDuration(s.now-s.listConfirmedAt)).
+		Dur("request_age_ms", toDuration(s.now-t.arrivedAt)).Msg("hand-off relies on an old worker list")
 }
 
-// perDial is how many hand-offs that wait a new connection is for.
+// handOffsPerDial returns how many queued hand-offs one new connection is meant for.
 func (s *Sentry) handOffsPerDial() int {
 	if s.transport.AnswersInOrder() {
 		return 1
@@ -215,17 +220,18 @@
 	return s.settings.Bounds.HandOffsPerConnection
 }
 
-// mayOpen says whether one more connection to a worker is within the bounds, if need be in place of an idle one.
+// mayDial reports whether one more connection to a worker is within the bounds, if necessary in place of an idle one.
 func (s *Sentry) mayDial(w *worker) bool {
 	b := &s.settings.Bounds
 	return w.dials+len(w.conns) < b.ConnectionsPerWorker &&
 		(b.WorkerConnections == 0 || len(s.conns)+s.dials < b.WorkerConnections || slices.ContainsFunc(s.conns, (*pooledConn).isClosable))
 }
 
-// spare says that a connection may be closed for another.
+// isClosable reports whether a connection may be closed to make room for another.
 func (c *pooledConn) isClosable() bool { return c.ready && c.isIdle() }
 
-// dial opens a connection for those that wait, unless enough are being opened or are open.
+// dial opens a connection for the queued hand-offs of a worker, unless enough connections are being dialed, or are in a
+// cooldown that ends well before the hand-offs' deadlines.
 func (s *Sentry) dial(w *worker) {
 	wanted, canWait := 0, 0
 	cooldown := s.config.ConnectTimeout / cooldownDivisor
@@ -236,7 +242,7 @@
 		}
 	}
 	for _, c := range w.conns {
-		if canWait > 0 && s.cooldownUntil(c) > 0 { // it will do soon
+		if canWait > 0 && s.cooldownUntil(c) > 0 { // it will be usable soon
 			wanted, canWait = wanted-1, canWait-1
 		}
 	}
@@ -257,7 +263,7 @@
 	}()
 }
 
-// closeLongestIdle makes room for another connection.
+// closeLongestIdle closes the connection that has been idle longest, to make room for another.
 func (s *Sentry) closeLongestIdle() {
 	var longest *pooledConn
 	for _, c := range s.conns {
@@ -269,6 +275,7 @@
 	s.dropConn(longest)
 }
 
+// handleDialed takes over a dialed connection, or handles the failure to dial it.
 func (s *Sentry) handleDialed(e *event) {
 	c := e.conn
 	s.dials--
@@ -283,7 +290,7 @@
 	s.timers.add(timer{due: s.now + s.config.ConnectTimeout, kind: timerConnReady, conn: c})
 }
 
-// welcomed makes a connection good for hand-offs.
+// handleConnReady makes a connection available for hand-offs.
 func (s *Sentry) handleConnReady(c *pooledConn) {
 	if c.closed || c.ready {
 		return
@@ -294,7 +301,7 @@
 		c.freeSlots = append(c.freeSlots, i)
 	}
 	w.dials--
-	if c.address != w.address { // its worker has another one by now
+	if c.address != w.address { // the worker's address has changed since
 		c.link.Close(wire.ErrClosed)
 		s.dropConn(c)
 	} else {
@@ -303,10 +310,10 @@
 	s.sendQueued(w)
 }
 
-// unreached ends the hand-offs for which a connection could not be had.
+// handleDialFailed ends the queued hand-offs for which no connection could be established.
 func (s *Sentry) handleDialFailed(w *worker) {
 	w.dials--
-	// Those that this connection was for have none; the rest wait for the other dials, or for connections that rest.
+	// The hand-offs that the other dials are meant for stay queued; all do while a connection is in its cooldown.
 	keep := w.dials * s.handOffsPerDial()
 	if s.scheduleCooldownEnd(w) {
 		keep = len(w.queue)
@@ -329,7 +336,7 @@
 	}
 }
 
-// sendWaiting writes what waits for a connection, as far as there is room.
+// sendQueued sends a worker's queued hand-offs, as far as its connections have free slots.
 func (s *Sentry) sendQueued(w *worker) {
 	for len(w.queue) > 0 {
 		x := w.queue[0]
@@ -360,9 +367,10 @@
 	}
 }
 
-// handOffEnds tells the module of the end of a hand-off, once.
-func (s *Sentry) endHandOff(t *transaction, n int, ending logic.Ending, load logic.Load) {
-	h := &t.handOffs[n]
+// endHandOff ends a hand-off, frees its slot and reports its ending to the module. It does nothing if it has ended
+// before.
+func (s *Sentry) endHandOff(t *transaction, index int, ending logic.Ending, load logic.Load) {
+	h := &t.handOffs[index]
 	if h.ended {
 		return
 	}
@@ -384,7 +392,7 @@
 		}
 	}
 	s.metrics.endings[ending].Inc()
-	end := logic.HandOffEnd{Transaction: t.id, HandOffNumber: n, Ending: ending, Duration: s.now - h.startedAt, Load: load}
+	end := logic.HandOffEnd{Transaction: t.id, HandOffNumber: index, Ending: ending, Duration: s.now - h.startedAt, Load: load}
 	if w != nil {
 		end.Worker = w.id
 	}
@@ -397,15 +405,16 @@
 	}
 }
 
+// freeSlot frees the slot of a hand-off, if it still holds it.
 func (c *pooledConn) freeSlot(id uint64) {
-	at := int(id % uint64(len(c.slots)))
-	if c.slots[at].id == id {
-		c.slots[at] = slot{}
-		c.freeSlots = append(c.freeSlots, at)
+	slotIndex := int(id % uint64(len(c.slots)))
+	if c.slots[slotIndex].id == id {
+		c.slots[slotIndex] = slot{}
+		c.freeSlots = append(c.freeSlots, slotIndex)
 	}
 }
 
-// fromWorker decodes a worker's frame on the poller.
+// handleWorkerFrame decodes a worker's frame. It runs on the poller.
 func (s *Sentry) handleWorkerFrame(handler WorkerConnHandler, kind wire.Kind, body []byte) error {
 	switch kind {
 	case wire.KindDone:
@@ -426,7 +435,7 @@
 		if err := unmarshal(body, &m); err != nil {
 			return err
 		}
-		s.inbox.put(&event{kind: eventProbeAnswer, conn: handler.c, held: m.Held}, false)
+		s.inbox.put(&event{kind: eventProbeAnswer, conn: handler.c, inFlight: m.Held}, false)
 		return nil
 	}
 	return invalid("a frame of kind "+strconv.Itoa(int(kind)), "one that a worker may send")
@@ -434,12 +443,12 @@
 
 func unmarshal(body []byte, m proto.Message) error {
 	if err := proto.Unmarshal(body, m); err != nil {
-		return invalid("no "+string(m.ProtoReflect().Descriptor().Name()), "one")
+		return invalid("an invalid "+string(m.ProtoReflect().Descriptor().Name()), "a valid one")
 	}
 	return nil
 }
 
-// workDone takes a worker's answer. One that comes after its hand-off has ended changes nothing any more.
+// handleWorkerAnswer handles a worker's answer. An answer to a hand-off that has ended is counted and ignored.
 func (s *Sentry) handleWorkerAnswer(e *event) {
 	c := e.conn
 	if c.closed || len(c.slots) == 0 {
@@ -452,7 +461,7 @@
 	}
 	c.lastUsed, c.lastAnswer = s.now, s.now
 	t := x.t
-	ending := [...]logic.Ending{logic.Answered, logic.Errored, logic.TurnedAway}[e.ended]
+	ending := [...]logic.Ending{logic.Answered, logic.Errored, logic.TurnedAway}[e.ending]
 	if ending == logic.Answered && !t.closed {
 		s.scratch.name = append(s.scratch.name[:0], c.worker.id...)
 		s.sendAnswer(t, pb.Outcome_SATISFIED, 0, e.payload, s.scratch.name)
@@ -460,26 +469,27 @@
 	s.endHandOff(t, x.index, ending, workerLoad(e))
 }
 
-// loadOf is what a worker told of its load; each figure comes plus one, 0 if it was not told.
+// workerLoad converts the load that a worker reported with an answer. On the wire each figure is incremented by one,
+// and 0 means that it was not reported.
 func workerLoad(e *event) logic.Load {
-	share := func(v uint32) float64 {
-		if v == 0 {
+	decode := func(value uint32) float64 {
+		if value == 0 {
 			return -1
 		}
-		return float64(v-1) / 1000
+		return float64(value-1) / 1000
 	}
-	return logic.Load{InFlight: float64(e.held) - 1, BusyShare: share(e.busy), ServedPerSecond: share(e.served)}
+	return logic.Load{InFlight: float64(e.inFlight) - 1, BusyShare: decode(e.busyShare), ServedPerSecond: decode(e.servedRate)}
 }
 
-// connLost ends all that was out on a connection: it may have run.
+// dropConn removes a closed connection and ends its open hand-offs as broken: they may have run.
 func (s *Sentry) dropConn(c *pooledConn) {
-	if c.closed || c.link == nil { // closed here, or before the loop knew of it
+	if c.closed || c.link == nil { // closed by the loop itself, or before the loop received the connection
 		c.closed = true
 		return
 	}
 	c.closed = true
-	isLost := func(x *pooledConn) bool { return x == c }
-	c.worker.conns, s.conns = slices.DeleteFunc(c.worker.conns, isLost), slices.DeleteFunc(s.conns, isLost)
+	isSame := func(x *pooledConn) bool { return x == c }
+	c.worker.conns, s.conns = slices.DeleteFunc(c.worker.conns, isSame), slices.DeleteFunc(s.conns, isSame)
 	if !c.ready {
 		s.handleDialFailed(c.worker)
 		return
@@ -493,21 +503,22 @@
 	}
 }
 
-// cancel ends the wait for a hand-off. The worker is told; whether it stops is its own affair.
-func (s *Sentry) cancelHandOff(t *transaction, n int) {
-	if n < 0 || n >= len(t.handOffs) || t.handOffs[n].ended {
+// cancelHandOff stops waiting for a hand-off and sends the worker a cancellation. The worker may ignore it.
+func (s *Sentry) cancelHandOff(t *transaction, index int) {
+	if index < 0 || index >= len(t.handOffs) || t.handOffs[index].ended {
 		return
 	}
-	h := &t.handOffs[n]
-	if h.conn == nil { // nothing of it was written
-		s.endHandOff(t, n, logic.Unsent, logic.NoLoad)
+	h := &t.handOffs[index]
+	if h.conn == nil { // no byte of it was written
+		s.endHandOff(t, index, logic.Unsent, logic.NoLoad)
 		return
 	}
 	h.conn.link.Cancel(h.id)
 	s.unflushed = append(s.unflushed, h.conn.link)
-	s.endHandOff(t, n, logic.Cancelled, logic.NoLoad)
+	s.endHandOff(t, index, logic.Cancelled, logic.NoLoad)
 }
 
+// probeWorker sends a probe to a worker if it has a connection to it.
 func (s *Sentry) probeWorker(id logic.WorkerID) {
 	w := s.workers[id]
 	if w == nil || len(w.conns) == 0 {
@@ -518,7 +529,7 @@
 	s.unflushed = append(s.unflushed, w.conns[0].link)
 }
 
-// closeIdle closes the connections that nothing has used for as long as the orders say.
+// closeIdleConns closes the connections that have been idle for the configured timeout.
 func (s *Sentry) closeIdleConns() {
 	for _, c := range slices.Clone(s.conns) {
 		if c.isClosable() && s.now-c.lastUsed >= s.config.IdleTimeout/logic.Micros(max(1, s.settings.Bounds.IdleTimeoutDivisor)) {
@@ -528,7 +539,8 @@
 	}
 }
 
-// sweep closes idle connections and forgets workers that have long been gone: with each build come new ones.
+// sweep closes idle connections and deletes workers that are gone and can have no open hand-offs. Without this the
+// table would grow with each build, as each brings new workers.
 func (s *Sentry) sweep() {
 	if s.config.IdleTimeout > 0 {
 		s.closeIdleConns()
