--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -18,10 +18,10 @@
 
 // Settings is the content of a sentry's settings file.
 type Settings struct {
-	Policy          logic.Config
-	ProfileNames    []string
-	AccountNames    []string
-	RemovedProfiles []bool // by profile slot: a reload has removed the profile, and it is no longer accepted
+	Policy          logic.Config // of the decision module
+	ProfileNames    []string     // by slot; empty for an unused slot
+	AccountNames    []string     // by account number
+	RemovedProfiles []bool       // by profile slot: a reload has removed the profile, and it is no longer accepted
 	Zones           []string
 	Endpoints       Endpoints
 	Bounds          Bounds
@@ -125,12 +125,12 @@
 // Bounds limits the resources of the sentry process. The decision module does not know them.
 type Bounds struct {
 	InboxEvents           int // events that wait for the event loop
-	OpenTransactions      int // open transactions
-	ConnectionsPerWorker  int // connections to one worker
-	HandOffsPerConnection int // open hand-offs on one connection
-	FrameBytes            int // bytes of one message
-	UnwrittenBytes        int // unwritten bytes of one connection
-	WorkerConnections     int // connections to all workers; 0 for no bound
+	OpenTransactions      int
+	ConnectionsPerWorker  int
+	HandOffsPerConnection int // open at a time
+	FrameBytes            int // of one message
+	UnwrittenBytes        int // of one connection
+	WorkerConnections     int // to all workers; 0 for no bound
 	IdleTimeoutDivisor    int // the idle timeout of worker connections is divided by this; 0 means 1
 }
 
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -22,15 +22,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := s.Policy
-	if o.Sentries != 2 || o.DrainGrace != 2_000_000 || o.ColdLoadMultiple != 4 || !o.ForwardOnly || len(o.StageCaps) != 3 ||
-		o.Profiles[1].Repeatability != logic.Deduplicated || o.Profiles[1].DedupWindow != 1_500_000 || o.Profiles[2].Repeatability != logic.NonIdempotent ||
-		s.Endpoints.Peers[1] != "127.0.0.1:7401" || o.ConnectTimeout != 250_000 || o.MaxListAge != 10_000_000 || !o.MayMessage || o.MayHedge {
+	config := s.Policy
+	if config.Sentries != 2 || config.DrainGrace != 2_000_000 || config.ColdLoadMultiple != 4 || !config.ForwardOnly || len(config.StageCaps) != 3 ||
+		config.Profiles[1].Repeatability != logic.Deduplicated || config.Profiles[1].DedupWindow != 1_500_000 || config.Profiles[2].Repeatability != logic.NonIdempotent ||
+		s.Endpoints.Peers[1] != "127.0.0.1:7401" || config.ConnectTimeout != 250_000 || config.MaxListAge != 10_000_000 || !config.MayMessage || config.MayHedge {
 		t.Errorf("read as %+v", s)
 	}
 }
 
-// Each fault is told with file, line, what was found and what was expected; the file's other faults are told too.
+// Each error is reported with file, line, what was found and what was expected. All errors of a file are reported.
 func TestFaults(t *testing.T) {
 	cases := []struct{ old, new, want string }{
 		{`due_time    = "750ms"`, `due_time = "750"`, `due_time: found "750", expected a span from 1ms to 1h0m0s in whole microseconds`},
@@ -81,17 +81,17 @@
 		}
 		for _, l := range strings.Split(err.Error(), "\n") {
 			if !strings.HasPrefix(l, "bad.hcl:") {
-				t.Errorf("%s: a fault without its place: %q", c.new, l)
+				t.Errorf("%s: an error without file and line: %q", c.new, l)
 			}
 		}
 	}
 	two := strings.NewReplacer(`hand_offs     = 3`, `hand_offs = 0`, `fall_multiple = 4`, `fall_multiple = 0`).Replace(example(t))
 	if _, err := Parse("bad.hcl", []byte(two)); err == nil || strings.Count(err.Error(), "\n") != 1 {
-		t.Errorf("two faults are told as %v", err)
+		t.Errorf("two errors are reported as %v", err)
 	}
 }
 
-// Places may be left empty, and what once stood at one stays its own.
+// Profile slots may be left empty, and a slot stays reserved for the profile that it once had.
 func TestPlaces(t *testing.T) {
 	text := strings.Replace(example(t), `repeat      = "irreversible"`, "repeat = \"irreversible\"\n place = 5", 1)
 	s, err := Parse("sentry.hcl", []byte(text))
@@ -100,11 +100,11 @@
 		t.Fatalf("%v, %+v", err, s)
 	}
 	if after := s.KeepSlots(old); len(old.Conflicts(s)) != 0 || !after.AcceptsProfile(5) || after.AcceptsProfile(2) || after.ProfileNames[2] != "handover" {
-		t.Errorf("clashes %v; after the switch %q, gone %v", old.Conflicts(s), after.ProfileNames, after.RemovedProfiles)
+		t.Errorf("conflicts %v; after the reload %q, removed %v", old.Conflicts(s), after.ProfileNames, after.RemovedProfiles)
 	}
 	old.AccountNames, old.Policy.Accounts = []string{"a", "b"}, make([]logic.Account, 2)
 	if s.AccountNames = []string{"a", "c"}; len(s.KeepSlots(old).Conflicts(old)) != 1 || len(old.KeepSlots(s.KeepSlots(old)).AccountNames) != 2 {
-		t.Errorf("another account at a number that is taken")
+		t.Errorf("another account at a slot in use")
 	}
 }
 
@@ -115,7 +115,7 @@
 	f.Fuzz(func(t *testing.T, source []byte) {
 		s, err := Parse("f.hcl", source)
 		if err == nil && (len(s.Policy.Profiles) == 0 || int(s.Policy.Position) >= s.Policy.Sentries) {
-			t.Errorf("taken: %+v", s)
+			t.Errorf("accepted: %+v", s)
 		}
 	})
 }
--- a/internal/sentry/rig_test.go
+++ b/internal/sentry/rig_test.go
@@ -20,7 +20,7 @@
 	"scalechute/standin"
 )
 
-const sheetText = `
+const settingsTemplate = `
 sentry {
   position = 0
   zone     = "here"
@@ -90,22 +90,24 @@
 }
 `
 
-// rig is a sentry with a list and a desk, workers as the test scripts them, and a log to read.
+// rig runs a sentry with a discovery service, a control plane and workers that the test scripts. It records the
+// sentry's log, the ends of hand-offs, the module's actions and the kinds of inputs.
 type rig struct {
-	t       *testing.T
-	s       *Sentry
-	stage   *standin.Environment
-	list    *standin.Discovery
-	desk    *standin.ControlPlane
-	sheet   *orders.Settings
-	text    string // of the sheet, without routes
-	log     *logBuffer
-	mu      sync.Mutex
-	endings []logic.HandOffEnd
-	rulings map[logic.ActionKind]int
-	inputs  []input.Kind
+	t            *testing.T
+	s            *Sentry
+	environment  *standin.Environment
+	discovery    *standin.Discovery
+	controlPlane *standin.ControlPlane
+	settings     *orders.Settings
+	settingsText string // of the settings file, without routes
+	log          *logBuffer
+	mu           sync.Mutex
+	endings      []logic.HandOffEnd
+	actions      map[logic.ActionKind]int
+	inputs       []input.Kind
 }
 
+// logBuffer is a buffer that may be read while it is written.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -123,78 +125,80 @@
 	return l.b.String()
 }
 
-type still struct{}
+// noopDeployer deploys nothing.
+type noopDeployer struct{}
 
-func (still) RollOut(logic.BuildID, float64) bool { return true }
-func (still) DrainEarlierBuilds(logic.BuildID)    {}
-func (still) DrainBuild(logic.BuildID)            {}
+func (noopDeployer) RollOut(logic.BuildID, float64) bool { return true }
+func (noopDeployer) DrainEarlierBuilds(logic.BuildID)    {}
+func (noopDeployer) DrainBuild(logic.BuildID)            {}
 
-type rigPlan struct {
-	copies, noList, pushed bool
-	handOffs, idle, inbox  int
-	connections            int
-	peer                   string
-	decide                 func(*input.Input) logic.Result
-	memory                 string
-	routes                 string // matching blocks
+// rigOptions are the settings of a rig that tests vary. newRig replaces zero values by defaults.
+type rigOptions struct {
+	hedges, noDiscovery, pushed              bool
+	handOffs, idleTimeoutMillis, inboxEvents int
+	connections                              int
+	peer                                     string
+	decide                                   func(*input.Input) logic.Result
+	cachedListFile                           string
+	routes                                   string // the blocks of the routes
 }
 
-func newRig(t *testing.T, p rigPlan) *rig {
+func newRig(t *testing.T, options rigOptions) *rig {
 	t.Helper()
-	if p.handOffs == 0 {
-		p.handOffs = 1
+	if options.handOffs == 0 {
+		options.handOffs = 1
 	}
-	if p.idle == 0 {
-		p.idle = 10_000
+	if options.idleTimeoutMillis == 0 {
+		options.idleTimeoutMillis = 10_000
 	}
-	if p.inbox == 0 {
-		p.inbox = 1024
+	if options.inboxEvents == 0 {
+		options.inboxEvents = 1024
 	}
-	if p.connections == 0 {
-		p.connections = 8
+	if options.connections == 0 {
+		options.connections = 8
 	}
 	sentries, peer := 1, ""
-	if p.peer != "" {
-		sentries, peer = 2, fmt.Sprintf("  peer \"1\" {\n    address = %q\n  }\n", p.peer)
+	if options.peer != "" {
+		sentries, peer = 2, fmt.Sprintf("  peer \"1\" {\n    address = %q\n  }\n", options.peer)
 	}
-	if p.memory == "" {
-		p.memory = filepath.Join(t.TempDir(), "list")
+	if options.cachedListFile == "" {
+		options.cachedListFile = filepath.Join(t.TempDir(), "list")
 	}
-	r := &rig{t: t, log: &logBuffer{}, rulings: map[logic.ActionKind]int{}}
-	o := &logic.Config{StageCaps: []float64{0.5, 1}, StageShares: []float64{0.5, 1}, VotesPerSecond: 100,
+	r := &rig{t: t, log: &logBuffer{}, actions: map[logic.ActionKind]int{}}
+	config := &logic.Config{StageCaps: []float64{0.5, 1}, StageShares: []float64{0.5, 1}, VotesPerSecond: 100,
 		VoteTTL: 2_000_000, AdvanceVotes: 1, RollBackVotes: 1, BakeTime: 1_000_000, ColdLoadMultiple: 4, ColdLoadWindow: 1_000_000, CountsPeriod: 200_000, CountsSampleShare: 0.5,
 		Profiles: []logic.Profile{{DueTime: 200_000, MaxDeadline: 600_000},
 			{DueTime: 200_000, MaxDeadline: 600_000, Repeatability: logic.Deduplicated, DedupWindow: 500_000},
 			{DueTime: 200_000, MaxDeadline: 600_000, Repeatability: logic.NonIdempotent}}}
-	r.stage = standin.NewEnvironment(o, []string{"here", "there"}, 1)
-	r.list = standin.NewDiscovery(r.stage)
-	r.desk = standin.NewControlPlane(r.stage, still{}, 10)
-	if err := r.list.Start(); err != nil {
+	r.environment = standin.NewEnvironment(config, []string{"here", "there"}, 1)
+	r.discovery = standin.NewDiscovery(r.environment)
+	r.controlPlane = standin.NewControlPlane(r.environment, noopDeployer{}, 10)
+	if err := r.discovery.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.desk.Start(); err != nil {
+	if err := r.controlPlane.Start(); err != nil {
 		t.Fatal(err)
 	}
-	list := r.list.Address
-	t.Cleanup(func() { r.list.Stop(); r.desk.Stop() })
-	if p.noList {
-		r.list.Stop()
+	discoveryAddress := r.discovery.Address
+	t.Cleanup(func() { r.discovery.Stop(); r.controlPlane.Stop() })
+	if options.noDiscovery {
+		r.discovery.Stop()
 	}
-	text := fmt.Sprintf(sheetText, p.memory, list, r.desk.Address, peer, sentries, p.handOffs, p.copies, p.idle, !p.pushed,
-		p.inbox, p.connections)
-	r.text = text
-	sheet, err := orders.Parse("rig.hcl", []byte(text+p.routes))
+	text := fmt.Sprintf(settingsTemplate, options.cachedListFile, discoveryAddress, r.controlPlane.Address, peer, sentries, options.handOffs, options.hedges, options.idleTimeoutMillis, !options.pushed,
+		options.inboxEvents, options.connections)
+	r.settingsText = text
+	settings, err := orders.Parse("rig.hcl", []byte(text+options.routes))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.sheet = sheet
-	r.start(p.decide)
+	r.settings = settings
+	r.start(options.decide)
 	return r
 }
 
 func (r *rig) start(decide func(*input.Input) logic.Result) {
 	r.t.Helper()
-	s, err := Start(r.sheet, Options{Log: zerolog.New(r.log), Record: r.record, Decide: decide})
+	s, err := Start(r.settings, Options{Log: zerolog.New(r.log), Record: r.record, Decide: decide})
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -217,12 +221,12 @@
 		r.endings = append(r.endings, in.End)
 	}
 	for _, x := range out.Actions {
-		r.rulings[x.Kind]++
+		r.actions[x.Kind]++
 	}
 }
 
-// wait polls until something holds.
-func (r *rig) wait(what string, holds func() bool) {
+// waitFor polls until a condition holds, and fails the test if it does not within 15 s.
+func (r *rig) waitFor(what string, holds func() bool) {
 	r.t.Helper()
 	for range 1500 {
 		if holds() {
@@ -230,19 +234,19 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	r.t.Fatalf("in 15 s not seen: %s\n%s", what, r.log.String())
+	r.t.Fatalf("not seen within 15 s: %s\n%s", what, r.log.String())
 }
 
-func (r *rig) ends() []logic.HandOffEnd {
+func (r *rig) handOffEnds() []logic.HandOffEnd {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.endings)
 }
 
-func (r *rig) ended(e logic.Ending) bool { return r.count(e) > 0 }
+func (r *rig) hasEnding(e logic.Ending) bool { return r.countEndings(e) > 0 }
 
-func (r *rig) count(e logic.Ending) (n int) {
-	for _, x := range r.ends() {
+func (r *rig) countEndings(e logic.Ending) (n int) {
+	for _, x := range r.handOffEnds() {
 		if x.Ending == e {
 			n++
 		}
@@ -261,19 +265,20 @@
 	return n
 }
 
-func (r *rig) logged(what string) bool { return strings.Contains(r.log.String(), what) }
+func (r *rig) hasLogged(what string) bool { return strings.Contains(r.log.String(), what) }
 
-// worker serves as a worker that does with each hand-off what the script says, and lists it.
-func (r *rig) worker(id string, script func(l *wire.Link, m *wire.Work)) *wire.Server {
-	return r.workerThat(id, true, script)
+// addWorker starts a worker that calls the script for each hand-off, and lists it.
+func (r *rig) addWorker(id string, script func(l *wire.Link, m *wire.Work)) *wire.Server {
+	return r.startWorker(id, true, script)
 }
 
-func (r *rig) workerThat(id string, welcomes bool, script func(l *wire.Link, m *wire.Work)) *wire.Server {
+// startWorker is addWorker for a worker that may not send the welcome, without which a connection carries no hand-offs.
+func (r *rig) startWorker(id string, sendsWelcome bool, script func(l *wire.Link, m *wire.Work)) *wire.Server {
 	r.t.Helper()
 	server, err := wire.Serve("127.0.0.1:0", wire.DefaultLimits, func(*wire.Link) (wire.Handler, func(*wire.Link, error)) {
 		return func(l *wire.Link, kind wire.Kind, body []byte) error {
 			switch {
-			case kind == wire.KindHello && welcomes:
+			case kind == wire.KindHello && sendsWelcome:
 				l.Send(wire.KindWelcome, &pb.Welcome{Version: wire.ProtocolVersion})
 			case kind == wire.KindWork:
 				var m wire.Work
@@ -289,27 +294,27 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(server.Close)
-	r.tell(line(id, server.Address))
+	r.updateList(listLine(id, server.Address))
 	return server
 }
 
-func line(id, address string) *pb.Line {
+func listLine(id, address string) *pb.Line {
 	return &pb.Line{Id: id, Address: address, Build: 10, Zone: "here", Size: 1, Life: 1}
 }
 
-// tell lists workers and waits until the sentry knows.
-func (r *rig) tell(lines ...*pb.Line) {
+// updateList sends a list update from discovery and waits until the sentry has applied it.
+func (r *rig) updateList(lines ...*pb.Line) {
 	r.t.Helper()
-	r.list.ReportLines(lines, 0)
+	r.discovery.ReportLines(lines, 0)
 	if r.s == nil {
 		return
 	}
-	r.wait("the list at the sentry", func() (known bool) {
+	r.waitFor("the list at the sentry", func() (applied bool) {
 		r.s.Inspect(func() {
 			w := r.s.workers[logic.WorkerID(lines[len(lines)-1].Id)]
-			known = w != nil && w.info.State == logic.WorkerState(lines[len(lines)-1].State)
+			applied = w != nil && w.info.State == logic.WorkerState(lines[len(lines)-1].State)
 		})
-		return known
+		return applied
 	})
 }
 
@@ -318,17 +323,17 @@
 	l.Flush()
 }
 
-// caller is a client's connection.
-type caller struct {
+// testClient is a client's connection.
+type testClient struct {
 	r       *rig
 	link    *wire.Link
 	answers chan wire.Answer
 	closed  chan error
 }
 
-func (r *rig) caller() *caller {
+func (r *rig) testClient() *testClient {
 	r.t.Helper()
-	c := &caller{r: r, answers: make(chan wire.Answer, 10_000), closed: make(chan error, 1)}
+	c := &testClient{r: r, answers: make(chan wire.Answer, 10_000), closed: make(chan error, 1)}
 	link, err := wire.Dial(r.s.Address(), time.Second, wire.DefaultLimits,
 		func(_ *wire.Link, _ wire.Kind, body []byte) error {
 			var m wire.Answer
@@ -346,13 +351,13 @@
 	return c
 }
 
-func (c *caller) ask(id uint64, profile uint32) {
+func (c *testClient) send(id uint64, profile uint32) {
 	c.link.Put(wire.KindAsk, &wire.Ask{ID: id, Profile: profile, Key: []byte(fmt.Sprint("k", id)), Timeout: 400_000,
 		Payload: []byte(fmt.Sprint("p", id))})
 	c.link.Flush()
 }
 
-func (c *caller) answer() wire.Answer {
+func (c *testClient) receive() wire.Answer {
 	c.r.t.Helper()
 	select {
 	case a := <-c.answers:
@@ -363,15 +368,15 @@
 	}
 }
 
-func (c *caller) want(id uint64, o pb.Outcome) {
+func (c *testClient) expect(id uint64, o pb.Outcome) {
 	c.r.t.Helper()
-	if a := c.answer(); a.ID != id || a.Outcome != uint32(o) {
+	if a := c.receive(); a.ID != id || a.Outcome != uint32(o) {
 		c.r.t.Fatalf("answer %d %v, expected %d %v\n%s", a.ID, pb.Outcome(a.Outcome), id, o, c.r.log.String())
 	}
 }
 
-// none checks that no answer comes for a while.
-func (c *caller) none(d time.Duration) {
+// expectNone checks that no answer arrives within a duration.
+func (c *testClient) expectNone(d time.Duration) {
 	c.r.t.Helper()
 	select {
 	case a := <-c.answers:
--- a/internal/sentry/routing_test.go
+++ b/internal/sentry/routing_test.go
@@ -18,8 +18,8 @@
 	"scalechute/internal/wire/pb"
 )
 
-// routesText is the words of the drills' routes: kind and truck must come.
-var routesText = func() string {
+// attributesText is the part of the drills' routes that declares the attributes; kind and truck are required.
+var attributesText = func() string {
 	data, err := os.ReadFile("../../drills/routes.hcl")
 	if err != nil {
 		panic(err)
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("route %q {\n  when    = %q\n  key     = %q\n  profile = %q\n}\n", name, when, key, profile)
 }
 
-func (c *caller) askWith(id uint64, attributes []byte) {
+func (c *testClient) sendAttributes(id uint64, attributes []byte) {
 	if attributes == nil {
 		attributes = []byte{}
 	}
@@ -40,21 +40,22 @@
 	c.link.Flush()
 }
 
-func attribute(b []byte, name string, v match.Carried) []byte {
+func appendAttribute(b []byte, name string, v match.Carried) []byte {
 	return wire.AppendAttribute(b, name, &v)
 }
 
-func words(pairs ...string) (b []byte) {
+func textAttributes(pairs ...string) (b []byte) {
 	for i := 0; i < len(pairs); i += 2 {
-		b = attribute(b, pairs[i], match.Carried{Kind: match.Text, Text: pairs[i+1]})
+		b = appendAttribute(b, pairs[i], match.Carried{Kind: match.Text, Text: pairs[i+1]})
 	}
 	return b
 }
 
-// A transaction with attributes only gets profile and key from the first route that matches; hostile ones lose only
-// what does not fit, and one that no route takes is told so and reaches no worker.
+// A transaction with attributes gets its profile and key from the first route that matches. Attributes that are
+// invalid, unknown or too long are ignored. A transaction without a matching route is answered so, and no worker
+// receives it.
 func TestRouted(t *testing.T) {
-	r := newRig(t, rigPlan{routes: routesText + route("cold", "temp < celsius(8)", "'c' + truck", "note") +
+	r := newRig(t, rigOptions{routes: attributesText + route("cold", "temp < celsius(8)", "'c' + truck", "note") +
 		route("legs", "legs.exists(x, x > celsius(20))", "'l' + truck", "move") +
 		route("moving", "kind == kind.handover", "truck", "move")})
 	type work struct {
@@ -62,11 +63,11 @@
 		key     string
 	}
 	got := make(chan work, 100)
-	r.worker("w", func(l *wire.Link, m *wire.Work) {
+	r.addWorker("w", func(l *wire.Link, m *wire.Work) {
 		got <- work{m.Profile, string(m.Key)}
 		reply(l, m, pb.Ended_ANSWERED)
 	})
-	c := r.caller()
+	c := r.testClient()
 	fahrenheit := match.Carried{Kind: match.Measure, Fig: 41, Unit: "fahrenheit"}
 	items := func(n int) match.Carried {
 		v := match.Carried{Kind: match.List}
@@ -75,32 +76,32 @@
 		}
 		return v
 	}
-	many := words("kind", "handover", "truck", "m")
+	many := textAttributes("kind", "handover", "truck", "m")
 	for i := range 10_000 {
-		many = attribute(many, fmt.Sprint("a", i), match.Carried{Kind: match.Whole, Num: 1})
+		many = appendAttribute(many, fmt.Sprint("a", i), match.Carried{Kind: match.Whole, Num: 1})
 	}
-	long := strings.Repeat("x", 3<<20) // the frame's bound is 4 MB; what is longer ends the connection
+	long := strings.Repeat("x", 3<<20) // the bound of a frame is 4 MB; a longer one closes the connection
 	for i, x := range []struct {
 		attributes []byte
 		want       work
 		outcome    pb.Outcome
 	}{
-		{attribute(words("kind", "reading", "truck", "a"), "temp", fahrenheit), work{1, "ca"}, pb.Outcome_SATISFIED},
-		{words("kind", "handover", "truck", "b"), work{2, "b"}, pb.Outcome_SATISFIED},
-		{attribute(words("kind", "reading", "truck", "a"), "legs", items(8)), work{2, "la"}, pb.Outcome_SATISFIED},
-		{attribute(words("kind", "reading", "truck", "a"), "legs", items(9)), work{}, pb.Outcome_NO_ROUTE},
-		{attribute(words("kind", "reading", "truck", "a"), "legs", items(100_000)), work{}, pb.Outcome_NO_ROUTE},
+		{appendAttribute(textAttributes("kind", "reading", "truck", "a"), "temp", fahrenheit), work{1, "ca"}, pb.Outcome_SATISFIED},
+		{textAttributes("kind", "handover", "truck", "b"), work{2, "b"}, pb.Outcome_SATISFIED},
+		{appendAttribute(textAttributes("kind", "reading", "truck", "a"), "legs", items(8)), work{2, "la"}, pb.Outcome_SATISFIED},
+		{appendAttribute(textAttributes("kind", "reading", "truck", "a"), "legs", items(9)), work{}, pb.Outcome_NO_ROUTE},
+		{appendAttribute(textAttributes("kind", "reading", "truck", "a"), "legs", items(100_000)), work{}, pb.Outcome_NO_ROUTE},
 		{many, work{2, "m"}, pb.Outcome_SATISFIED},
-		{words("kind", "handover", "truck", "m", "region", long), work{2, "m"}, pb.Outcome_SATISFIED},
-		{words("kind", "handover", "truck", long), work{}, pb.Outcome_NO_ROUTE},
-		{attribute(words("kind", "handover", "truck", "m"), "temp", match.Carried{Kind: match.Flag, Num: 1}), work{2, "m"}, pb.Outcome_SATISFIED},
-		{words("kind", "reading", "truck", "a"), work{}, pb.Outcome_NO_ROUTE},
-		{words("kind", "flying", "truck", "a"), work{}, pb.Outcome_NO_ROUTE},
-		{words("truck", "a"), work{}, pb.Outcome_NO_ROUTE},
+		{textAttributes("kind", "handover", "truck", "m", "region", long), work{2, "m"}, pb.Outcome_SATISFIED},
+		{textAttributes("kind", "handover", "truck", long), work{}, pb.Outcome_NO_ROUTE},
+		{appendAttribute(textAttributes("kind", "handover", "truck", "m"), "temp", match.Carried{Kind: match.Flag, Num: 1}), work{2, "m"}, pb.Outcome_SATISFIED},
+		{textAttributes("kind", "reading", "truck", "a"), work{}, pb.Outcome_NO_ROUTE},
+		{textAttributes("kind", "flying", "truck", "a"), work{}, pb.Outcome_NO_ROUTE},
+		{textAttributes("truck", "a"), work{}, pb.Outcome_NO_ROUTE},
 		{nil, work{}, pb.Outcome_NO_ROUTE},
 	} {
-		c.askWith(uint64(i+1), x.attributes)
-		a := c.answer()
+		c.sendAttributes(uint64(i+1), x.attributes)
+		a := c.receive()
 		if a.Outcome != uint32(x.outcome) || a.ID != uint64(i+1) || a.Profile != x.want.profile {
 			t.Fatalf("case %d: answer %+v\n%s", i, a, r.log.String())
 		}
@@ -111,56 +112,56 @@
 		}
 	}
 	if len(got) > 0 {
-		t.Error("a worker got what no route takes")
+		t.Error("a worker received a transaction without a route")
 	}
-	bad := r.caller()
-	bad.askWith(1, []byte{0xff})
+	bad := r.testClient()
+	bad.sendAttributes(1, []byte{0xff})
 	if err := <-bad.closed; err != nil {
 		t.Error(err)
 	}
-	r.wait("the fault in the log", func() bool { return r.logged("found attributes that can't be read") })
-	c.askWith(99, words("kind", "handover", "truck", "b")) // the other connection goes on
-	c.want(99, pb.Outcome_SATISFIED)
-	if err := r.s.Reload(r.sheetWith(t, "")); err != nil {
+	r.waitFor("the fault in the log", func() bool { return r.hasLogged("found attributes that can't be read") })
+	c.sendAttributes(99, textAttributes("kind", "handover", "truck", "b")) // the other connection is not affected
+	c.expect(99, pb.Outcome_SATISFIED)
+	if err := r.s.Reload(r.settingsWithRoutes(t, "")); err != nil {
 		t.Fatal(err)
 	}
-	c.askWith(100, words("kind", "handover", "truck", "b"))
-	c.want(100, pb.Outcome_NO_ROUTE)
+	c.sendAttributes(100, textAttributes("kind", "handover", "truck", "b"))
+	c.expect(100, pb.Outcome_NO_ROUTE)
 }
 
-func (r *rig) sheetWith(t *testing.T, routes string) *orders.Settings {
+func (r *rig) settingsWithRoutes(t *testing.T, routes string) *orders.Settings {
 	t.Helper()
-	sheet, err := orders.Parse("rig.hcl", []byte(r.text+routes))
+	settings, err := orders.Parse("rig.hcl", []byte(r.settingsText+routes))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return sheet
+	return settings
 }
 
-// A thousand reloads under load, half of them bad: every transaction has one answer, and each is judged by one table,
-// through all its hand-offs.
+// A thousand reloads under load, half of them invalid. Every transaction must have one answer, and must be routed by
+// one table for all its hand-offs.
 func TestReloadsUnderLoad(t *testing.T) {
-	one := routesText + route("one", "kind == kind.reading", "'one' + truck", "read")
-	two := routesText + route("first", "kind == kind.handover", "'bad' + truck", "move") +
+	one := attributesText + route("one", "kind == kind.reading", "'one' + truck", "read")
+	two := attributesText + route("first", "kind == kind.handover", "'bad' + truck", "move") +
 		route("two", "kind == kind.reading && truck.startsWith('k')", "'two' + truck", "note")
-	r := newRig(t, rigPlan{routes: one, handOffs: 3})
-	type judged struct {
+	r := newRig(t, rigOptions{routes: one, handOffs: 3})
+	type routed struct {
 		profile uint32
 		key     string
 	}
 	var mu sync.Mutex
-	by, handOffs, wrong := map[string]judged{}, 0, 0
+	by, handOffs, wrong := map[string]routed{}, 0, 0
 	tables := map[uint32]int{}
 	script := func(l *wire.Link, m *wire.Work) {
 		mu.Lock()
-		got, id := judged{m.Profile, string(m.Key)}, strings.TrimPrefix(string(m.Payload), "p")
+		got, id := routed{m.Profile, string(m.Key)}, strings.TrimPrefix(string(m.Payload), "p")
 		handOffs++
-		first, again := by[string(m.Transaction)]
-		if !again {
+		first, isLater := by[string(m.Transaction)]
+		if !isLater {
 			by[string(m.Transaction)] = got
 			tables[m.Profile]++
 		}
-		if want := []string{"one", "two", "?"}[m.Profile] + "k" + id; again && got != first || got.key != want {
+		if want := []string{"one", "two", "?"}[m.Profile] + "k" + id; isLater && got != first || got.key != want {
 			wrong++
 		}
 		mu.Unlock()
@@ -170,16 +171,16 @@
 		}
 		reply(l, m, pb.Ended_ANSWERED)
 	}
-	r.worker("w1", script)
-	r.worker("w2", script)
+	r.addWorker("w1", script)
+	r.addWorker("w2", script)
 	file := filepath.Join(t.TempDir(), "sentry.hcl")
 	bad := []string{two + route("two", "true", "truck", "read"), strings.Replace(two, "kind.handover", "kind.flying", 1), two[:len(two)-2],
 		strings.Replace(one, "'one' + truck", "temp", 1)}
-	var asked, answered atomic.Int64
+	var sent, answered atomic.Int64
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for range 4 {
-		c := r.caller()
+		c := r.testClient()
 		clients.Go(func() {
 			open, seen, id := 0, map[uint64]bool{}, uint64(0)
 			for {
@@ -191,14 +192,14 @@
 				default:
 					for ; open < 16; open++ {
 						id++
-						c.askWith(id, words("kind", "reading", "truck", fmt.Sprint("k", id)))
-						asked.Add(1)
+						c.sendAttributes(id, textAttributes("kind", "reading", "truck", fmt.Sprint("k", id)))
+						sent.Add(1)
 					}
 				}
 				select {
 				case a := <-c.answers:
 					if seen[a.ID] || a.Outcome == uint32(pb.Outcome_NO_ROUTE) {
-						t.Errorf("answer %d %v, once more or by no table", a.ID, pb.Outcome(a.Outcome))
+						t.Errorf("answer %d %v, a duplicate or without a route", a.ID, pb.Outcome(a.Outcome))
 					}
 					seen[a.ID] = true
 					open--
@@ -210,14 +211,14 @@
 			}
 		})
 	}
-	sheets := [2]*orders.Settings{r.sheetWith(t, one), r.sheetWith(t, two)}
-	clients.Go(func() { // and swaps as fast as can be, so that no way through two of them stays unseen
+	settings := [2]*orders.Settings{r.settingsWithRoutes(t, one), r.settingsWithRoutes(t, two)}
+	clients.Go(func() { // reloads at the highest rate, so that a transaction routed by two tables would show
 		for i := 0; ; i++ {
 			select {
 			case <-stop:
 				return
 			default:
-				if err := r.s.Reload(sheets[i%2]); err != nil {
+				if err := r.s.Reload(settings[i%2]); err != nil {
 					t.Error(err)
 				}
 				runtime.Gosched()
@@ -226,21 +227,21 @@
 	})
 	taken, refused := 0, 0
 	for i := range 1000 {
-		text := r.text + []string{one, two}[i/2%2]
+		text := r.settingsText + []string{one, two}[i/2%2]
 		if i%2 == 1 {
-			text = r.text + bad[i/2%len(bad)]
-			if i%20 == 1 { // whole, but of another sentry
-				text = strings.Replace(r.text, `"move"`, `"shift"`, 1) + one
+			text = r.settingsText + bad[i/2%len(bad)]
+			if i%20 == 1 { // valid, but in conflict with the settings in use
+				text = strings.Replace(r.settingsText, `"move"`, `"shift"`, 1) + one
 			}
 		}
 		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		sheet, err := orders.LoadUpdate(file, r.sheet)
+		updated, err := orders.LoadUpdate(file, r.settings)
 		if err == nil {
-			err = r.s.Reload(sheet)
+			err = r.s.Reload(updated)
 		}
-		r.s.RecordReload(sheet, err)
+		r.s.RecordReload(updated, err)
 		if err == nil {
 			taken++
 		} else {
@@ -254,24 +255,24 @@
 	clients.Wait()
 	mu.Lock()
 	defer mu.Unlock()
-	t.Logf("%d transactions, %d hand-offs, tables %v; %d loads taken, %d refused", asked.Load(), handOffs, tables, taken, refused)
-	if wrong > 0 || asked.Load() != answered.Load() {
-		t.Errorf("%d hand-offs by two tables; %d asked, %d answered", wrong, asked.Load(), answered.Load())
+	t.Logf("%d transactions, %d hand-offs, tables %v; %d reloads applied, %d refused", sent.Load(), handOffs, tables, taken, refused)
+	if wrong > 0 || sent.Load() != answered.Load() {
+		t.Errorf("%d hand-offs by two tables; %d transactions, %d answered", wrong, sent.Load(), answered.Load())
 	}
 	if tables[0] < 100 || tables[1] < 100 || handOffs <= len(by) {
-		t.Errorf("too little for this to say anything: tables %v, %d hand-offs of %d transactions", tables, handOffs, len(by))
+		t.Errorf("too few events for this test to be meaningful: tables %v, %d hand-offs of %d transactions", tables, handOffs, len(by))
 	}
 }
 
-func BenchmarkJudged(b *testing.B) {
-	book, err := routes.Parse("r.hcl", []byte("profile \"read\" {}\n"+routesText+route("cold", "temp < celsius(8) && truck.startsWith('x')", "truck", "read")+
+func BenchmarkRouteTransaction(b *testing.B) {
+	routeSet, err := routes.Parse("r.hcl", []byte("profile \"read\" {}\n"+attributesText+route("cold", "temp < celsius(8) && truck.startsWith('x')", "truck", "read")+
 		route("all", "kind == kind.reading", "truck", "read")))
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := newRouting(&orders.Settings{Routes: book})
+	r := newRouting(&orders.Settings{Routes: routeSet})
 	s := &Sentry{}
-	body := attribute(attribute(words("kind", "reading", "truck", "0123456789abcdef"), "temp", match.Carried{Kind: match.Measure, Fig: 4, Unit: "celsius"}),
+	body := appendAttribute(appendAttribute(textAttributes("kind", "reading", "truck", "0123456789abcdef"), "temp", match.Carried{Kind: match.Measure, Fig: 4, Unit: "celsius"}),
 		"legs", match.Carried{Kind: match.List, Items: []match.Carried{{Kind: match.Whole, Num: 4}, {Kind: match.Whole, Num: 9}}})
 	var e event
 	b.ReportAllocs()
--- a/internal/sentry/timers_test.go
+++ b/internal/sentry/timers_test.go
@@ -9,7 +9,8 @@
 	"scalechute/logic"
 )
 
-// Timers come out by their times, those of one time in the order in which they were set.
+// Timers are popped in the order of their due times, and those with the same due time in the order in which they were
+// added.
 func TestTimers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h timerHeap
