--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -39,7 +39,8 @@
 func (s *Settings) Conflicts(updated *Settings) (conflicts []Conflict) {
 	check := func(block, name string, current, next any) {
 		if !reflect.DeepEqual(current, next) {
-			conflicts = append(conflicts, Conflict{block, name, fmt.Sprintf("found %v, expected %v as the sentry runs with; it changes only at a restart", next, current)})
+			conflicts = append(conflicts, Conflict{block, name,
+				fmt.Sprintf("found %v, expected %v as the sentry runs with; it changes only at a restart", next, current)})
 		}
 	}
 	current, next := &s.Endpoints, &updated.Endpoints
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -23,9 +23,12 @@
 		t.Fatal(err)
 	}
 	config := s.Policy
-	if config.Sentries != 2 || config.DrainGrace != 2_000_000 || config.ColdLoadMultiple != 4 || !config.ForwardOnly || len(config.StageCaps) != 3 ||
-		config.Profiles[1].Repeatability != logic.Deduplicated || config.Profiles[1].DedupWindow != 1_500_000 || config.Profiles[2].Repeatability != logic.NonIdempotent ||
-		s.Endpoints.Peers[1] != "127.0.0.1:7401" || config.ConnectTimeout != 250_000 || config.MaxListAge != 10_000_000 || !config.MayMessage || config.MayHedge {
+	if config.Sentries != 2 || config.DrainGrace != 2_000_000 || config.ColdLoadMultiple != 4 ||
+		!config.ForwardOnly || len(config.StageCaps) != 3 ||
+		config.Profiles[1].Repeatability != logic.Deduplicated || config.Profiles[1].DedupWindow != 1_500_000 ||
+		config.Profiles[2].Repeatability != logic.NonIdempotent ||
+		s.Endpoints.Peers[1] != "127.0.0.1:7401" || config.ConnectTimeout != 250_000 || config.MaxListAge != 10_000_000 ||
+		!config.MayMessage || config.MayHedge {
 		t.Errorf("read as %+v", s)
 	}
 }
--- a/internal/sentry/breach.go
+++ b/internal/sentry/breach.go
@@ -121,8 +121,9 @@
 	}
 	c := w.conns[0]
 	for range times {
-		m := &wire.Work{ID: 1, Profile: t.profile, Key: []byte(t.key), Timeout: uint64(max(1, t.deadline-s.now)), DeduplicationToken: t.dedupToken,
-			Payload: t.payload, Transaction: []byte(t.id), HandOffNumber: uint32(len(t.handOffs)), ExpectedWork: t.expectedWork}
+		m := &wire.Work{ID: 1, Profile: t.profile, Key: []byte(t.key), Timeout: uint64(max(1, t.deadline-s.now)),
+			DeduplicationToken: t.dedupToken,
+			Payload:            t.payload, Transaction: []byte(t.id), HandOffNumber: uint32(len(t.handOffs)), ExpectedWork: t.expectedWork}
 		c.link.SendWork(m)
 		s.unflushed = append(s.unflushed, c.link)
 	}
--- a/internal/sentry/metrics.go
+++ b/internal/sentry/metrics.go
@@ -67,17 +67,21 @@
 		m.noRoute[i+1] = unrouted.WithLabelValues(name)
 	}
 	m.unknownAttributes = counter("attributes_unknown_total", "Attributes received that are not declared.")
-	m.typeMismatches = counter("attributes_misfit_total", "Attributes received with a value that does not match their type; they count as missing.")
+	m.typeMismatches = counter("attributes_misfit_total",
+		"Attributes received with a value that does not match their type; they count as missing.")
 	m.settingsLoaded = counter("orders_loaded_total", "Reloads of the settings that were applied.")
 	m.settingsRefused = counter("orders_refused_total", "Reloads of the settings that were refused.")
 	m.overdue = counter("overdue_total", "Transactions that the decision module did not end in time; always 0.")
-	m.protocolErrors = counter("connection_faults_total", "Protocol errors: connections closed and messages ignored because of invalid data.")
+	m.protocolErrors = counter("connection_faults_total",
+		"Protocol errors: connections closed and messages ignored because of invalid data.")
 	m.handOffs = counter("hand_offs_total", "Hand-offs written to a worker.")
 	m.dials = counter("dials_total", "Connections to workers dialed.")
 	m.lateEnds = counter("late_ends_total", "Answers of workers to hand-offs that had already ended.")
 	m.fullLists = counter("whole_lists_total", "Full worker lists received.")
-	m.handOffsOnOldLists = counter("attempts_on_old_lists_total", "Workers that received a hand-off when discovery had sent no update for 4 s, counted once per worker and update.")
-	m.expiredHandOffs = counter("attempts_expired_total", "Hand-offs not sent because the lease on the worker list that they rely on had expired.")
+	m.handOffsOnOldLists = counter("attempts_on_old_lists_total",
+		"Workers that received a hand-off when discovery had sent no update for 4 s, counted once per worker and update.")
+	m.expiredHandOffs = counter("attempts_expired_total",
+		"Hand-offs not sent because the lease on the worker list that they rely on had expired.")
 	m.votes = counter("votes_total", "Votes sent.")
 	m.messagesSent = counter("messages_total", "Messages sent to peers.")
 	gauge := func(name, help string, f func() float64) {
--- a/internal/sentry/rig_test.go
+++ b/internal/sentry/rig_test.go
@@ -166,7 +166,9 @@
 	}
 	r := &rig{t: t, log: &logBuffer{}, actions: map[logic.ActionKind]int{}}
 	config := &logic.Config{StageCaps: []float64{0.5, 1}, StageShares: []float64{0.5, 1}, VotesPerSecond: 100,
-		VoteTTL: 2_000_000, AdvanceVotes: 1, RollBackVotes: 1, BakeTime: 1_000_000, ColdLoadMultiple: 4, ColdLoadWindow: 1_000_000, CountsPeriod: 200_000, CountsSampleShare: 0.5,
+		VoteTTL: 2_000_000, AdvanceVotes: 1, RollBackVotes: 1, BakeTime: 1_000_000,
+		ColdLoadMultiple: 4, ColdLoadWindow: 1_000_000, CountsPeriod: 200_000,
+		CountsSampleShare: 0.5,
 		Profiles: []logic.Profile{{DueTime: 200_000, MaxDeadline: 600_000},
 			{DueTime: 200_000, MaxDeadline: 600_000, Repeatability: logic.Deduplicated, DedupWindow: 500_000},
 			{DueTime: 200_000, MaxDeadline: 600_000, Repeatability: logic.NonIdempotent}}}
@@ -184,7 +186,8 @@
 	if options.noDiscovery {
 		r.discovery.Stop()
 	}
-	text := fmt.Sprintf(settingsTemplate, options.cachedListFile, discoveryAddress, r.controlPlane.Address, peer, sentries, options.handOffs, options.hedges, options.idleTimeoutMillis, !options.pushed,
+	text := fmt.Sprintf(settingsTemplate, options.cachedListFile, discoveryAddress, r.controlPlane.Address, peer, sentries,
+		options.handOffs, options.hedges, options.idleTimeoutMillis, !options.pushed,
 		options.inboxEvents, options.connections)
 	r.settingsText = text
 	settings, err := orders.Parse("rig.hcl", []byte(text+options.routes))
--- a/internal/sentry/sentry.go
+++ b/internal/sentry/sentry.go
@@ -157,7 +157,8 @@
 	s.now = s.clock.now()
 	s.workerList = newWorkerList(settings.Zones)
 	s.setPeers(settings)
-	s.discovery = &upstream{name: "list", address: settings.Endpoints.Discovery, role: pb.Hello_SENTRY, persistent: !s.config.ListOnRequest}
+	s.discovery = &upstream{name: "list", address: settings.Endpoints.Discovery, role: pb.Hello_SENTRY,
+		persistent: !s.config.ListOnRequest}
 	s.controlPlane = &upstream{name: "desk", address: settings.Endpoints.ControlPlane, role: pb.Hello_SENTRY, persistent: true}
 
 	s.cachedList = opts.CachedList
@@ -648,7 +649,9 @@
 		return
 	}
 	// The profile may have been removed since the frame was read.
-	if s.stopping || s.answerBy != 0 && e.at >= s.answerBy || s.openCount >= s.settings.Bounds.OpenTransactions || e.noRouteReason == 0 && !s.settings.AcceptsProfile(int(e.profile)) {
+	if s.stopping || s.answerBy != 0 && e.at >= s.answerBy ||
+		s.openCount >= s.settings.Bounds.OpenTransactions ||
+		e.noRouteReason == 0 && !s.settings.AcceptsProfile(int(e.profile)) {
 		s.metrics.notTaken.Inc()
 		a := &s.scratch.answer
 		*a = wire.Answer{ID: e.id, Outcome: uint32(pb.Outcome_NOT_TAKEN)}
--- a/internal/sentry/transport.go
+++ b/internal/sentry/transport.go
@@ -97,7 +97,8 @@
 
 // newEvent returns the event of a transaction, without its key, token and payload.
 func (h ClientHandler) newEvent(m *wire.Ask) event {
-	return event{kind: eventTransaction, client: h.c, id: m.ID, profile: m.Profile, account: m.Account, timeLeft: m.Timeout, expectedWork: m.ExpectedWork,
+	return event{kind: eventTransaction, client: h.c, id: m.ID, profile: m.Profile, account: m.Account,
+		timeLeft: m.Timeout, expectedWork: m.ExpectedWork,
 		isRetry: m.Retry}
 }
 
@@ -143,7 +144,8 @@
 
 // HandOffEnded reports the end of a hand-off. The payload is copied.
 func (h WorkerConnHandler) HandOffEnded(m *wire.Done) {
-	ev := event{kind: eventWorkerAnswer, conn: h.c, id: m.ID, ending: m.Ending, inFlight: m.InFlight, busyShare: m.CPUUse, servedRate: m.ServedRate}
+	ev := event{kind: eventWorkerAnswer, conn: h.c, id: m.ID, ending: m.Ending,
+		inFlight: m.InFlight, busyShare: m.CPUUse, servedRate: m.ServedRate}
 	if len(m.Payload) > 0 {
 		ev.buffer = getBuffer()
 		*ev.buffer = append((*ev.buffer)[:0], m.Payload...)
--- a/internal/sentry/workers.go
+++ b/internal/sentry/workers.go
@@ -66,7 +66,8 @@
 // not to have run.
 func (s *Sentry) handOff(t *transaction, action *logic.Action) {
 	w, index := s.workers[action.Worker], len(t.handOffs)
-	t.handOffs = append(t.handOffs, handOff{worker: w, startedAt: s.now, deadline: min(action.Deadline, t.deadline), sendBy: action.SendBy})
+	t.handOffs = append(t.handOffs, handOff{worker: w, startedAt: s.now,
+		deadline: min(action.Deadline, t.deadline), sendBy: action.SendBy})
 	t.openHandOffs++
 	h := &t.handOffs[index]
 	if h.deadline <= 0 {
@@ -146,7 +147,8 @@
 			coolingDown = true
 			continue
 		}
-		if best == nil || len(c.freeSlots) > len(best.freeSlots) || len(c.freeSlots) == len(best.freeSlots) && c.lastUsed < best.lastUsed {
+		if best == nil || len(c.freeSlots) > len(best.freeSlots) ||
+			len(c.freeSlots) == len(best.freeSlots) && c.lastUsed < best.lastUsed {
 			best = c
 		}
 	}
@@ -175,7 +177,8 @@
 		s.scratch.name = append(s.scratch.name[:0], t.id...)
 		s.scratch.key = append(s.scratch.key[:0], t.key...)
 		*m = wire.Work{ID: id, Profile: t.profile, Key: s.scratch.key, Timeout: uint64(h.deadline - s.now),
-			DeduplicationToken: t.dedupToken, Payload: t.payload, Transaction: s.scratch.name, HandOffNumber: uint32(index), ExpectedWork: t.expectedWork}
+			DeduplicationToken: t.dedupToken, Payload: t.payload, Transaction: s.scratch.name,
+			HandOffNumber: uint32(index), ExpectedWork: t.expectedWork}
 		if !c.link.SendWork(m) { // no byte of it was sent: another connection may carry it
 			tried = append(tried, c)
 			continue
