--- a/internal/sentry/inbox.go
+++ b/internal/sentry/inbox.go
@@ -9,120 +9,124 @@
 	"scalechute/logic"
 )
 
-// clock counts whole microseconds on the monotonic clock. It does not begin at 0, so that a worker's start before
-// this sentry's has a time of its own; what started earlier still counts as long ago.
+// clock counts whole microseconds on the monotonic clock. It starts at clockStartMicros rather than 0, so that the
+// start of a worker up to an hour before the sentry's still has a positive time; earlier starts count as long ago.
 type clock struct{ base time.Time }
 
-const clockStart = logic.Micros(3_600_000_000)
+const clockStartMicros = logic.Micros(3_600_000_000)
 
 func newClock() clock { return clock{time.Now()} }
 
 func (c clock) now() logic.Micros {
-	return clockStart + logic.Micros(time.Since(c.base)/time.Microsecond)
+	return clockStartMicros + logic.Micros(time.Since(c.base)/time.Microsecond)
 }
 
-func span(m logic.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func toDuration(m logic.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
+// eventKind says what an event reports.
 type eventKind uint8
 
 const (
-	evAsk eventKind = iota
-	evDone
-	evLeave
-	evClientGone
-	evWorkerLost
-	evDialed
-	evWelcome
-	evProbed
-	evUpDialed
-	evUpLost
-	evReport
-	evRefused
-	evUnsure
-	evNews
-	evPeer
-	evComplaint
-	evSaved
-	evStop
-	evInspect
-	evCounts
-	evUnanswered
-	evAnswerBy
+	eventTransaction eventKind = iota
+	eventWorkerAnswer
+	eventClientLeft
+	eventClientClosed
+	eventConnClosed
+	eventDialed
+	eventConnReady
+	eventProbeAnswer
+	eventUpstreamDialed
+	eventUpstreamClosed
+	eventList
+	eventListRequestFailed
+	eventListPartlyReceived
+	eventRelease
+	eventPeerMessage
+	eventComplaint
+	eventListSaved
+	eventStop
+	eventCall
+	eventCounts
+	eventVoteTimedOut
+	eventAnswerWithin
 )
 
-// event is what a socket has brought, stamped when it was taken into the inbox.
+// event is an item of the inbox, with the time at which it was put there. Most events report what arrived on a socket.
 type event struct {
-	at      logic.Micros
-	kind    eventKind
-	profile uint32
-	account uint32
-	ended   uint32
-	held    uint32
-	busy    uint32
-	served  uint32
-	again   bool
-	turned  bool // away: discovery was busy
-
-	unrouted uint8 // why no route takes it, 0 if one does or none is asked
-	id       uint64
-	left     uint64
-	hint     uint64
-	key      logic.Key
-	mark     []byte
-	payload  []byte
-	buffer   *[]byte // that mark and payload lie in
-	client   *client
-	conn     *conn
-	worker   *worker
-	up       *upstream
-	link     *wire.Link // of an upstream
-	way      WorkerConn
-	err      error
-	report   *pb.Report
-	ago      logic.Micros // of a list that is not whole: since its first byte
-	takes    func() bool  // whether the report is to be taken, nil if it always is
-	news     *pb.News
-	counts   *pb.Counts
-	call     func()
+	at            logic.Micros
+	kind          eventKind
+	profile       uint32
+	account       uint32
+	ending        uint32
+	inFlight      uint32
+	busyShare     uint32
+	servedRate    uint32
+	isRetry       bool
+	discoveryBusy bool // discovery turned the request away
+
+	noRouteReason uint8 // why no route applies; 0 if one does, or if the transaction has no attributes
+	id            uint64
+	timeLeft      uint64
+	expectedWork  uint64
+	key           logic.Key
+	dedupToken    []byte
+	payload       []byte
+	buffer        *[]byte // holds dedupToken and payload
+	client        *client
+	conn          *pooledConn
+	worker        *worker
+	upstream      *upstream
+	upstreamLink  *wire.Link // of an upstream connection
+	workerLink    WorkerConn
+	err           error
+	report        *pb.Report
+	startedAgo    logic.Micros // of an incomplete list: time since its first byte
+	stillWanted   func() bool  // reports whether the event still applies; nil if it always does
+	status        *pb.News
+	counts        *pb.Counts
+	call          func()
 }
 
-// buffers hold what came in frames until the loop is done with it. A large one is not kept.
+// buffers is a pool of buffers for payloads, which are needed until the event loop has processed them.
 var buffers = sync.Pool{New: func() any { return new([]byte) }}
 
-func borrow() *[]byte { return buffers.Get().(*[]byte) }
+func getBuffer() *[]byte { return buffers.Get().(*[]byte) }
 
-func giveBack(b *[]byte) {
+// putBuffer returns a buffer for reuse. Ones of more than 64 KiB are left to the garbage collector.
+func putBuffer(b *[]byte) {
 	if b != nil && cap(*b) <= 64<<10 {
 		buffers.Put(b)
 	}
 }
 
-// inbox holds what waits for the loop, in the order taken. What clients and peers send waits for room; what ends
-// or answers something does not, since its number is bounded by what is open.
+// inbox is the queue of events for the event loop, in order of arrival. Events that others initiate (clients, peers,
+// discovery, the control plane) wait while it is full. Events that end or answer something do not wait: their number
+// is bounded by that of open hand-offs, dials and requests.
 type inbox struct {
-	mu     sync.Mutex
-	room   *sync.Cond
-	items  []event
-	most   int
-	closed bool
-	clock  clock
-	wake   chan struct{}
-	waits  int // puts that had to wait, for the metrics
+	mu        sync.Mutex
+	notFull   *sync.Cond
+	events    []event
+	capacity  int
+	closed    bool
+	clock     clock
+	wakeUp    chan struct{}
+	fullWaits int // number of puts that had to wait, for the metrics
 }
 
-func newInbox(most int, c clock) *inbox {
-	q := &inbox{most: most, clock: c, wake: make(chan struct{}, 1)}
-	q.room = sync.NewCond(&q.mu)
+func newInbox(capacity int, c clock) *inbox {
+	q := &inbox{capacity: capacity, clock: c, wakeUp: make(chan struct{}, 1)}
+	q.notFull = sync.NewCond(&q.mu)
 	return q
 }
 
-// put takes an event, and says whether it did: not once the inbox is closed.
-func (q *inbox) put(e *event, wait bool) bool {
+// put appends an event and reports whether it did. It does not once the inbox is closed. With mayWait it blocks while
+// the inbox is full.
+func (q *inbox) put(e *event, mayWait bool) bool {
 	q.mu.Lock()
-	if wait && len(q.items) >= q.most && !q.closed {
-		q.waits++
-		for len(q.items) >= q.most && !q.closed {
-			q.room.Wait()
+	if mayWait && len(q.events) >= q.capacity && !q.closed {
+		q.fullWaits++
+		for len(q.events) >= q.capacity && !q.closed {
+			q.notFull.Wait()
 		}
 	}
 	if q.closed {
@@ -130,46 +134,47 @@
 		return false
 	}
 	e.at = q.clock.now()
-	q.items = append(q.items, *e)
-	first := len(q.items) == 1
+	q.events = append(q.events, *e)
+	first := len(q.events) == 1
 	q.mu.Unlock()
 	if first {
 		select {
-		case q.wake <- struct{}{}:
+		case q.wakeUp <- struct{}{}:
 		default:
 		}
 	}
 	return true
 }
 
-// take swaps what waits for an empty slice.
+// take returns all waiting events, and keeps the empty slice for new ones.
 func (q *inbox) take(empty []event) []event {
 	q.mu.Lock()
-	items := q.items
-	q.items = empty[:0]
-	if len(items) >= q.most {
-		q.room.Broadcast()
+	events := q.events
+	q.events = empty[:0]
+	if len(events) >= q.capacity {
+		q.notFull.Broadcast()
 	}
 	q.mu.Unlock()
-	return items
+	return events
 }
 
-// close takes nothing more, and gives what was not taken from it.
+// close makes the inbox reject further events, and returns those that were not taken.
 func (q *inbox) close() []event {
 	q.mu.Lock()
-	left := q.items
-	q.closed, q.items = true, nil
+	remaining := q.events
+	q.closed, q.events = true, nil
 	q.mu.Unlock()
-	q.room.Broadcast()
+	q.notFull.Broadcast()
 	select {
-	case q.wake <- struct{}{}:
+	case q.wakeUp <- struct{}{}:
 	default:
 	}
-	return left
+	return remaining
 }
 
-func (q *inbox) load() (waiting, waits int) {
+// stats returns the number of waiting events, and how often a put had to wait.
+func (q *inbox) stats() (waiting, fullWaits int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.items), q.waits
+	return len(q.events), q.fullWaits
 }
--- a/internal/sentry/routing.go
+++ b/internal/sentry/routing.go
@@ -12,144 +12,148 @@
 	"scalechute/logic"
 )
 
-// routing is the routes in use. A transaction that carries attributes is judged when its frame is read, on the poller, by
-// the one routing that it finds then; what it got it keeps, however often it is handed off and whatever is loaded later.
+// routing is a snapshot of the settings and the routes in use. A transaction with attributes is routed once, when its
+// frame is read on the poller. It keeps the profile, account and key that it got then for all its hand-offs, also
+// across reloads.
 type routing struct {
-	sheet *orders.Settings
-	book  *routes.Book // nil if it has none
-	spare sync.Pool    // of *judge
+	settings *orders.Settings
+	routeSet *routes.Book // nil if the settings have no routes
+	matchers sync.Pool    // of *matcher
 }
 
-// judge is what reading and matching one transaction needs.
-type judge struct {
-	book   *routes.Book
-	record *match.Record
-	reader wire.AttributeReader
-	key    []byte
-	nth    int   // attribute of this transaction
-	order  []int // places of the attributes, as the last one had them: most clients keep to one order
-	at     int   // of the attribute in hand
-	wanted func(name []byte) bool
-	put    func(v *match.Carried)
+// matcher holds the buffers for reading and matching the attributes of one transaction.
+type matcher struct {
+	routeSet       *routes.Book
+	record         *match.Record
+	reader         wire.AttributeReader
+	key            []byte
+	attributeIndex int   // position of the current attribute in the transaction
+	lastSlots      []int // schema slots by position, from earlier transactions: most clients send attributes in the same order
+	schemaSlot     int   // schema slot of the current attribute, -1 if it is not declared
+	isNeededFunc   func(name []byte) bool
+	storeFunc      func(v *match.Carried)
 
-	unknown, misfits int
+	unknownAttributes, typeMismatches int
 }
 
-func newRouting(sheet *orders.Settings) *routing {
-	b := sheet.Routes
-	r := &routing{sheet: sheet, book: b}
-	if b == nil {
+func newRouting(settings *orders.Settings) *routing {
+	routeSet := settings.Routes
+	r := &routing{settings: settings, routeSet: routeSet}
+	if routeSet == nil {
 		return r
 	}
-	r.spare.New = func() any {
-		j := &judge{book: b, record: b.Schema.NewRecord(), order: make([]int, len(b.Schema.Attributes))}
-		j.wanted, j.put = j.want, func(v *match.Carried) {
-			if b.Schema.Put(j.record, j.at, v) != nil {
-				j.misfits++
+	r.matchers.New = func() any {
+		m := &matcher{routeSet: routeSet, record: routeSet.Schema.NewRecord(), lastSlots: make([]int, len(routeSet.Schema.Attributes))}
+		m.isNeededFunc, m.storeFunc = m.isNeeded, func(v *match.Carried) {
+			if routeSet.Schema.Put(m.record, m.schemaSlot, v) != nil {
+				m.typeMismatches++
 			}
 		}
-		return j
+		return m
 	}
 	return r
 }
 
-// want finds an attribute's place, and says whether anything depends on it.
-func (j *judge) want(name []byte) bool {
-	s, n := j.book.Schema, j.nth
-	j.nth++
-	if n >= len(j.order) {
-		j.at = s.At(name)
-	} else if j.at = j.order[n]; j.at < 0 || s.Attributes[j.at].Name != string(name) {
-		j.at = s.At(name)
-		j.order[n] = j.at
+// isNeeded looks up an attribute's schema slot and reports whether a route needs the attribute.
+func (m *matcher) isNeeded(name []byte) bool {
+	schema, index := m.routeSet.Schema, m.attributeIndex
+	m.attributeIndex++
+	if index >= len(m.lastSlots) {
+		m.schemaSlot = schema.At(name)
+	} else if m.schemaSlot = m.lastSlots[index]; m.schemaSlot < 0 || schema.Attributes[m.schemaSlot].Name != string(name) {
+		m.schemaSlot = schema.At(name)
+		m.lastSlots[index] = m.schemaSlot
 	}
-	if j.at < 0 {
-		j.unknown++
+	if m.schemaSlot < 0 {
+		m.unknownAttributes++
 		return false
 	}
-	return j.book.Table.Needs[j.at]
+	return m.routeSet.Table.Needs[m.schemaSlot]
 }
 
-// Why a transaction with attributes is not taken.
+// Reasons why a transaction with attributes has no route.
 const (
-	notAbsent = iota + 1 // an attribute that must be there is missing
-	notMatched
-	notLoaded // the sentry has no routes
+	reasonAbsent = iota + 1 // a required attribute is missing
+	reasonNoMatch
+	reasonNoRoutes // the settings have no routes
 )
 
-var unroutedNames = [...]string{notAbsent: "absent", notMatched: "no_match", notLoaded: "no_routes"}
+// noRouteReasonNames holds the label values of the reasons.
+var noRouteReasonNames = [...]string{reasonAbsent: "absent", reasonNoMatch: "no_match", reasonNoRoutes: "no_routes"}
 
-// judged fills in an event what its transaction's attributes say: profile, account and key, or why it is not taken.
-func (s *Sentry) judged(r *routing, e *event, attributes []byte) error {
-	if r.book == nil {
-		e.unrouted = notLoaded
+// routeTransaction sets the profile, account and key of an event by its transaction's attributes, or the reason why no
+// route applies.
+func (s *Sentry) routeTransaction(r *routing, e *event, attributes []byte) error {
+	if r.routeSet == nil {
+		e.noRouteReason = reasonNoRoutes
 		return nil
 	}
-	j := r.spare.Get().(*judge)
-	defer r.spare.Put(j)
-	j.record.Clear()
-	j.nth, j.unknown, j.misfits = 0, 0, 0
-	if err := j.reader.Read(attributes, j.wanted, j.put); err != nil {
-		return fault("attributes that can't be read", "a message as the schema has it")
+	m := r.matchers.Get().(*matcher)
+	defer r.matchers.Put(m)
+	m.record.Clear()
+	m.attributeIndex, m.unknownAttributes, m.typeMismatches = 0, 0, 0
+	if err := m.reader.Read(attributes, m.isNeededFunc, m.storeFunc); err != nil {
+		return invalid("attributes that can't be read", "a message that follows the schema")
 	}
-	if j.unknown > 0 {
-		s.metrics.unknown.Add(float64(j.unknown))
+	if m.unknownAttributes > 0 {
+		s.metrics.unknownAttributes.Add(float64(m.unknownAttributes))
 	}
-	if j.misfits > 0 {
-		s.metrics.misfits.Add(float64(j.misfits))
+	if m.typeMismatches > 0 {
+		s.metrics.typeMismatches.Add(float64(m.typeMismatches))
 	}
-	if r.book.Schema.Absent(j.record) >= 0 {
-		e.unrouted = notAbsent
+	if r.routeSet.Schema.Absent(m.record) >= 0 {
+		e.noRouteReason = reasonAbsent
 		return nil
 	}
-	at := r.book.Table.First(j.record)
-	if at < 0 {
-		e.unrouted = notMatched
+	index := r.routeSet.Table.First(m.record)
+	if index < 0 {
+		e.noRouteReason = reasonNoMatch
 		return nil
 	}
-	x := &r.book.Table.Routes[at]
-	j.key = r.book.Table.AppendKey(at, j.key[:0], j.record)
-	e.profile, e.account, e.key = uint32(x.Profile), uint32(x.Account), logic.Key(j.key)
+	route := &r.routeSet.Table.Routes[index]
+	m.key = r.routeSet.Table.AppendKey(index, m.key[:0], m.record)
+	e.profile, e.account, e.key = uint32(route.Profile), uint32(route.Account), logic.Key(m.key)
 	return nil
 }
 
-// Sheet is what the sentry runs by. What is read to be loaded is read beside it.
-func (s *Sentry) Settings() *orders.Settings { return s.routing.Load().sheet }
+// Settings returns the settings in use. Settings for Reload must be read with orders.LoadUpdate or orders.ParseUpdate
+// against them.
+func (s *Sentry) Settings() *orders.Settings { return s.routing.Load().settings }
 
-// Reload takes the orders of a sheet that was read anew, whole, between two inputs of the loop. What was taken ends under
-// the profile that it came with; nothing that a rule counts starts anew. What a running sentry can't change is refused,
-// and the old orders stay.
-func (s *Sentry) Reload(sheet *orders.Settings) (err error) {
-	err = errors.New("the sentry has stopped, expected it to run")
-	s.Inspect(func() { err = s.reorder(sheet) })
+// Reload applies new settings atomically, between two inputs of the event loop. Open transactions end under the
+// profile that they arrived with, and no count of a rule is reset. If the settings change a value that cannot change
+// while the sentry runs, Reload returns an error and the old settings stay in use.
+func (s *Sentry) Reload(settings *orders.Settings) (err error) {
+	err = errors.New("the sentry has stopped, expected a running one")
+	s.Inspect(func() { err = s.applySettings(settings) })
 	return err
 }
 
-// reorder is Reload on the loop.
-func (s *Sentry) reorder(sheet *orders.Settings) error {
-	if all := s.sheet.Conflicts(sheet); len(all) > 0 {
-		return all[0]
+// applySettings is the part of Reload that runs on the event loop.
+func (s *Sentry) applySettings(settings *orders.Settings) error {
+	if conflicts := s.settings.Conflicts(settings); len(conflicts) > 0 {
+		return conflicts[0]
 	}
-	sheet = sheet.KeepSlots(s.sheet)
-	asked := s.orders.ListOnRequest
-	s.setPeers(sheet)
-	s.metrics.name(sheet.ProfileNames)
-	s.sheet, s.orders = sheet, &sheet.Policy
-	s.routing.Store(newRouting(sheet))
-	s.tell(input.Input{Kind: input.Reconfigured, Config: s.orders})
-	if s.list.keep = !s.orders.ListOnRequest; asked && s.list.keep {
-		s.ends.RequestList(true, s.book.version)
+	settings = settings.KeepSlots(s.settings)
+	wasOnRequest := s.config.ListOnRequest
+	s.setPeers(settings)
+	s.metrics.setProfiles(settings.ProfileNames)
+	s.settings, s.config = settings, &settings.Policy
+	s.routing.Store(newRouting(settings))
+	s.deliver(input.Input{Kind: input.Reconfigured, Config: s.config})
+	if s.discovery.persistent = !s.config.ListOnRequest; wasOnRequest && s.discovery.persistent {
+		s.transport.RequestList(true, s.workerList.version)
 	}
 	return nil
 }
 
-// Loaded books the outcome of a reload, with what was wrong.
-func (s *Sentry) RecordReload(sheet *orders.Settings, err error) {
+// RecordReload counts and logs the result of a reload.
+func (s *Sentry) RecordReload(settings *orders.Settings, err error) {
 	if err != nil {
-		s.metrics.refused.Inc()
+		s.metrics.settingsRefused.Inc()
 		s.log.Error().Err(err).Msg("orders refused, the old ones stay")
 		return
 	}
-	s.metrics.reloaded.Inc()
-	s.log.Info().Str("routes", sheet.Routes.Summary()).Msg("orders loaded")
+	s.metrics.settingsLoaded.Inc()
+	s.log.Info().Str("routes", settings.Routes.Summary()).Msg("orders loaded")
 }
