--- a/internal/measure/bare.go
+++ b/internal/measure/bare.go
@@ -15,7 +15,7 @@
 
 // Bare is the relay: each frame of a client goes to a random worker over a connection of that client's own, and what
 // the worker answers goes back. It knows no transaction, so nothing is looked up, timed or retried.
-func Bare(listen, metrics string, workers []string) error {
+func ServeRelay(listen, metrics string, workers []string) error {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
 	mux := http.NewServeMux()
--- a/internal/measure/match.go
+++ b/internal/measure/match.go
@@ -24,13 +24,13 @@
 
 // MatchReading is what finding the route of one transaction takes, in nanoseconds: by the index, by trying each route in
 // turn, and by trying each in cel-go's own evaluation.
-type MatchReading struct {
-	Routes             int
-	Load               time.Duration // of the whole file
-	Index, Scan, Cel   float64
-	Allocs, CelAllocs  float64 // of one transaction
-	One, CelOne        float64 // of one expression that holds
-	Matched, Different int     // transactions that a route took, and those on which the three do not agree
+type MatchResult struct {
+	RouteCount                  int
+	LoadTime                    time.Duration // of the whole file
+	IndexNs, ScanNs, CELNs      float64
+	IndexAllocs, CELAllocs      float64 // of one transaction
+	PredicateNs, CELPredicateNs float64 // of one expression that holds
+	Matched, Mismatched         int     // transactions that a route took, and those on which the three do not agree
 }
 
 const words = `
@@ -143,9 +143,9 @@
 }
 
 // Match measures with n routes.
-func Match(n int) (*MatchReading, error) {
+func RunMatch(n int) (*MatchResult, error) {
 	text := []byte("profile \"reading\" {}\n" + routesText(n))
-	r := &MatchReading{Routes: n, Load: time.Hour}
+	r := &MatchResult{RouteCount: n, LoadTime: time.Hour}
 	var book *routes.Book
 	for range 3 { // the best of three: the first has caches to fill
 		runtime.GC()
@@ -154,7 +154,7 @@
 		if err != nil {
 			return nil, err
 		}
-		book, r.Load = b, min(r.Load, time.Since(start))
+		book, r.LoadTime = b, min(r.LoadTime, time.Since(start))
 	}
 	checker, err := match.NewChecker(book.Schema, book.Limit)
 	if err != nil {
@@ -196,20 +196,20 @@
 	for i := range records {
 		a, b, c := book.Table.First(records[i]), scan(records[i]), celScan(maps[i])
 		if a != b || b != c {
-			r.Different++
+			r.Mismatched++
 		}
 		if a >= 0 {
 			r.Matched++
 			hit = i
 		}
 	}
-	r.Index, r.Allocs = timed(func(i int) { book.Table.First(records[i%64]) })
-	r.Scan, _ = timed(func(i int) { scan(records[i%64]) })
-	r.Cel, r.CelAllocs = timed(func(i int) { celScan(maps[i%64]) })
+	r.IndexNs, r.IndexAllocs = timed(func(i int) { book.Table.First(records[i%64]) })
+	r.ScanNs, _ = timed(func(i int) { scan(records[i%64]) })
+	r.CELNs, r.CELAllocs = timed(func(i int) { celScan(maps[i%64]) })
 	if hit >= 0 {
 		at := scan(records[hit])
-		r.One, _ = timed(func(int) { own[at].Holds(records[hit]) })
-		r.CelOne, _ = timed(func(int) { _, _, _ = theirs[at].Eval(maps[hit]) })
+		r.PredicateNs, _ = timed(func(int) { own[at].Holds(records[hit]) })
+		r.CELPredicateNs, _ = timed(func(int) { _, _, _ = theirs[at].Eval(maps[hit]) })
 	}
 	return r, nil
 }
@@ -235,17 +235,17 @@
 }
 
 // PrintMatch writes readings as a table.
-func PrintMatch(w io.Writer, rs []*MatchReading) {
+func PrintMatchResults(w io.Writer, rs []*MatchResult) {
 	for _, r := range rs {
 		fmt.Fprintf(w, "%6d routes: load %v; index %.0f ns (%.1f allocations), each in turn %.0f ns, cel-go in turn %.0f ns (%.0f allocations); "+
-			"one expression %.0f ns, cel-go %.0f ns (%.1f times); %d of 64 matched, %d different\n", r.Routes,
-			r.Load.Round(100*time.Microsecond), r.Index, r.Allocs, r.Scan, r.Cel, r.CelAllocs, r.One, r.CelOne, r.CelOne/r.One,
-			r.Matched, r.Different)
+			"one expression %.0f ns, cel-go %.0f ns (%.1f times); %d of 64 matched, %d different\n", r.RouteCount,
+			r.LoadTime.Round(100*time.Microsecond), r.IndexNs, r.IndexAllocs, r.ScanNs, r.CELNs, r.CELAllocs, r.PredicateNs, r.CELPredicateNs, r.CELPredicateNs/r.PredicateNs,
+			r.Matched, r.Mismatched)
 	}
 }
 
 // PlotMatch draws cost over number of routes.
-func PlotMatch(file string, rs []*MatchReading) error {
+func PlotMatchResults(file string, rs []*MatchResult) error {
 	p := plot.New()
 	p.Title.Text = "Finding the route of a transaction of eight attributes"
 	p.X.Label.Text, p.Y.Label.Text = "routes", "microseconds"
@@ -255,12 +255,12 @@
 	p.Add(plotter.NewGrid())
 	for i, line := range []struct {
 		name string
-		of   func(*MatchReading) float64
-	}{{"index", func(r *MatchReading) float64 { return r.Index }}, {"each in turn", func(r *MatchReading) float64 { return r.Scan }},
-		{"each in turn, evaluated by cel-go", func(r *MatchReading) float64 { return r.Cel }}} {
+		of   func(*MatchResult) float64
+	}{{"index", func(r *MatchResult) float64 { return r.IndexNs }}, {"each in turn", func(r *MatchResult) float64 { return r.ScanNs }},
+		{"each in turn, evaluated by cel-go", func(r *MatchResult) float64 { return r.CELNs }}} {
 		points := make(plotter.XYs, len(rs))
 		for j, r := range rs {
-			points[j].X, points[j].Y = float64(r.Routes), line.of(r)/1e3
+			points[j].X, points[j].Y = float64(r.RouteCount), line.of(r)/1e3
 		}
 		l, dots, err := plotter.NewLinePoints(points)
 		if err != nil {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -29,29 +29,29 @@
 )
 
 // Plan is what is measured.
-type Plan struct {
-	Program []string
-	Dir     string
-	Workers int
-	Clients int           // connections
-	Window  int           // transactions out on each, when as many as possible are asked
-	Rate    float64       // a second, 0 for as many as possible
-	For     time.Duration // of each measurement
-	Procs   int           // GOMAXPROCS of what is measured
-	Profile string        // file for a processor profile, empty if none
-	Routes  int           // routes that judge transactions of eight attributes; 0: transactions say what they are
+type Options struct {
+	Program               []string
+	Dir                   string
+	Workers               int
+	Connections           int           // connections
+	InFlightPerConnection int           // transactions out on each, when as many as possible are asked
+	Rate                  float64       // a second, 0 for as many as possible
+	Duration              time.Duration // of each measurement
+	MaxProcs              int           // GOMAXPROCS of what is measured
+	CPUProfile            string        // file for a processor profile, empty if none
+	RouteCount            int           // routes that judge transactions of eight attributes; 0: transactions say what they are
 }
 
 // Reading is one measurement.
-type Reading struct {
-	What                      string
-	Done                      int
-	PerSecond, PerCore        float64 // PerCore: for each second of processor time
-	Allocs, Bytes             float64 // a transaction
-	P50, P99, P999            time.Duration
-	Satisfied                 float64
-	Resident, ResidentAtStart int64 // bytes
-	Connections               int
+type Result struct {
+	Name                                string
+	Completed                           int
+	PerSecond, PerCPUSecond             float64 // PerCore: for each second of processor time
+	AllocsEach, BytesEach               float64 // a transaction
+	P50, P99, P999                      time.Duration
+	SatisfiedShare                      float64
+	ResidentBytes, ResidentBytesAtStart int64 // bytes
+	Connections                         int
 }
 
 // workers answers at once whatever it is asked, as a worker of a sentry or as one behind the relay.
@@ -148,7 +148,7 @@
 func (still) DrainBuild(logic.BuildID)            {}
 
 // Sentry measures a sentry, Relay the bare relay.
-func Sentry(p Plan) (*Reading, error) {
+func RunSentry(p Options) (*Result, error) {
 	servers, err := workers(p.Workers)
 	if err != nil {
 		return nil, err
@@ -177,22 +177,22 @@
 	file := filepath.Join(p.Dir, "measured.hcl")
 	text := fmt.Sprintf(orders, listen, metrics, filepath.Join(p.Dir, "measured.list"), list.Address, desk.Address)
 	name := "sentry"
-	if p.Routes > 0 {
+	if p.RouteCount > 0 {
 		name = "routed"
-		text += routesText(p.Routes) + rest
+		text += routesText(p.RouteCount) + rest
 	}
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		return nil, err
 	}
 	args := []string{"sentry", "--config", file, "--level", "warn"}
-	if p.Profile != "" {
-		args = append(args, "--profile", p.Profile)
+	if p.CPUProfile != "" {
+		args = append(args, "--profile", p.CPUProfile)
 	}
 	return p.run(name, listen, metrics, args)
 }
 
 // Relay measures the bare relay.
-func Relay(p Plan) (*Reading, error) {
+func RunRelay(p Options) (*Result, error) {
 	servers, err := workers(p.Workers)
 	if err != nil {
 		return nil, err
@@ -224,10 +224,10 @@
 }
 
 // run starts what is measured, loads it, and reads what it used.
-func (p Plan) run(what, listen, metrics string, args []string) (*Reading, error) {
+func (p Options) run(what, listen, metrics string, args []string) (*Result, error) {
 	cmd := exec.Command(p.Program[0], append(append([]string(nil), p.Program[1:]...), args...)...)
 	cmd.Stderr = os.Stderr
-	cmd.Env = append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(p.Procs))
+	cmd.Env = append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(p.MaxProcs))
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -240,10 +240,10 @@
 		}
 	}
 	defer stop()
-	r := &Reading{What: what, Connections: p.Clients}
+	r := &Result{Name: what, Connections: p.Connections}
 	d := &driver{p: p}
-	if p.Routes > 0 {
-		d.samples = samples(p.Routes)
+	if p.RouteCount > 0 {
+		d.samples = samples(p.RouteCount)
 	}
 	for try := 0; ; try++ {
 		link, err := wire.Dial(listen, time.Second, wire.DefaultLimits, d.answered(nil), nil)
@@ -257,7 +257,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	time.Sleep(300 * time.Millisecond) // the list comes
-	r.ResidentAtStart = resident(cmd.Process.Pid)
+	r.ResidentBytesAtStart = resident(cmd.Process.Pid)
 	if err := d.connect(listen); err != nil {
 		return nil, err
 	}
@@ -266,19 +266,19 @@
 	d.reset()
 	before, _ := counters(metrics)
 	cpu := cpuTime(cmd.Process.Pid)
-	took := d.load(p.For)
+	took := d.load(p.Duration)
 	cpu = cpuTime(cmd.Process.Pid) - cpu
 	after, err := counters(metrics)
 	if err != nil {
 		return nil, err
 	}
-	r.Done = int(d.done.Load())
-	r.Resident = resident(cmd.Process.Pid)
-	n := float64(max(1, r.Done))
-	r.PerSecond, r.PerCore = n/took.Seconds(), n/max(cpu.Seconds(), 1e-9)
-	r.Allocs = (after["go_memstats_mallocs_total"] - before["go_memstats_mallocs_total"]) / n
-	r.Bytes = (after["go_memstats_alloc_bytes_total"] - before["go_memstats_alloc_bytes_total"]) / n
-	r.Satisfied = float64(d.satisfied.Load()) / n
+	r.Completed = int(d.done.Load())
+	r.ResidentBytes = resident(cmd.Process.Pid)
+	n := float64(max(1, r.Completed))
+	r.PerSecond, r.PerCPUSecond = n/took.Seconds(), n/max(cpu.Seconds(), 1e-9)
+	r.AllocsEach = (after["go_memstats_mallocs_total"] - before["go_memstats_mallocs_total"]) / n
+	r.BytesEach = (after["go_memstats_alloc_bytes_total"] - before["go_memstats_alloc_bytes_total"]) / n
+	r.SatisfiedShare = float64(d.satisfied.Load()) / n
 	d.mu.Lock()
 	at := func(q float64) time.Duration { return time.Duration(d.times.ValueAtQuantile(q)) * time.Microsecond }
 	r.P50, r.P99, r.P999 = at(50), at(99), at(99.9)
@@ -288,7 +288,7 @@
 
 // driver is the clients.
 type driver struct {
-	p         Plan
+	p         Options
 	links     []*caller
 	done      atomic.Int64
 	satisfied atomic.Int64
@@ -357,7 +357,7 @@
 
 func (d *driver) connect(address string) error {
 	d.reset()
-	for range d.p.Clients {
+	for range d.p.Connections {
 		c := &caller{d: d, sent: map[uint64]time.Time{}}
 		link, err := wire.Dial(address, 5*time.Second, wire.DefaultLimits, d.answered(c), nil)
 		if err != nil {
@@ -384,7 +384,7 @@
 	d.running.Store(true)
 	if d.p.Rate == 0 {
 		for _, c := range d.links {
-			for range d.p.Window {
+			for range d.p.InFlightPerConnection {
 				c.ask()
 			}
 			c.link.Flush()
@@ -465,11 +465,11 @@
 }
 
 // Print writes readings as a table.
-func Print(w io.Writer, rs ...*Reading) {
+func PrintResults(w io.Writer, rs ...*Result) {
 	for _, r := range rs {
 		fmt.Fprintf(w, "%-7s %7d done, %8.0f a second, %8.0f for a second of one core, %5.1f allocations and %6.0f bytes each, "+
-			"p50 %v p99 %v p99.9 %v, %.2f%% satisfied, %.1f MB resident (%.1f before %d connections)\n", r.What, r.Done, r.PerSecond,
-			r.PerCore, r.Allocs, r.Bytes, r.P50, r.P99, r.P999, 100*r.Satisfied, float64(r.Resident)/1e6,
-			float64(r.ResidentAtStart)/1e6, r.Connections)
+			"p50 %v p99 %v p99.9 %v, %.2f%% satisfied, %.1f MB resident (%.1f before %d connections)\n", r.Name, r.Completed, r.PerSecond,
+			r.PerCPUSecond, r.AllocsEach, r.BytesEach, r.P50, r.P99, r.P999, 100*r.SatisfiedShare, float64(r.ResidentBytes)/1e6,
+			float64(r.ResidentBytesAtStart)/1e6, r.Connections)
 	}
 }
