--- a/cmd/scalechute/main.go
+++ b/cmd/scalechute/main.go
@@ -186,7 +186,7 @@
 					sheet.Policy.Position, sheet.Policy.Sentries, len(sheet.ProfileNames), len(sheet.AccountNames),
 					len(sheet.Zones), sheet.Routes.Summary())
 				if sheet.Routes != nil {
-					for _, n := range sheet.Routes.Notes {
+					for _, n := range sheet.Routes.Warnings {
 						fmt.Fprintln(c.OutOrStdout(), n)
 					}
 				}
--- a/cmd/scalechute/match.go
+++ b/cmd/scalechute/match.go
@@ -15,7 +15,7 @@
 // matchCommand is what an operator tries routes with. docs/routes.md tells how.
 func matchCommand() *cobra.Command {
 	c := &cobra.Command{Use: "match", Short: "Check, try, explain and test the routes of a sentry's file"}
-	load := func(name string) (*routes.Book, error) {
+	load := func(name string) (*routes.RouteSet, error) {
 		return routes.Load(name, append(append([]string{"sentry"}, orders.SharedBlocks...), drill.Blocks...)...)
 	}
 	check := &cobra.Command{
@@ -30,7 +30,7 @@
 					fmt.Fprintln(c.ErrOrStderr(), err)
 					continue
 				}
-				for _, n := range b.Notes {
+				for _, n := range b.Warnings {
 					fmt.Fprintln(c.OutOrStdout(), n)
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: good; %d attributes, %d named expressions, %d routes, %d cases\n", name,
@@ -66,11 +66,11 @@
 				}
 				pairs = append(pairs, hclread.Pair{Name: name, Values: []string{value}})
 			}
-			r, misfits := b.Record(pairs)
+			r, misfits := b.ParseRecord(pairs)
 			for _, m := range misfits {
 				fmt.Fprintf(c.OutOrStdout(), "left missing: %v\n", m.Err)
 			}
-			b.Tell(c.OutOrStdout(), r, few(20))
+			b.WriteMatch(c.OutOrStdout(), r, few(20))
 			return nil
 		},
 	}
@@ -83,7 +83,7 @@
 			if err != nil {
 				return err
 			}
-			b.Explain(c.OutOrStdout(), few(20))
+			b.WriteExplanation(c.OutOrStdout(), few(20))
 			return nil
 		},
 	}
@@ -100,7 +100,7 @@
 				if len(b.Cases) == 0 {
 					return fmt.Errorf("%s: found no case, expected one at least", name)
 				}
-				failed := b.Test()
+				failed := b.RunCases()
 				for _, f := range failed {
 					fmt.Fprintln(c.OutOrStdout(), f)
 				}
--- a/internal/drill/file.go
+++ b/internal/drill/file.go
@@ -97,23 +97,23 @@
 	root := f.Root
 	d := &Day{Name: name, Sheet: orders.ReadShared(root), shared: orders.SharedSource(root)}
 	b := root.Block("drill", true)
-	d.Length = b.Span("length", true, 10*time.Second, time.Second, 10*time.Minute)
-	d.Slack = b.Span("slack", false, 60*ms, 0, 5*time.Second)
-	d.Seed = int64(b.Whole("seed", false, 1, 0, 1<<31))
-	d.Baseline = b.Flag("baseline", false)
-	b.Done()
+	d.Length = b.Duration("length", true, 10*time.Second, time.Second, 10*time.Minute)
+	d.Slack = b.Duration("slack", false, 60*ms, 0, 5*time.Second)
+	d.Seed = int64(b.Int("seed", false, 1, 0, 1<<31))
+	d.Baseline = b.Bool("baseline", false)
+	b.RejectUnknown()
 
 	b = root.Block("fleet", true)
 	d.Fleet = FleetPlan{
-		Workers: b.Whole("workers", true, 4, 1, 256), Cores: b.Whole("cores", false, 2, 1, 64),
-		Spread: b.Figure("spread", false, 0.1, 0, 0.9), Cold: b.Span("warm_up", false, 2*time.Second, 0, time.Minute),
-		ColdFrom: b.Figure("cold_from", false, 0.5, 0.01, 1), Boot: b.Span("boot", false, 300*ms, 0, time.Minute),
-		ListLate: b.Span("list_late", false, 300*ms, 0, time.Minute),
-		NewsLate: b.Span("news_late", false, 200*ms, 0, time.Minute), Link: b.Span("link", false, ms, 0, time.Second),
+		Workers: b.Int("workers", true, 4, 1, 256), Cores: b.Int("cores", false, 2, 1, 64),
+		Spread: b.Float("spread", false, 0.1, 0, 0.9), Cold: b.Duration("warm_up", false, 2*time.Second, 0, time.Minute),
+		ColdFrom: b.Float("cold_from", false, 0.5, 0.01, 1), Boot: b.Duration("boot", false, 300*ms, 0, time.Minute),
+		ListLate: b.Duration("list_late", false, 300*ms, 0, time.Minute),
+		NewsLate: b.Duration("news_late", false, 200*ms, 0, time.Minute), Link: b.Duration("link", false, ms, 0, time.Second),
 	}
-	b.Done()
+	b.RejectUnknown()
 	if o := &d.Sheet.Policy; d.Fleet.Cold > o.WarmUp || d.Fleet.ColdFrom < o.ColdCapacity {
-		b.Fault("workers are colder than the rules state: warm_up at most %d us and cold_from at least %g expected",
+		b.Errorf("workers are colder than the rules state: warm_up at most %d us and cold_from at least %g expected",
 			o.WarmUp, o.ColdCapacity)
 	}
 	d.load(root.Block("load", true))
@@ -123,64 +123,64 @@
 	for _, b := range root.Blocks("trouble", 1) {
 		d.trouble(b)
 	}
-	root.Done()
+	root.RejectUnknown()
 	slices.SortStableFunc(d.Troubles, func(a, b Trouble) int { return int(a.At - b.At) })
 	return d, f.Err()
 }
 
 func (d *Day) load(b *hclread.Body) {
 	d.Load = standin.Workload{
-		PerSecond: b.Figure("per_second", true, 100, 0.1, 100_000), KeyCount: b.Whole("keys", false, 1000, 1, 1<<20),
-		ZipfExponent: b.Figure("zipf", false, 0.7, 0, 3), MaxRetries: b.Whole("retries", false, 2, 0, 10),
-		Backoff: span(b.Span("backoff", false, 30*ms, 0, time.Minute)), UseAttributes: b.Flag("attributes", false),
+		PerSecond: b.Float("per_second", true, 100, 0.1, 100_000), KeyCount: b.Int("keys", false, 1000, 1, 1<<20),
+		ZipfExponent: b.Float("zipf", false, 0.7, 0, 3), MaxRetries: b.Int("retries", false, 2, 0, 10),
+		Backoff: span(b.Duration("backoff", false, 30*ms, 0, time.Minute)), UseAttributes: b.Bool("attributes", false),
 		ProfileNames: d.Sheet.ProfileNames, AccountNames: d.Sheet.AccountNames,
-		TryTimeoutShare: b.Figure("try_share", false, 0.9, 0.1, 1), AbandonShare: b.Figure("leaves", false, 0, 0, 1),
+		TryTimeoutShare: b.Float("try_share", false, 0.9, 0.1, 1), AbandonShare: b.Float("leaves", false, 0, 0, 1),
 	}
 	d.Load.Profiles = make([]standin.ProfileLoad, len(d.Sheet.ProfileNames))
 	total := 0.0
 	for _, m := range b.Blocks("mix", 1) {
 		at := slices.Index(d.Sheet.ProfileNames, m.Labels[0])
-		mix := standin.ProfileLoad{Share: m.Figure("share", true, 0, 0, 1), MeanWork: m.Span("work", true, ms, 10*time.Microsecond, time.Minute)}
-		m.Done()
+		mix := standin.ProfileLoad{Share: m.Float("share", true, 0, 0, 1), MeanWork: m.Duration("work", true, ms, 10*time.Microsecond, time.Minute)}
+		m.RejectUnknown()
 		if at < 0 {
-			m.Fault("mix %q, expected one of the profiles %v", m.Labels[0], d.Sheet.ProfileNames)
+			m.Errorf("mix %q, expected one of the profiles %v", m.Labels[0], d.Sheet.ProfileNames)
 			continue
 		}
 		d.Load.Profiles[at] = mix
 		total += mix.Share
 	}
 	if total < 0.999 || total > 1.001 {
-		b.Fault("shares of all mixes are %g together, expected 1", total)
+		b.Errorf("shares of all mixes are %g together, expected 1", total)
 	}
 	if d.Load.UseAttributes && d.Sheet.Routes == nil {
-		b.FaultAt("attributes", "transactions carry attributes only, expected routes for them")
+		b.AttributeErrorf("attributes", "transactions carry attributes only, expected routes for them")
 	}
 	for _, a := range d.Sheet.Policy.Accounts {
 		d.Load.AccountShares = append(d.Load.AccountShares, a.Share)
 	}
-	b.Done()
+	b.RejectUnknown()
 }
 
 func (d *Day) release(b *hclread.Body) Release {
 	n, err := strconv.Atoi(b.Labels[0])
 	if err != nil || n <= firstBuild || n > 65535 {
-		b.Fault("release %q, expected a whole number above %d", b.Labels[0], firstBuild)
+		b.Errorf("release %q, expected a whole number above %d", b.Labels[0], firstBuild)
 	}
-	r := Release{Build: logic.BuildID(n), At: b.Span("at", true, 0, 0, 10*time.Minute)}
+	r := Release{Build: logic.BuildID(n), At: b.Duration("at", true, 0, 0, 10*time.Minute)}
 	r.Make = d.make(b)
-	b.Done()
+	b.RejectUnknown()
 	return r
 }
 
 // make reads how a build behaves.
 func (d *Day) make(b *hclread.Body) standin.BuildBehavior {
 	m := standin.BuildBehavior{
-		RelativeSpeed: b.Figure("speed", false, 1, 0.01, 10), ErrorShare: b.Figure("errors", false, 0, 0, 1), FailingProfile: -1,
-		SlowAfterAge: b.Span("slow_after", false, 0, 0, 10*time.Minute), SlowFactor: b.Figure("slow_by", false, 1, 1, 100),
-		FleetSlowdown: b.Figure("slows_all", false, 0, 0, 100),
+		RelativeSpeed: b.Float("speed", false, 1, 0.01, 10), ErrorShare: b.Float("errors", false, 0, 0, 1), FailingProfile: -1,
+		SlowAfterAge: b.Duration("slow_after", false, 0, 0, 10*time.Minute), SlowFactor: b.Float("slow_by", false, 1, 1, 100),
+		FleetSlowdown: b.Float("slows_all", false, 0, 0, 100),
 	}
 	if b.Has("profile") {
-		m.FailingProfile = logic.ProfileID(b.Word("profile", true, 0, d.Sheet.ProfileNames...))
+		m.FailingProfile = logic.ProfileID(b.Enum("profile", true, 0, d.Sheet.ProfileNames...))
 	}
 	return m
 }
@@ -188,31 +188,31 @@
 func (d *Day) trouble(b *hclread.Body) {
 	t := Trouble{Kind: b.Labels[0], Zone: -1}
 	if !slices.Contains(Kinds, t.Kind) {
-		b.Fault("trouble %q, expected one of %v", t.Kind, Kinds)
+		b.Errorf("trouble %q, expected one of %v", t.Kind, Kinds)
 	}
-	t.At = b.Span("at", true, 0, 0, 10*time.Minute)
+	t.At = b.Duration("at", true, 0, 0, 10*time.Minute)
 	if t.Kind == "bad_build" { // another word for a release that is bad
 		t.How = b.Text("build", true, "")
 		n, err := strconv.Atoi(t.How)
 		if err != nil || n <= firstBuild || n > 65535 {
-			b.FaultAt("build", "found %q, expected a whole number above %d", t.How, firstBuild)
+			b.AttributeErrorf("build", "found %q, expected a whole number above %d", t.How, firstBuild)
 		}
 		d.Releases = append(d.Releases, Release{Build: logic.BuildID(n), At: t.At, Make: d.make(b)})
-		b.Done()
+		b.RejectUnknown()
 		return
 	}
-	t.For = b.Span("for", true, 0, 0, 10*time.Minute)
-	t.Count = b.Whole("count", false, 1, 1, 256)
-	t.First = b.Whole("first", false, 0, 0, 255)
-	t.Size = b.Figure("size", false, defaultSize[t.Kind], 0, 1000)
-	t.Span = b.Span("delay", false, 100*ms, 0, time.Minute)
+	t.For = b.Duration("for", true, 0, 0, 10*time.Minute)
+	t.Count = b.Int("count", false, 1, 1, 256)
+	t.First = b.Int("first", false, 0, 0, 255)
+	t.Size = b.Float("size", false, defaultSize[t.Kind], 0, 1000)
+	t.Span = b.Duration("delay", false, 100*ms, 0, time.Minute)
 	if b.Has("zone") && len(d.Sheet.Zones) > 0 {
-		t.Zone = b.Word("zone", true, 0, d.Sheet.Zones...)
+		t.Zone = b.Enum("zone", true, 0, d.Sheet.Zones...)
 	}
 	if t.Kind == "control_down" {
-		t.How = []string{"quiet", "deny", "late"}[b.Word("how", false, 0, "quiet", "deny", "late")]
+		t.How = []string{"quiet", "deny", "late"}[b.Enum("how", false, 0, "quiet", "deny", "late")]
 	}
-	b.Done()
+	b.RejectUnknown()
 	d.Troubles = append(d.Troubles, t)
 }
 
--- a/internal/hclread/guard.go
+++ b/internal/hclread/guard.go
@@ -8,9 +8,9 @@
 // Bounds of a file. HCL's parser goes down a level for each bracket and each operator, and a stack that overflows ends
 // the process: a sentry that reads a hostile file anew must live.
 const (
-	mostBytes     = 64 << 20
-	mostNested    = 500
-	mostOperators = 2_000 // of one expression, with those that it stands in
+	maxFileBytes = 64 << 20
+	maxNesting   = 500
+	maxOperators = 2_000 // of one expression, with those that it stands in
 )
 
 // tooDeep finds the line in which a source goes beyond the bounds, 0 if it does not. HCL's own scanner, which it asks,
@@ -50,10 +50,10 @@
 			last.operators++
 			operators++
 		}
-		if len(levels) > mostNested {
+		if len(levels) > maxNesting {
 			return t.Range.Start.Line, "found nesting deeper than 500, expected less"
 		}
-		if operators > mostOperators {
+		if operators > maxOperators {
 			return t.Range.Start.Line, "found an expression of more than 2000 operators, expected fewer"
 		}
 	}
--- a/internal/hclread/read.go
+++ b/internal/hclread/read.go
@@ -22,18 +22,18 @@
 )
 
 // Faults are all that is wrong with a file, in the order of its lines.
-type Faults []Fault
+type Issues []Issue
 
 // Fault is one line for a person.
-type Fault struct {
+type Issue struct {
 	File         string
 	Line, Column int
-	Text         string
+	Msg          string
 }
 
-func (f Fault) String() string { return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Text) }
+func (f Issue) String() string { return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Msg) }
 
-func (f Faults) Error() string {
+func (f Issues) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
 		lines[i] = f[i].String()
@@ -43,11 +43,11 @@
 
 // File is one file as read.
 type File struct {
-	Name   string
-	Source []byte
-	Root   *Body
-	Files  []string // that it includes
-	faults *Faults
+	Name          string
+	Source        []byte
+	Root          *Body
+	IncludedFiles []string // that it includes
+	issues        *Issues
 }
 
 // Open reads and parses a file.
@@ -68,15 +68,15 @@
 	if !info.Mode().IsRegular() {
 		return nil, fmt.Errorf("%s: found no plain file, expected one", name)
 	}
-	if info.Size() > mostBytes {
-		return nil, fmt.Errorf("%s: found %d bytes, expected at most %d", name, info.Size(), mostBytes)
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s: found %d bytes, expected at most %d", name, info.Size(), maxFileBytes)
 	}
 	return os.ReadFile(name)
 }
 
 // Parse is Open for what was read already.
 func Parse(name string, source []byte) (*File, error) {
-	f, err := parse(name, source, &Faults{})
+	f, err := parse(name, source, &Issues{})
 	if err != nil {
 		return nil, err
 	}
@@ -85,26 +85,26 @@
 }
 
 // parse books faults where they are told to be.
-func parse(name string, source []byte, faults *Faults) (*File, error) {
+func parse(name string, source []byte, faults *Issues) (*File, error) {
 	if line, what := tooDeep(source); line > 0 {
-		*faults = append(*faults, Fault{name, line, 1, what})
+		*faults = append(*faults, Issue{name, line, 1, what})
 		return nil, *faults
 	}
 	parsed, diags := hclsyntax.ParseConfig(source, name, hcl.InitialPos)
-	f := &File{Name: name, Source: source, faults: faults}
+	f := &File{Name: name, Source: source, issues: faults}
 	if diags.HasErrors() {
 		for _, d := range diags.Errs() {
 			d, ok := d.(*hcl.Diagnostic)
 			if !ok || d.Subject == nil {
-				*f.faults = append(*f.faults, Fault{name, 1, 1, "not HCL"})
+				*f.issues = append(*f.issues, Issue{name, 1, 1, "not HCL"})
 				continue
 			}
 			text := strings.ReplaceAll(d.Summary+": "+d.Detail, "\n", " ")
-			*f.faults = append(*f.faults, Fault{name, d.Subject.Start.Line, d.Subject.Start.Column, text})
+			*f.issues = append(*f.issues, Issue{name, d.Subject.Start.Line, d.Subject.Start.Column, text})
 		}
-		return nil, *f.faults
+		return nil, *f.issues
 	}
-	f.Root = &Body{file: f, body: parsed.Body.(*hclsyntax.Body), seen: map[string]bool{}}
+	f.Root = &Body{file: f, body: parsed.Body.(*hclsyntax.Body), known: map[string]bool{}}
 	return f, nil
 }
 
@@ -117,66 +117,66 @@
 		path := filepath.Join(filepath.Dir(f.Name), name)
 		source, err := load(path)
 		if err != nil {
-			f.Root.FaultAt("include", "%v", err)
+			f.Root.AttributeErrorf("include", "%v", err)
 			continue
 		}
-		other, err := parse(path, source, f.faults)
+		other, err := parse(path, source, f.issues)
 		if err != nil {
 			continue
 		}
 		if other.Root.Has("include") {
-			other.Root.FaultAt("include", "found in a file that is included itself, expected none")
+			other.Root.AttributeErrorf("include", "found in a file that is included itself, expected none")
 		}
-		f.Files = append(f.Files, path)
-		f.Root.more = append(f.Root.more, other.Root)
-		other.Root.seen = f.Root.seen
+		f.IncludedFiles = append(f.IncludedFiles, path)
+		f.Root.included = append(f.Root.included, other.Root)
+		other.Root.known = f.Root.known
 	}
 }
 
 // Err is nil if no fault was found.
 func (f *File) Err() error {
-	if len(*f.faults) == 0 {
+	if len(*f.issues) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(*f.faults, func(a, b Fault) int {
+	slices.SortStableFunc(*f.issues, func(a, b Issue) int {
 		return cmp.Or(strings.Compare(a.File, b.File), cmp.Compare(a.Line, b.Line))
 	})
-	return *f.faults
+	return *f.issues
 }
 
 // Body is the file itself or one block of it.
 type Body struct {
-	Kind   string
-	Labels []string
-	file   *File
-	body   *hclsyntax.Body
-	at     hcl.Range
-	seen   map[string]bool
-	more   []*Body // included files
+	Kind     string
+	Labels   []string
+	file     *File
+	body     *hclsyntax.Body
+	defRange hcl.Range
+	known    map[string]bool
+	included []*Body // included files
 }
 
 // Fault books a fault at the place of this block.
-func (b *Body) Fault(format string, args ...any) { b.fault(b.at, format, args...) }
+func (b *Body) Errorf(format string, args ...any) { b.errorAt(b.defRange, format, args...) }
 
-func (b *Body) fault(at hcl.Range, format string, args ...any) {
-	*b.file.faults = append(*b.file.faults,
-		Fault{b.file.Name, max(1, at.Start.Line), max(1, at.Start.Column), fmt.Sprintf(format, args...)})
+func (b *Body) errorAt(at hcl.Range, format string, args ...any) {
+	*b.file.issues = append(*b.file.issues,
+		Issue{b.file.Name, max(1, at.Start.Line), max(1, at.Start.Column), fmt.Sprintf(format, args...)})
 }
 
 // FaultAt books a fault at one of the block's values.
-func (b *Body) FaultAt(name, format string, args ...any) {
-	at := b.at
+func (b *Body) AttributeErrorf(name, format string, args ...any) {
+	at := b.defRange
 	if a, ok := b.body.Attributes[name]; ok {
 		at = a.SrcRange
 	}
-	b.fault(at, name+": "+format, args...)
+	b.errorAt(at, name+": "+format, args...)
 }
 
 // FaultIn books a fault at a place within one of the block's texts, by line and column from 1 as the text has them.
-func (b *Body) FaultIn(name string, line, column int, format string, args ...any) {
+func (b *Body) TextErrorf(name string, line, column int, format string, args ...any) {
 	a, ok := b.body.Attributes[name]
 	if !ok {
-		b.FaultAt(name, format, args...)
+		b.AttributeErrorf(name, format, args...)
 		return
 	}
 	at := a.Expr.Range()
@@ -192,7 +192,7 @@
 	case strings.HasPrefix(source, "\""):
 		at.Start.Column += 1 + len([]rune(source[1:][:escaped(source[1:], line, column)]))
 	}
-	b.fault(at, name+": "+format, args...)
+	b.errorAt(at, name+": "+format, args...)
 }
 
 // escaped finds where a place of a quoted text is in its source.
@@ -217,29 +217,29 @@
 }
 
 // Place is where the block stands.
-func (b *Body) Place() string { return fmt.Sprintf("%s:%d", b.file.Name, b.at.Start.Line) }
+func (b *Body) Location() string { return fmt.Sprintf("%s:%d", b.file.Name, b.defRange.Start.Line) }
 
 // Source is the block as it stands in the file.
 func (b *Body) Source() []byte {
 	r := b.body.Range()
-	return b.file.Source[b.at.Start.Byte:r.End.Byte]
+	return b.file.Source[b.defRange.Start.Byte:r.End.Byte]
 }
 
 // Blocks are those of a kind, with so many labels each.
 func (b *Body) Blocks(kind string, labels int) (found []*Body) {
-	b.seen["block "+kind] = true
+	b.known["block "+kind] = true
 	for _, x := range b.body.Blocks {
 		if x.Type != kind {
 			continue
 		}
 		if len(x.Labels) != labels {
-			b.fault(x.DefRange(), "block %s has %d labels, expected %d", kind, len(x.Labels), labels)
+			b.errorAt(x.DefRange(), "block %s has %d labels, expected %d", kind, len(x.Labels), labels)
 			continue
 		}
-		found = append(found, &Body{Kind: kind, Labels: x.Labels, file: b.file, body: x.Body, at: x.DefRange(),
-			seen: map[string]bool{}})
+		found = append(found, &Body{Kind: kind, Labels: x.Labels, file: b.file, body: x.Body, defRange: x.DefRange(),
+			known: map[string]bool{}})
 	}
-	for _, m := range b.more {
+	for _, m := range b.included {
 		found = append(found, m.Blocks(kind, labels)...)
 	}
 	return found
@@ -250,32 +250,32 @@
 func (b *Body) Block(kind string, must bool) *Body {
 	all := b.Blocks(kind, 0)
 	if len(all) > 1 {
-		all[1].Fault("block %s stands twice, expected once", kind)
+		all[1].Errorf("block %s stands twice, expected once", kind)
 	}
 	if len(all) > 0 {
 		return all[0]
 	}
 	if must {
-		b.Fault("no block %s, expected one", kind)
+		b.Errorf("no block %s, expected one", kind)
 	}
-	return &Body{Kind: kind, file: b.file, body: &hclsyntax.Body{}, at: b.at, seen: map[string]bool{}}
+	return &Body{Kind: kind, file: b.file, body: &hclsyntax.Body{}, defRange: b.defRange, known: map[string]bool{}}
 }
 
 // Has says whether a value is given.
 func (b *Body) Has(name string) bool { return b.body.Attributes[name] != nil }
 
 func (b *Body) value(name string, must bool, want string) (cty.Value, hcl.Range, bool) {
-	b.seen[name] = true
+	b.known[name] = true
 	a, ok := b.body.Attributes[name]
 	if !ok {
 		if must {
-			b.Fault("%s has no %s, expected %s", b.title(), name, want)
+			b.Errorf("%s has no %s, expected %s", b.title(), name, want)
 		}
-		return cty.NilVal, b.at, false
+		return cty.NilVal, b.defRange, false
 	}
 	v, diags := a.Expr.Value(nil)
 	if diags.HasErrors() || !v.IsWhollyKnown() || v.IsNull() {
-		b.fault(a.SrcRange, "%s: found no plain value, expected %s", name, want)
+		b.errorAt(a.SrcRange, "%s: found no plain value, expected %s", name, want)
 		return cty.NilVal, a.SrcRange, false
 	}
 	return v, a.SrcRange, true
@@ -308,26 +308,26 @@
 		return otherwise
 	}
 	if v.Type() != cty.String || v.AsString() == "" {
-		b.fault(at, "%s: found %s, expected a text", name, show(v))
+		b.errorAt(at, "%s: found %s, expected a text", name, show(v))
 		return otherwise
 	}
 	return v.AsString()
 }
 
 // Phrase is a string that may be empty.
-func (b *Body) Phrase(name string) string {
+func (b *Body) TextOrEmpty(name string) string {
 	v, at, ok := b.value(name, true, "a text")
 	if ok && v.Type() == cty.String {
 		return v.AsString()
 	}
 	if ok {
-		b.fault(at, "%s: found %s, expected a text", name, show(v))
+		b.errorAt(at, "%s: found %s, expected a text", name, show(v))
 	}
 	return ""
 }
 
 // Word is one of a few, given as its place among them.
-func (b *Body) Word(name string, must bool, otherwise int, of ...string) int {
+func (b *Body) Enum(name string, must bool, otherwise int, of ...string) int {
 	want := "one of " + strings.Join(of, ", ")
 	v, at, ok := b.value(name, must, want)
 	if !ok {
@@ -338,59 +338,59 @@
 			return i
 		}
 	}
-	b.fault(at, "%s: found %s, expected %s", name, show(v), want)
+	b.errorAt(at, "%s: found %s, expected %s", name, show(v), want)
 	return otherwise
 }
 
 // Flag is true or false.
-func (b *Body) Flag(name string, otherwise bool) bool {
+func (b *Body) Bool(name string, otherwise bool) bool {
 	v, at, ok := b.value(name, false, "true or false")
 	if !ok {
 		return otherwise
 	}
 	if v.Type() != cty.Bool {
-		b.fault(at, "%s: found %s, expected true or false", name, show(v))
+		b.errorAt(at, "%s: found %s, expected true or false", name, show(v))
 		return otherwise
 	}
 	return v.True()
 }
 
 // Figure is a number between two others, both allowed.
-func (b *Body) Figure(name string, must bool, otherwise, least, most float64) float64 {
+func (b *Body) Float(name string, must bool, otherwise, least, most float64) float64 {
 	want := fmt.Sprintf("a number from %g to %g", least, most)
 	v, at, ok := b.value(name, must, want)
 	if !ok {
 		return otherwise
 	}
-	return b.figure(name, v, at, want, otherwise, least, most)
+	return b.float(name, v, at, want, otherwise, least, most)
 }
 
-func (b *Body) figure(name string, v cty.Value, at hcl.Range, want string, otherwise, least, most float64) float64 {
+func (b *Body) float(name string, v cty.Value, at hcl.Range, want string, otherwise, least, most float64) float64 {
 	var x float64
 	if v.Type() != cty.Number || gocty.FromCtyValue(v, &x) != nil || !(x >= least && x <= most) {
-		b.fault(at, "%s: found %s, expected %s", name, show(v), want)
+		b.errorAt(at, "%s: found %s, expected %s", name, show(v), want)
 		return otherwise
 	}
 	return x
 }
 
 // Whole is a whole number between two others, both allowed.
-func (b *Body) Whole(name string, must bool, otherwise, least, most int) int {
+func (b *Body) Int(name string, must bool, otherwise, least, most int) int {
 	want := fmt.Sprintf("a whole number from %d to %d", least, most)
 	v, at, ok := b.value(name, must, want)
 	if !ok {
 		return otherwise
 	}
-	x := b.figure(name, v, at, want, float64(otherwise), float64(least), float64(most))
+	x := b.float(name, v, at, want, float64(otherwise), float64(least), float64(most))
 	if x != float64(int(x)) {
-		b.fault(at, "%s: found %s, expected %s", name, show(v), want)
+		b.errorAt(at, "%s: found %s, expected %s", name, show(v), want)
 		return otherwise
 	}
 	return int(x)
 }
 
 // Span is a time such as "250ms", between two others.
-func (b *Body) Span(name string, must bool, otherwise, least, most time.Duration) logic.Micros {
+func (b *Body) Duration(name string, must bool, otherwise, least, most time.Duration) logic.Micros {
 	want := fmt.Sprintf("a span from %v to %v", least, most)
 	v, at, ok := b.value(name, must, want)
 	if !ok {
@@ -402,15 +402,15 @@
 			return logic.Micros(d / time.Microsecond)
 		}
 	}
-	b.fault(at, "%s: found %s, expected %s in whole microseconds", name, show(v), want)
+	b.errorAt(at, "%s: found %s, expected %s in whole microseconds", name, show(v), want)
 	return logic.Micros(otherwise / time.Microsecond)
 }
 
 // Figures is a list of numbers, each between two others.
-func (b *Body) Figures(name string, must bool, least, most float64) (all []float64) {
+func (b *Body) Floats(name string, must bool, least, most float64) (all []float64) {
 	want := fmt.Sprintf("a list of numbers from %g to %g", least, most)
 	for _, x := range b.list(name, must, want) {
-		all = append(all, b.figure(name, x, b.body.Attributes[name].SrcRange, want, least, least, most))
+		all = append(all, b.float(name, x, b.body.Attributes[name].SrcRange, want, least, least, most))
 	}
 	return all
 }
@@ -419,7 +419,7 @@
 func (b *Body) Texts(name string, must bool) (all []string) {
 	for _, x := range b.list(name, must, "a list of texts") {
 		if x.Type() != cty.String || x.AsString() == "" {
-			b.FaultAt(name, "found %s in it, expected a text", show(x))
+			b.AttributeErrorf(name, "found %s in it, expected a text", show(x))
 			continue
 		}
 		all = append(all, x.AsString())
@@ -431,7 +431,7 @@
 type Pair struct {
 	Name   string
 	Values []string
-	List   bool
+	IsList bool
 }
 
 // Pairs is an object of plain values and lists of them, by their names.
@@ -442,19 +442,19 @@
 		return nil
 	}
 	if !v.Type().IsObjectType() {
-		b.fault(at, "%s: found %s, expected %s", name, show(v), want)
+		b.errorAt(at, "%s: found %s, expected %s", name, show(v), want)
 		return nil
 	}
 	for key, x := range v.AsValueMap() {
-		p := Pair{Name: key, List: x.Type().IsTupleType()}
+		p := Pair{Name: key, IsList: x.Type().IsTupleType()}
 		parts := []cty.Value{x}
-		if p.List {
+		if p.IsList {
 			parts = x.AsValueSlice()
 		}
 		for _, part := range parts {
 			text, err := convert.Convert(part, cty.String)
 			if err != nil || text.IsNull() {
-				b.fault(at, "%s: found %s as %s, expected %s", name, show(part), key, want)
+				b.errorAt(at, "%s: found %s as %s, expected %s", name, show(part), key, want)
 				continue
 			}
 			p.Values = append(p.Values, text.AsString())
@@ -471,38 +471,38 @@
 		return nil
 	}
 	if !v.Type().IsTupleType() {
-		b.fault(at, "%s: found %s, expected %s", name, show(v), want)
+		b.errorAt(at, "%s: found %s, expected %s", name, show(v), want)
 		return nil
 	}
 	return v.AsValueSlice()
 }
 
 // Pass has blocks of a kind count as known, whatever is in them.
-func (b *Body) Pass(kind string) { b.seen["block "+kind] = true }
+func (b *Body) IgnoreBlocks(kind string) { b.known["block "+kind] = true }
 
 // Faults counts those of the file so far.
-func (b *Body) Faults() int { return len(*b.file.faults) }
+func (b *Body) ErrorCount() int { return len(*b.file.issues) }
 
 // Done books a fault for each name of the block that nobody asked for.
-func (b *Body) Done() {
-	for _, m := range b.more {
-		m.Done()
+func (b *Body) RejectUnknown() {
+	for _, m := range b.included {
+		m.RejectUnknown()
 	}
 	for name, a := range b.body.Attributes {
-		if !b.seen[name] {
-			b.fault(a.SrcRange, "%s: unknown in %s, expected one of %s", name, b.title(), b.known(""))
+		if !b.known[name] {
+			b.errorAt(a.SrcRange, "%s: unknown in %s, expected one of %s", name, b.title(), b.knownNames(""))
 		}
 	}
 	for _, x := range b.body.Blocks {
-		if !b.seen["block "+x.Type] {
-			b.fault(x.DefRange(), "block %s: unknown in %s, expected one of %s", x.Type, b.title(), b.known("block "))
+		if !b.known["block "+x.Type] {
+			b.errorAt(x.DefRange(), "block %s: unknown in %s, expected one of %s", x.Type, b.title(), b.knownNames("block "))
 		}
 	}
 }
 
-func (b *Body) known(prefix string) string {
+func (b *Body) knownNames(prefix string) string {
 	var names []string
-	for name := range b.seen {
+	for name := range b.known {
 		if rest, is := strings.CutPrefix(name, "block "); is == (prefix != "") {
 			names = append(names, rest)
 		}
--- a/internal/hclread/read_test.go
+++ b/internal/hclread/read_test.go
@@ -34,7 +34,7 @@
 			t.Errorf("%.20q: %.200v", text, err)
 			continue
 		}
-		_ = f.Root.Phrase("a")
+		_ = f.Root.TextOrEmpty("a")
 		if err := f.Err(); err == nil || !strings.Contains(err.Error(), "expected a text") {
 			t.Errorf("%.20q: %.200v", text, err)
 		}
@@ -70,11 +70,11 @@
 		var labels []string
 		for _, b := range f.Root.Blocks("b", 1) {
 			labels = append(labels, b.Labels[0])
-			_ = b.Whole("x", true, 0, 0, 9)
-			b.Done()
+			_ = b.Int("x", true, 0, 0, 9)
+			b.RejectUnknown()
 		}
-		f.Root.Done()
-		if err = f.Err(); x.want == "" && (err != nil || len(f.Files) != 1 || strings.Join(labels, " ") != "one two") ||
+		f.Root.RejectUnknown()
+		if err = f.Err(); x.want == "" && (err != nil || len(f.IncludedFiles) != 1 || strings.Join(labels, " ") != "one two") ||
 			x.want != "" && (err == nil || !strings.Contains(err.Error(), x.want)) {
 			t.Errorf("%s: %v, %v", x.include, labels, err)
 		}
--- a/internal/match/check.go
+++ b/internal/match/check.go
@@ -18,17 +18,17 @@
 )
 
 // Fault is what is wrong with an expression, at a place in it.
-type Fault struct {
+type ExprError struct {
 	Line, Column int // from 1
-	Text         string
+	Msg          string
 }
 
-func (f *Fault) Error() string { return fmt.Sprintf("%d:%d: %s", f.Line, f.Column, f.Text) }
+func (f *ExprError) Error() string { return fmt.Sprintf("%d:%d: %s", f.Line, f.Column, f.Msg) }
 
 const (
-	mostSource = 32 << 10 // code points of an expression
-	mostDepth  = 64
-	mostNested = 4 // any and all within each other
+	maxSourceRunes = 32 << 10 // code points of an expression
+	maxParserDepth = 64
+	maxNestedLoops = 4 // any and all within each other
 )
 
 type op uint8
@@ -70,15 +70,15 @@
 }
 
 // Checker checks expressions over one schema.
-type Checker struct {
-	schema *Schema
-	env    *cel.Env
-	types  map[string]*Type
-	units  map[string]unit
-	limit  int64
-	named  map[string]*definition
-	mu     sync.Mutex
-	parts  map[string]*node // by their text
+type Compiler struct {
+	schema        *Schema
+	env           *cel.Env
+	types         map[string]*Type
+	units         map[string]unit
+	costLimit     int64
+	definitions   map[string]*definition
+	mu            sync.Mutex
+	conjunctCache map[string]*node // by their text
 }
 
 type unit struct {
@@ -87,9 +87,9 @@
 }
 
 // NewChecker makes one. No expression may cost more than the limit, in steps.
-func NewChecker(s *Schema, limit int64) (*Checker, error) {
-	c := &Checker{schema: s, types: map[string]*Type{}, units: map[string]unit{}, limit: limit,
-		named: map[string]*definition{}, parts: map[string]*node{}}
+func NewCompiler(s *Schema, limit int64) (*Compiler, error) {
+	c := &Compiler{schema: s, types: map[string]*Type{}, units: map[string]unit{}, costLimit: limit,
+		definitions: map[string]*definition{}, conjunctCache: map[string]*node{}}
 	a := cel.TypeParamType("A")
 	both := func(t *cel.Type) []*cel.Type { return []*cel.Type{t, t} }
 	fn := func(name string, overloads ...cel.FunctionOpt) cel.EnvOption { return cel.Function(name, overloads...) }
@@ -97,7 +97,7 @@
 		return cel.Overload(id, args, result)
 	}
 	opts := []cel.EnvOption{
-		cel.ParserRecursionLimit(mostDepth), cel.ParserExpressionSizeLimit(mostSource),
+		cel.ParserRecursionLimit(maxParserDepth), cel.ParserExpressionSizeLimit(maxSourceRunes),
 		cel.ClearMacros(), cel.Macros(cel.ExistsMacro, cel.AllMacro),
 		fn(operators.LogicalAnd, over("and", both(cel.BoolType), cel.BoolType)),
 		fn(operators.LogicalOr, over("or", both(cel.BoolType), cel.BoolType)),
@@ -120,13 +120,13 @@
 		t := attribute.Type
 		opts = append(opts, cel.Variable(attribute.Name, celType(t)))
 		if t.Kind == List {
-			t = t.Of
+			t = t.Element
 		}
-		if c.types[t.Name] != nil || t.Kind != Set && t.Kind != Measure {
+		if c.types[t.Name] != nil || t.Kind != Enum && t.Kind != Measure {
 			continue
 		}
 		c.types[t.Name] = t
-		for _, member := range t.Names {
+		for _, member := range t.Members {
 			opts = append(opts, cel.Variable(t.Name+"."+member, celType(t)))
 		}
 		if t.Kind == Measure {
@@ -159,33 +159,33 @@
 
 // settle has cel-go make now what it keeps for its messages: it does so at the first undeclared name, and not safely
 // when several expressions are checked at once.
-func (c *Checker) settle() { _, _ = c.env.Compile(strings.Repeat("u", 65)) } // longer than any name
+func (c *Compiler) settle() { _, _ = c.env.Compile(strings.Repeat("u", 65)) } // longer than any name
 
 func celType(t *Type) *cel.Type {
 	switch t.Kind {
 	case Text:
 		return cel.StringType
-	case Whole:
+	case Int:
 		return cel.IntType
-	case Flag:
+	case Bool:
 		return cel.BoolType
-	case Span:
+	case Duration:
 		return cel.DurationType
 	case List:
-		return cel.ListType(celType(t.Of))
+		return cel.ListType(celType(t.Element))
 	}
 	return cel.OpaqueType(t.Name)
 }
 
 // parse parses and checks a text by cel-go.
-func (c *Checker) parse(text string) (*cel.Ast, error) {
+func (c *Compiler) parse(text string) (*cel.Ast, error) {
 	if !utf8.ValidString(text) || strings.ContainsRune(text, 0) {
-		return nil, &Fault{1, 1, "found NUL or bytes that are no UTF-8, expected text"}
+		return nil, &ExprError{1, 1, "found NUL or bytes that are no UTF-8, expected text"}
 	}
 	checked, issues := c.env.Compile(text)
 	if issues != nil && issues.Err() != nil {
 		e := issues.Errors()[0]
-		return nil, &Fault{max(1, e.Location.Line()), max(1, e.Location.Column()+1), c.explain(e.Message)}
+		return nil, &ExprError{max(1, e.Location.Line()), max(1, e.Location.Column()+1), c.explain(e.Message)}
 	}
 	return checked, nil
 }
@@ -193,7 +193,7 @@
 // check makes the tree of a text. The parts of a conjunction are parsed one by one and kept, since those of a large table
 // repeat and cel-go's parser takes most of its load. What does not come out well that way is parsed whole, so that all
 // faults are told of the whole and at their place in it.
-func (c *Checker) check(text string) (*node, error) {
+func (c *Compiler) check(text string) (*node, error) {
 	parts := conjuncts(text)
 	if len(parts) == 1 {
 		return c.part(text)
@@ -201,13 +201,13 @@
 	var all *node
 	for _, p := range parts {
 		n, err := c.part(p)
-		if err != nil || n.of.Kind != Flag {
+		if err != nil || n.of.Kind != Bool {
 			return c.whole(text)
 		}
 		if all != nil {
 			n = &node{op: opAnd, of: flagType, args: []*node{all, n}, cost: all.cost + n.cost + 1}
 		}
-		if all = n; all.cost > c.limit {
+		if all = n; all.cost > c.costLimit {
 			return c.whole(text)
 		}
 	}
@@ -215,9 +215,9 @@
 }
 
 // part is whole for a text that may come again.
-func (c *Checker) part(text string) (*node, error) {
+func (c *Compiler) part(text string) (*node, error) {
 	c.mu.Lock()
-	n := c.parts[text]
+	n := c.conjunctCache[text]
 	c.mu.Unlock()
 	if n != nil {
 		return n, nil
@@ -225,7 +225,7 @@
 	n, err := c.whole(text)
 	if err == nil {
 		c.mu.Lock()
-		c.parts[text] = n
+		c.conjunctCache[text] = n
 		c.mu.Unlock()
 	}
 	return n, err
@@ -238,7 +238,7 @@
 // mean what the whole does, the whole is the only part.
 func conjuncts(text string) (parts []string) {
 	whole := []string{text}
-	if len(text) > mostSource || strings.ContainsAny(text, "?\\") || strings.Contains(text, "||") || strings.Contains(text, "//") ||
+	if len(text) > maxSourceRunes || strings.ContainsAny(text, "?\\") || strings.Contains(text, "||") || strings.Contains(text, "//") ||
 		strings.Contains(text, `""`) || strings.Contains(text, "''") {
 		return whole
 	}
@@ -272,7 +272,7 @@
 }
 
 // whole parses, checks and builds a text.
-func (c *Checker) whole(text string) (*node, error) {
+func (c *Compiler) whole(text string) (*node, error) {
 	checked, err := c.parse(text)
 	if err != nil {
 		return nil, err
@@ -287,41 +287,41 @@
 
 // bounded refuses what costs too much and names the part that costs most.
 func (b *builder) bounded(n *node) error {
-	if n.cost <= b.c.limit {
+	if n.cost <= b.c.costLimit {
 		return nil
 	}
 	worst := n
 	for next := n; next != nil; { // down the part that costs most, not into named ones: they stand elsewhere
 		worst, next = next, nil
 		for _, a := range worst.args {
-			if worst.named == "" && a.cost > b.c.limit/2 && (next == nil || a.cost > next.cost) {
+			if worst.named == "" && a.cost > b.c.costLimit/2 && (next == nil || a.cost > next.cost) {
 				next = a
 			}
 		}
 	}
-	return b.fault(worst.where, "found a cost of %d steps, most of it in %.60s, expected at most %d", n.cost, worst.text(true), b.c.limit)
+	return b.fault(worst.where, "found a cost of %d steps, most of it in %.60s, expected at most %d", n.cost, worst.text(true), b.c.costLimit)
 }
 
 // explain says in this language's words what cel-go found, and what would fit.
-func (c *Checker) explain(message string) string {
+func (c *Compiler) explain(message string) string {
 	message = strings.ReplaceAll(message, "\n", " ")
 	if _, rest, is := strings.Cut(message, "undeclared reference to '"); is {
 		name, _, _ := strings.Cut(rest, "'")
-		if t := c.types[name]; t != nil && t.Kind == Set {
+		if t := c.types[name]; t != nil && t.Kind == Enum {
 			return noMember(t)
 		}
 		var known []string
-		for n := range c.schema.at {
+		for n := range c.schema.slots {
 			known = append(known, n)
 		}
-		for _, names := range []iter.Seq[string]{maps.Keys(c.named), maps.Keys(c.units), maps.Keys(c.types)} {
+		for _, names := range []iter.Seq[string]{maps.Keys(c.definitions), maps.Keys(c.units), maps.Keys(c.types)} {
 			known = slices.AppendSeq(known, names)
 		}
 		slices.Sort(known)
-		return fmt.Sprintf("%s, expected one of %s", Undeclared(name), few(known))
+		return fmt.Sprintf("%s, expected one of %s", UndeclaredPrefix(name), few(known))
 	}
 	if name, is := strings.CutSuffix(message, "' does not support field selection"); is { // an attribute is called as its set
-		if t := c.types[strings.TrimPrefix(name, "type '")]; t != nil && t.Kind == Set {
+		if t := c.types[strings.TrimPrefix(name, "type '")]; t != nil && t.Kind == Enum {
 			return noMember(t)
 		}
 	}
@@ -344,11 +344,11 @@
 }
 
 func noMember(t *Type) string {
-	return fmt.Sprintf("found a member that %s does not have, expected one of %s", t.Name, few(t.Names))
+	return fmt.Sprintf("found a member that %s does not have, expected one of %s", t.Name, few(t.Members))
 }
 
 // Undeclared begins what is said of a name that nobody declared.
-func Undeclared(name string) string { return "undeclared reference to '" + name + "'" }
+func UndeclaredPrefix(name string) string { return "undeclared reference to '" + name + "'" }
 
 // few names the first of many.
 func few(names []string) string {
@@ -364,39 +364,39 @@
 }
 
 type builder struct {
-	c        *Checker
+	c        *Compiler
 	tree     *ast.AST
 	elements map[string]element
 }
 
 func (b *builder) fault(id int64, format string, args ...any) error {
 	at := b.tree.SourceInfo().GetStartLocation(id)
-	return &Fault{max(1, at.Line()), at.Column() + 1, fmt.Sprintf(format, args...)}
+	return &ExprError{max(1, at.Line()), at.Column() + 1, fmt.Sprintf(format, args...)}
 }
 
 var (
 	textType  = &Type{Kind: Text}
-	wholeType = &Type{Kind: Whole}
-	flagType  = &Type{Kind: Flag}
-	spanType  = &Type{Kind: Span}
+	wholeType = &Type{Kind: Int}
+	flagType  = &Type{Kind: Bool}
+	spanType  = &Type{Kind: Duration}
 )
 
 func (b *builder) build(e ast.Expr, depth int) (*node, error) {
 	n := &node{where: e.ID(), cost: 1}
 	switch e.Kind() {
 	case ast.LiteralKind:
-		n.value = Value{Given: true}
+		n.value = Value{Present: true}
 		switch v := e.AsLiteral().(type) {
 		case types.String:
 			n.of, n.value.Text, n.most = textType, string(v), len(v)
 		case types.Int:
-			n.of, n.value.Num = wholeType, int64(v)
+			n.of, n.value.Int = wholeType, int64(v)
 		case types.Double:
-			n.of, n.value.Fig = &Type{Kind: Measure}, float64(v)
+			n.of, n.value.Float = &Type{Kind: Measure}, float64(v)
 		case types.Bool:
 			n.of = flagType
 			if v {
-				n.value.Num = 1
+				n.value.Int = 1
 			}
 		default:
 			return nil, b.fault(e.ID(), "found a literal of type %s, expected a text, a number or a flag", v.Type().TypeName())
@@ -419,25 +419,25 @@
 
 func (b *builder) named(n *node, name string, depth int) (*node, error) {
 	if x, is := b.elements[name]; is {
-		n.op, n.at, n.of, n.most = opElement, x.depth, x.of, x.of.Most
+		n.op, n.at, n.of, n.most = opElement, x.depth, x.of, x.of.MaxLength
 		return n, nil
 	}
-	if d, is := b.c.named[name]; is {
+	if d, is := b.c.definitions[name]; is {
 		if d.faults[depth] != nil {
-			return nil, b.fault(n.where, "%s: %s", name, d.faults[depth].(*Fault).Text)
+			return nil, b.fault(n.where, "%s: %s", name, d.faults[depth].(*ExprError).Msg)
 		}
 		use := *d.at[depth]
 		use.where, use.named = n.where, name
 		return &use, nil
 	}
-	if at, is := b.c.schema.at[name]; is {
+	if at, is := b.c.schema.slots[name]; is {
 		n.op, n.at, n.of, n.name = opAttribute, at, b.c.schema.Attributes[at].Type, name
-		n.most = n.of.Most
+		n.most = n.of.MaxLength
 		return n, nil
 	}
 	if set, member, is := strings.Cut(name, "."); is && b.c.types[set] != nil {
-		if place, is := b.c.types[set].place[member]; is {
-			n.of, n.value = b.c.types[set], Value{Given: true, Num: place}
+		if place, is := b.c.types[set].memberIndex[member]; is {
+			n.of, n.value = b.c.types[set], Value{Present: true, Int: place}
 			return n, nil
 		}
 	}
@@ -446,8 +446,8 @@
 
 // loop is any or all of a list, as the macros expand it.
 func (b *builder) loop(n *node, x ast.ComprehensionExpr, depth int) (*node, error) {
-	if depth >= mostNested {
-		return nil, b.fault(n.where, "found any or all nested deeper than %d", mostNested)
+	if depth >= maxNestedLoops {
+		return nil, b.fault(n.where, "found any or all nested deeper than %d", maxNestedLoops)
 	}
 	list, err := b.build(x.IterRange(), depth)
 	if err != nil {
@@ -465,7 +465,7 @@
 		return nil, b.fault(n.where, "found %s for an element, which is declared, expected another name", x.IterVar())
 	}
 	hidden, shadows := b.elements[x.IterVar()]
-	b.elements[x.IterVar()] = element{depth, list.of.Of}
+	b.elements[x.IterVar()] = element{depth, list.of.Element}
 	body, err := b.build(step.AsCall().Args()[1], depth+1)
 	if err != nil {
 		return nil, err
@@ -475,7 +475,7 @@
 		b.elements[x.IterVar()] = hidden
 	}
 	n.at, n.args, n.of = depth, []*node{list, body}, flagType
-	n.cost = 1 + list.cost + times(int64(list.of.Most), body.cost)
+	n.cost = 1 + list.cost + times(int64(list.of.MaxLength), body.cost)
 	return n, nil
 }
 
@@ -546,8 +546,8 @@
 		return nil, b.fault(n.where, "found membership in what is no list of constants, expected one, or any of an attribute")
 	case operators.Add:
 		n.op, n.of, n.most = opJoin, textType, n.args[0].most+n.args[1].most
-		if n.most > mostText {
-			return nil, b.fault(n.where, "found a text of up to %d bytes, expected at most %d", n.most, mostText)
+		if n.most > maxTextBytes {
+			return nil, b.fault(n.where, "found a text of up to %d bytes, expected at most %d", n.most, maxTextBytes)
 		}
 		n.cost += int64(n.most / 8)
 	case "startsWith":
@@ -565,16 +565,16 @@
 		if n.args[0].op != opConst || err != nil || d%time.Microsecond != 0 {
 			return nil, b.fault(n.where, "found a span that is no constant such as \"250ms\" in whole microseconds")
 		}
-		return &node{of: spanType, where: n.where, cost: 1, value: Value{Given: true, Num: d.Microseconds()}}, nil
+		return &node{of: spanType, where: n.where, cost: 1, value: Value{Present: true, Int: d.Microseconds()}}, nil
 	case operators.Negate:
 		if n.args[0].op != opConst {
 			return nil, b.fault(n.where, "found - before what is no constant, expected a number")
 		}
 		v := n.args[0].value
-		if v.Num == math.MinInt64 {
+		if v.Int == math.MinInt64 {
 			return nil, b.fault(n.where, "found a number beyond the whole numbers of 64 bits")
 		}
-		v.Num, v.Fig = -v.Num, -v.Fig
+		v.Int, v.Float = -v.Int, -v.Float
 		return &node{of: n.args[0].of, where: n.where, cost: 1, value: v}, nil
 	default:
 		return nil, b.fault(n.where, "found %s, expected what this language has", x.FunctionName())
@@ -588,15 +588,15 @@
 	if a.op != opConst {
 		return nil, b.fault(n.where, "found %s of what is no constant, expected a number", u.Name)
 	}
-	figure := a.value.Fig
-	if a.of.Kind == Whole {
-		figure = float64(a.value.Num)
+	figure := a.value.Float
+	if a.of.Kind == Int {
+		figure = float64(a.value.Int)
 	}
-	kept, err := u.kept(figure)
+	kept, err := u.toFirstUnit(figure)
 	if err != nil {
 		return nil, b.fault(n.where, "%v", err)
 	}
-	return &node{of: u.of, where: n.where, cost: 1, value: Value{Given: true, Fig: kept}}, nil
+	return &node{of: u.of, where: n.where, cost: 1, value: Value{Present: true, Float: kept}}, nil
 }
 
 // member is membership in a list of constants.
--- a/internal/match/compile.go
+++ b/internal/match/compile.go
@@ -21,37 +21,37 @@
 
 // Key is a compiled expression that gives a text.
 type Key struct {
-	Cost int64
-	Most int // bytes of its text
-	add  func(*Record, []byte) []byte
-	tree *node
+	Cost      int64
+	MaxLength int // bytes of its text
+	add       func(*Record, []byte) []byte
+	tree      *node
 }
 
 // Append adds the text to what is there already.
 func (k *Key) Append(to []byte, r *Record) []byte { return k.add(r, to) }
 
 // Predicate checks and compiles a text that must be true or false.
-func (c *Checker) Predicate(text string) (*Predicate, error) {
+func (c *Compiler) Predicate(text string) (*Predicate, error) {
 	n, err := c.check(text)
 	if err != nil {
 		return nil, err
 	}
-	if n.of.Kind != Flag {
-		return nil, &Fault{1, 1, fmt.Sprintf("found %v, expected true or false", n.of)}
+	if n.of.Kind != Bool {
+		return nil, &ExprError{1, 1, fmt.Sprintf("found %v, expected true or false", n.of)}
 	}
 	return &Predicate{Cost: n.cost, holds: truth(n), tree: n}, nil
 }
 
 // Key checks and compiles a text that must give a text.
-func (c *Checker) Key(text string) (*Key, error) {
+func (c *Compiler) Key(text string) (*Key, error) {
 	n, err := c.check(text)
 	if err != nil {
 		return nil, err
 	}
 	if n.of.Kind != Text {
-		return nil, &Fault{1, 1, fmt.Sprintf("found %v, expected a text", n.of)}
+		return nil, &ExprError{1, 1, fmt.Sprintf("found %v, expected a text", n.of)}
 	}
-	return &Key{Cost: n.cost, Most: n.most, add: joiner(n), tree: n}, nil
+	return &Key{Cost: n.cost, MaxLength: n.most, add: joiner(n), tree: n}, nil
 }
 
 // get gives a node's value; what is not given has the zero value.
@@ -65,7 +65,7 @@
 		return func(r *Record) *Value { return &r.values[at] }
 	case opElement:
 		at := n.at
-		return func(r *Record) *Value { return &r.element[at] }
+		return func(r *Record) *Value { return &r.elements[at] }
 	case opIf:
 		cond, yes, no := truth(n.args[0]), get(n.args[1]), get(n.args[2])
 		return func(r *Record) *Value {
@@ -77,7 +77,7 @@
 	}
 	if n.of.Kind == Text {
 		add := joiner(n)
-		return func(r *Record) *Value { return &Value{Given: true, Text: string(add(r, nil))} }
+		return func(r *Record) *Value { return &Value{Present: true, Text: string(add(r, nil))} }
 	}
 	holds := truth(n)
 	return func(r *Record) *Value {
@@ -88,7 +88,7 @@
 	}
 }
 
-var yesValue, noValue = Value{Given: true, Num: 1}, Value{Given: true}
+var yesValue, noValue = Value{Present: true, Int: 1}, Value{Present: true}
 
 // truth compiles what is true or false.
 func truth(n *node) func(*Record) bool {
@@ -119,7 +119,7 @@
 		return func(r *Record) bool { return !a(r) }
 	case opGiven:
 		at := n.args[0].at
-		return func(r *Record) bool { return r.values[at].Given }
+		return func(r *Record) bool { return r.values[at].Present }
 	case opEqual, opUnequal, opLess, opAtMost:
 		return comparison(n)
 	case opIn:
@@ -128,16 +128,16 @@
 		a, b := get(n.args[0]), get(n.args[1])
 		return func(r *Record) bool {
 			x, y := a(r), b(r)
-			return x.Given && y.Given && strings.HasPrefix(x.Text, y.Text)
+			return x.Present && y.Present && strings.HasPrefix(x.Text, y.Text)
 		}
 	case opAny, opAll:
 		list, body, at, all := n.args[0].at, truth(n.args[1]), n.at, n.op == opAll
 		return func(r *Record) bool {
-			if !r.values[list].Given {
+			if !r.values[list].Present {
 				return false
 			}
 			for _, e := range r.values[list].List {
-				if r.element[at] = e; body(r) != all {
+				if r.elements[at] = e; body(r) != all {
 					return !all
 				}
 			}
@@ -145,7 +145,7 @@
 		}
 	}
 	a := get(n)
-	return func(r *Record) bool { v := a(r); return v.Given && v.Num != 0 }
+	return func(r *Record) bool { v := a(r); return v.Present && v.Int != 0 }
 }
 
 // flat lists the parts of nested ands or ors.
@@ -160,31 +160,31 @@
 	x, y, o := n.args[0], n.args[1], n.op
 	kind := x.of.Kind
 	if x.op == opAttribute && y.op == opConst && kind != Text && kind != Measure && o == opEqual { // the usual one
-		at, want := x.at, y.value.Num
-		return func(r *Record) bool { v := &r.values[at]; return v.Num == want && v.Given }
+		at, want := x.at, y.value.Int
+		return func(r *Record) bool { v := &r.values[at]; return v.Int == want && v.Present }
 	}
 	a, b := get(x), get(y)
 	switch {
 	case kind == Text && o == opEqual:
-		return func(r *Record) bool { x, y := a(r), b(r); return x.Given && y.Given && x.Text == y.Text }
+		return func(r *Record) bool { x, y := a(r), b(r); return x.Present && y.Present && x.Text == y.Text }
 	case kind == Text && o == opUnequal:
-		return func(r *Record) bool { x, y := a(r), b(r); return x.Given && y.Given && x.Text != y.Text }
+		return func(r *Record) bool { x, y := a(r), b(r); return x.Present && y.Present && x.Text != y.Text }
 	case kind == Measure && o == opLess:
-		return func(r *Record) bool { x, y := a(r), b(r); return x.Given && y.Given && x.Fig < y.Fig }
+		return func(r *Record) bool { x, y := a(r), b(r); return x.Present && y.Present && x.Float < y.Float }
 	case kind == Measure && o == opAtMost:
-		return func(r *Record) bool { x, y := a(r), b(r); return x.Given && y.Given && x.Fig <= y.Fig }
+		return func(r *Record) bool { x, y := a(r), b(r); return x.Present && y.Present && x.Float <= y.Float }
 	}
-	return func(r *Record) bool { x, y := a(r), b(r); return x.Given && y.Given && ordered(kind, o, x, y) }
+	return func(r *Record) bool { x, y := a(r), b(r); return x.Present && y.Present && ordered(kind, o, x, y) }
 }
 
 // ordered compares two given values of one kind.
 func ordered(k Kind, o op, x, y *Value) bool {
-	by := cmp.Compare(x.Num, y.Num)
+	by := cmp.Compare(x.Int, y.Int)
 	switch k {
 	case Text:
 		by = strings.Compare(x.Text, y.Text)
 	case Measure:
-		by = cmp.Compare(x.Fig, y.Fig)
+		by = cmp.Compare(x.Float, y.Float)
 	}
 	switch o {
 	case opEqual:
@@ -205,18 +205,18 @@
 		for _, v := range n.set {
 			in[v.Text] = true
 		}
-		return func(r *Record) bool { v := a(r); return v.Given && in[v.Text] }
+		return func(r *Record) bool { v := a(r); return v.Present && in[v.Text] }
 	case Measure:
 		return func(r *Record) bool {
 			v := a(r)
-			return v.Given && slices.ContainsFunc(n.set, func(x Value) bool { return x.Fig == v.Fig })
+			return v.Present && slices.ContainsFunc(n.set, func(x Value) bool { return x.Float == v.Float })
 		}
 	}
 	in := map[int64]bool{}
 	for _, v := range n.set {
-		in[v.Num] = true
+		in[v.Int] = true
 	}
-	return func(r *Record) bool { v := a(r); return v.Given && in[v.Num] }
+	return func(r *Record) bool { v := a(r); return v.Present && in[v.Int] }
 }
 
 // joiner compiles what gives a text, added to a buffer.
--- a/internal/match/define.go
+++ b/internal/match/define.go
@@ -9,53 +9,53 @@
 )
 
 // Definition is an expression with a name, to be used in others.
-type Definition struct{ Name, Text string }
+type Definition struct{ Name, Source string }
 
 // DefinitionFault is a fault of one named expression.
-type DefinitionFault struct {
+type DefinitionError struct {
 	Name string
-	Err  *Fault
+	Err  *ExprError
 }
 
-func (f *DefinitionFault) Error() string { return f.Name + ": " + f.Err.Error() }
+func (f *DefinitionError) Error() string { return f.Name + ": " + f.Err.Error() }
 
 // definition is one as checked. How deep in loops it stands where it is used says which elements are its own, so that it
 // is kept once for each depth.
 type definition struct {
 	of     *cel.Type
-	at     [mostNested + 1]*node
-	faults [mostNested + 1]error
+	at     [maxNestedLoops + 1]*node
+	faults [maxNestedLoops + 1]error
 }
 
-const mostDefinitions = 1024
+const maxDefinitions = 1024
 
 // taken says that a name is declared as something.
-func (c *Checker) taken(name string) bool {
-	_, attribute := c.schema.at[name]
+func (c *Compiler) taken(name string) bool {
+	_, attribute := c.schema.slots[name]
 	_, unit := c.units[name]
-	return attribute || unit || c.types[name] != nil || c.named[name] != nil
+	return attribute || unit || c.types[name] != nil || c.definitions[name] != nil
 }
 
 // Define checks named expressions, each after those that it names. All faults come back, each expression's own. It is
 // called before anything else is checked.
-func (c *Checker) Define(all []Definition) (faults []error) {
-	fault := func(d *Definition, err error) { faults = append(faults, &DefinitionFault{d.Name, err.(*Fault)}) }
-	if len(all) > mostDefinitions {
-		fault(&all[mostDefinitions], &Fault{1, 1, "found more than 1024 named expressions, expected at most that"})
+func (c *Compiler) Define(all []Definition) (faults []error) {
+	fault := func(d *Definition, err error) { faults = append(faults, &DefinitionError{d.Name, err.(*ExprError)}) }
+	if len(all) > maxDefinitions {
+		fault(&all[maxDefinitions], &ExprError{1, 1, "found more than 1024 named expressions, expected at most that"})
 		return faults
 	}
 	place := map[string]int{}
 	for i := range all {
 		d := &all[i]
-		if _, twice := place[d.Name]; twice || !name(d.Name) || c.taken(d.Name) {
-			fault(d, &Fault{1, 1, "found a name that is taken or none, expected a new one of letters, digits and _"})
+		if _, twice := place[d.Name]; twice || !isName(d.Name) || c.taken(d.Name) {
+			fault(d, &ExprError{1, 1, "found a name that is taken or none, expected a new one of letters, digits and _"})
 			continue
 		}
 		place[d.Name] = i
 	}
 	uses := make([][]int, len(all))
 	for _, i := range place {
-		for _, used := range c.names(all[i].Text) {
+		for _, used := range c.names(all[i].Source) {
 			if j, is := place[used]; is {
 				uses[i] = append(uses[i], j)
 			}
@@ -71,7 +71,7 @@
 		if len(ready) == 0 {
 			for _, i := range left {
 				if way := cycle(i, uses, all); way != "" {
-					fault(&all[i], &Fault{1, 1, "found a cycle, " + way + ", expected none"})
+					fault(&all[i], &ExprError{1, 1, "found a cycle, " + way + ", expected none"})
 				}
 			}
 			break
@@ -80,12 +80,12 @@
 		var names []cel.EnvOption
 		for _, i := range ready {
 			delete(left, all[i].Name)
-			d, err := c.define(all[i].Text)
+			d, err := c.define(all[i].Source)
 			if err != nil {
 				fault(&all[i], err)
 				continue
 			}
-			c.named[all[i].Name] = d
+			c.definitions[all[i].Name] = d
 			names = append(names, cel.Variable(all[i].Name, d.of))
 		}
 		if len(names) == 0 {
@@ -93,7 +93,7 @@
 		}
 		env, err := c.env.Extend(names...)
 		if err != nil {
-			fault(&all[ready[0]], &Fault{1, 1, err.Error()})
+			fault(&all[ready[0]], &ExprError{1, 1, err.Error()})
 			break
 		}
 		c.env = env
@@ -104,8 +104,8 @@
 }
 
 // Cost is what a named expression takes at the most, in steps; 0 for one that has a fault.
-func (c *Checker) Cost(name string) int64 {
-	if d := c.named[name]; d != nil {
+func (c *Compiler) Cost(name string) int64 {
+	if d := c.definitions[name]; d != nil {
 		return d.at[0].cost
 	}
 	return 0
@@ -113,7 +113,7 @@
 
 // names are those that a text mentions, elements of its loops and members of sets left out. A text that does not parse
 // mentions none: its check says what is wrong with it.
-func (c *Checker) names(text string) (found []string) {
+func (c *Compiler) names(text string) (found []string) {
 	parsed, issues := c.env.Parse(text)
 	if issues != nil && issues.Err() != nil {
 		return nil
@@ -153,7 +153,7 @@
 	return ""
 }
 
-func (c *Checker) define(text string) (*definition, error) {
+func (c *Compiler) define(text string) (*definition, error) {
 	checked, err := c.parse(text)
 	if err != nil {
 		return nil, err
--- a/internal/match/define_test.go
+++ b/internal/match/define_test.go
@@ -34,13 +34,13 @@
 	}
 	tab, faults := table(c, []Route{{Name: "a", When: `cold && depot == site.kingston`}, {Name: "b", When: `depot == site.kingston && cold_reefer`},
 		{Name: "c", When: `temp > celsius(8) || !(id == "b" && urgent)`}})
-	if len(faults) > 0 || len(tab.Covered) != 1 || tab.Covered[0] != (Cover{1, 0}) {
+	if len(faults) > 0 || len(tab.Unreachable) != 1 || tab.Unreachable[0] != (UnreachableRoute{1, 0}) {
 		t.Fatal(faults, tab)
 	}
 	fill(t, s, r, map[string]any{"temp": 6.0})
-	if got := fmt.Sprint(tab.Misses(r, tab.First(r))); tab.First(r) != 2 ||
+	if got := fmt.Sprint(tab.Misses(r, tab.FirstMatch(r))); tab.FirstMatch(r) != 2 ||
 		got != "[{0 cold temp is celsius(6)} {1 cold temp is celsius(6)}]" {
-		t.Errorf("route %d, misses %s", tab.First(r), got)
+		t.Errorf("route %d, misses %s", tab.FirstMatch(r), got)
 	}
 	if text := tab.when[2].tree.text(true); text != `(celsius(8) < temp) || !((id == "b") && urgent)` {
 		t.Error(text)
--- a/internal/match/explain.go
+++ b/internal/match/explain.go
@@ -18,10 +18,10 @@
 	arg := func(i int) string { return n.args[i].text(names) }
 	switch n.op {
 	case opConst:
-		if n.of.Kind == Span {
-			return "span(" + n.of.show(&n.value) + ")"
+		if n.of.Kind == Duration {
+			return "span(" + n.of.format(&n.value) + ")"
 		}
-		return n.of.show(&n.value)
+		return n.of.format(&n.value)
 	case opAttribute:
 		return n.name
 	case opElement:
@@ -33,7 +33,7 @@
 	case opIn:
 		var set []string
 		for i := range n.set {
-			set = append(set, n.args[0].of.show(&n.set[i]))
+			set = append(set, n.args[0].of.format(&n.set[i]))
 		}
 		return arg(0) + " in [" + strings.Join(set, ", ") + "]"
 	case opPrefix:
@@ -79,8 +79,8 @@
 			var found []string
 			for _, at := range part.attributes(nil) {
 				a, value := &t.Schema.Attributes[at], "missing"
-				if r.values[at].Given {
-					value = a.Type.show(&r.values[at])
+				if r.values[at].Present {
+					value = a.Type.format(&r.values[at])
 				}
 				found = append(found, a.Name+" is "+value)
 			}
@@ -106,19 +106,19 @@
 func (t *Table) Cost(route int) (when, key int64, bytes int) { return t.compiled[route].Cost() }
 
 // Shape is one dimension of a table's index.
-type Shape struct {
+type Dimension struct {
 	Attribute string
-	Way       string
+	Lookup    string
 	Routes    int // that it can rule out
 	Rows      int
 	Bytes     int
 }
 
 // Shapes are those of the whole index.
-func (t *Table) Shapes() (all []Shape) {
+func (t *Table) Dimensions() (all []Dimension) {
 	for i := range t.dims {
 		d := &t.dims[i]
-		all = append(all, Shape{t.Schema.Attributes[d.at].Name, [...]string{"equal", "range", "prefix"}[d.way], d.routes,
+		all = append(all, Dimension{t.Schema.Attributes[d.at].Name, [...]string{"equal", "range", "prefix"}[d.way], d.routes,
 			len(d.rows) + 1, (len(d.rows) + 1) * t.words * 8})
 	}
 	return all
--- a/internal/match/match_test.go
+++ b/internal/match/match_test.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	site        = &Type{Kind: Set, Name: "site", Names: []string{"kingston", "mandeville", "may_pen"}}
-	truck       = &Type{Kind: Set, Name: "truck", Names: []string{"reefer", "van"}}
+	site        = &Type{Kind: Enum, Name: "site", Members: []string{"kingston", "mandeville", "may_pen"}}
+	truck       = &Type{Kind: Enum, Name: "truck", Members: []string{"reefer", "van"}}
 	temperature = &Type{Kind: Measure, Name: "temperature", Units: []Unit{{"celsius", 1, 0}, {"fahrenheit", 5. / 9, -160. / 9}}}
 	weight      = &Type{Kind: Measure, Name: "weight", Units: []Unit{{"kg", 1, 0}, {"tonne", 1000, 0}}}
 )
@@ -21,10 +21,10 @@
 func schema(t testing.TB) *Schema {
 	s, err := NewSchema([]Attribute{
 		{"depot", site, false}, {"home", site, true}, {"class", truck, true}, {"temp", temperature, true}, {"load", weight, true},
-		{"id", &Type{Kind: Text, Most: 64}, true}, {"kind", &Type{Kind: Text, Most: 16}, true}, {"size", &Type{Kind: Whole}, true},
-		{"urgent", &Type{Kind: Flag}, true}, {"age", &Type{Kind: Span}, true},
-		{"temps", &Type{Kind: List, Most: 20, Of: temperature}, true}, {"stops", &Type{Kind: List, Most: 10, Of: site}, true},
-		{"tags", &Type{Kind: List, Most: 8, Of: &Type{Kind: Text, Most: 16}}, true},
+		{"id", &Type{Kind: Text, MaxLength: 64}, true}, {"kind", &Type{Kind: Text, MaxLength: 16}, true}, {"size", &Type{Kind: Int}, true},
+		{"urgent", &Type{Kind: Bool}, true}, {"age", &Type{Kind: Duration}, true},
+		{"temps", &Type{Kind: List, MaxLength: 20, Element: temperature}, true}, {"stops", &Type{Kind: List, MaxLength: 10, Element: site}, true},
+		{"tags", &Type{Kind: List, MaxLength: 8, Element: &Type{Kind: Text, MaxLength: 16}}, true},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -33,23 +33,23 @@
 }
 
 // carried is a Go value as a sender gives it.
-func carried(v any) Carried {
+func carried(v any) RawValue {
 	switch x := v.(type) {
 	case string:
-		return Carried{Kind: Text, Text: x}
+		return RawValue{Kind: Text, Text: x}
 	case int64:
-		return Carried{Kind: Whole, Num: x}
+		return RawValue{Kind: Int, Int: x}
 	case float64:
-		return Carried{Kind: Measure, Fig: x}
+		return RawValue{Kind: Measure, Float: x}
 	case bool:
 		if x {
-			return Carried{Kind: Flag, Num: 1}
+			return RawValue{Kind: Bool, Int: 1}
 		}
-		return Carried{Kind: Flag}
+		return RawValue{Kind: Bool}
 	case time.Duration:
-		return Carried{Kind: Span, Num: x.Microseconds()}
+		return RawValue{Kind: Duration, Int: x.Microseconds()}
 	}
-	list := Carried{Kind: List}
+	list := RawValue{Kind: List}
 	for _, e := range v.([]any) {
 		list.Items = append(list.Items, carried(e))
 	}
@@ -57,7 +57,7 @@
 }
 
 func set(s *Schema, r *Record, attribute string, v any) error {
-	at, x := s.At([]byte(attribute)), carried(v)
+	at, x := s.Slot([]byte(attribute)), carried(v)
 	if at < 0 {
 		return fmt.Errorf("%s is not declared", attribute)
 	}
@@ -73,9 +73,9 @@
 	}
 }
 
-func checker(t testing.TB, limit int64) (*Schema, *Checker) {
+func checker(t testing.TB, limit int64) (*Schema, *Compiler) {
 	s := schema(t)
-	c, err := NewChecker(s, limit)
+	c, err := NewCompiler(s, limit)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,10 +160,10 @@
 		}
 	}
 	for _, bad := range [][]Attribute{
-		{{"a b", &Type{Kind: Flag}, true}}, {{"a", &Type{Kind: Flag}, true}, {"a", &Type{Kind: Flag}, true}}, {{"a", &Type{Kind: Text}, true}},
-		{{"a", &Type{Kind: Set, Name: "s"}, true}}, {{"a", &Type{Kind: Measure, Name: "m", Units: []Unit{{"u", 0, 0}}}, true}},
-		{{"a", &Type{Kind: List, Most: 3, Of: &Type{Kind: List, Most: 3, Of: &Type{Kind: Flag}}}, true}},
-		{{"a", site, true}, {"b", &Type{Kind: Set, Name: "site", Names: []string{"x"}}, true}},
+		{{"a b", &Type{Kind: Bool}, true}}, {{"a", &Type{Kind: Bool}, true}, {"a", &Type{Kind: Bool}, true}}, {{"a", &Type{Kind: Text}, true}},
+		{{"a", &Type{Kind: Enum, Name: "s"}, true}}, {{"a", &Type{Kind: Measure, Name: "m", Units: []Unit{{"u", 0, 0}}}, true}},
+		{{"a", &Type{Kind: List, MaxLength: 3, Element: &Type{Kind: List, MaxLength: 3, Element: &Type{Kind: Bool}}}, true}},
+		{{"a", site, true}, {"b", &Type{Kind: Enum, Name: "site", Members: []string{"x"}}, true}},
 	} {
 		if _, err := NewSchema(bad); err == nil {
 			t.Errorf("taken: %+v", bad)
@@ -193,14 +193,14 @@
 	}
 	for _, bad := range []struct {
 		attribute string
-		v         Carried
-	}{{"temp", Carried{Kind: Measure, Fig: 3, Unit: "kelvin"}}, {"load", Carried{Kind: Measure, Fig: 1e308, Unit: "tonne"}},
-		{"stops", Carried{Kind: List, Items: []Carried{{Kind: List}}}}} {
-		if err := s.Put(r, s.At([]byte(bad.attribute)), &bad.v); err == nil {
+		v         RawValue
+	}{{"temp", RawValue{Kind: Measure, Float: 3, Unit: "kelvin"}}, {"load", RawValue{Kind: Measure, Float: 1e308, Unit: "tonne"}},
+		{"stops", RawValue{Kind: List, Items: []RawValue{{Kind: List}}}}} {
+		if err := s.Put(r, s.Slot([]byte(bad.attribute)), &bad.v); err == nil {
 			t.Errorf("taken: %+v", bad)
 		}
 	}
-	if s.Absent(r) != s.At([]byte("depot")) {
+	if s.MissingRequired(r) != s.Slot([]byte("depot")) {
 		t.Error("an attribute that must be there is missing, and nothing says so")
 	}
 	if !p.Holds(r) {
@@ -253,20 +253,20 @@
 	switch of.Kind {
 	case Text:
 		return rapid.SampledFrom([]string{"", "a", "drop", "drop-17", "dropdrop"}).Draw(t, "text")
-	case Whole:
+	case Int:
 		return rapid.Int64Range(-3, 8).Draw(t, "whole")
-	case Flag:
+	case Bool:
 		return rapid.Bool().Draw(t, "flag")
-	case Span:
+	case Duration:
 		return time.Duration(rapid.IntRange(0, 3).Draw(t, "span")) * time.Minute
 	case Measure:
 		return float64(rapid.IntRange(0, 20).Draw(t, "figure")) / 2
-	case Set:
-		return rapid.SampledFrom(of.Names).Draw(t, "member")
+	case Enum:
+		return rapid.SampledFrom(of.Members).Draw(t, "member")
 	}
 	var list []any
 	for range rapid.IntRange(0, 4).Draw(t, "n") {
-		list = append(list, drawn(t, of.Of))
+		list = append(list, drawn(t, of.Element))
 	}
 	return list
 }
--- a/internal/match/reference_test.go
+++ b/internal/match/reference_test.go
@@ -12,7 +12,7 @@
 func (p *Predicate) Interpret(r *Record) (holds bool, steps int64) {
 	i := &interpreter{r: r}
 	v := i.value(p.tree)
-	return v.Given && v.Num != 0, i.steps
+	return v.Present && v.Int != 0, i.steps
 }
 
 // Interpret is the plain reference.
@@ -34,16 +34,16 @@
 		}
 		return noValue
 	}
-	is := func(n *node) bool { v := i.value(n); return v.Given && v.Num != 0 }
+	is := func(n *node) bool { v := i.value(n); return v.Present && v.Int != 0 }
 	words := func(a, b Value) { i.steps += int64(min(len(a.Text), len(b.Text)) / 8) }
 	switch n.op {
 	case opAttribute:
-		if v := i.r.values[n.at]; v.Given {
+		if v := i.r.values[n.at]; v.Present {
 			return v
 		}
 		return Value{}
 	case opElement:
-		return i.r.element[n.at]
+		return i.r.elements[n.at]
 	case opAnd:
 		return flag(is(n.args[0]) && is(n.args[1]))
 	case opOr:
@@ -58,35 +58,35 @@
 	case opEqual, opUnequal, opLess, opAtMost:
 		a, b := i.value(n.args[0]), i.value(n.args[1])
 		words(a, b)
-		return flag(a.Given && b.Given && ordered(n.args[0].of.Kind, n.op, &a, &b))
+		return flag(a.Present && b.Present && ordered(n.args[0].of.Kind, n.op, &a, &b))
 	case opIn:
 		a := i.value(n.args[0])
 		found := false
 		for _, v := range n.set {
 			i.steps++
 			words(a, v)
-			found = found || a.Given && ordered(n.args[0].of.Kind, opEqual, &a, &v)
+			found = found || a.Present && ordered(n.args[0].of.Kind, opEqual, &a, &v)
 		}
 		return flag(found)
 	case opPrefix:
 		a, b := i.value(n.args[0]), i.value(n.args[1])
 		words(a, b)
-		return flag(a.Given && b.Given && strings.HasPrefix(a.Text, b.Text))
+		return flag(a.Present && b.Present && strings.HasPrefix(a.Text, b.Text))
 	case opJoin:
 		text := i.value(n.args[0]).Text + i.value(n.args[1]).Text
 		i.steps += int64(len(text) / 8)
-		return Value{Given: true, Text: text}
+		return Value{Present: true, Text: text}
 	case opHash:
 		text := i.value(n.args[0]).Text
 		i.steps += int64(len(text) / 8)
-		return Value{Given: true, Text: fmt.Sprintf("%016s", strconv.FormatUint(xxh3.HashString(text), 16))}
+		return Value{Present: true, Text: fmt.Sprintf("%016s", strconv.FormatUint(xxh3.HashString(text), 16))}
 	case opGiven:
-		return flag(i.value(n.args[0]).Given)
+		return flag(i.value(n.args[0]).Present)
 	case opAny, opAll:
 		list := i.value(n.args[0])
-		result := n.op == opAll && list.Given
+		result := n.op == opAll && list.Present
 		for _, e := range list.List {
-			i.r.element[n.at] = e
+			i.r.elements[n.at] = e
 			holds := is(n.args[1])
 			if n.op == opAny {
 				result = result || holds
--- a/internal/match/table.go
+++ b/internal/match/table.go
@@ -22,31 +22,31 @@
 
 // Table is routes in order, compiled and indexed: its answer is always that of the first that matches.
 type Table struct {
-	Schema  *Schema
-	Needs   []bool // by attribute: some route names it, or it must be there. Others need not be put into records
-	Routes  []Route
-	Covered []Cover // routes that no transaction can reach
-	when    []*Predicate
-	dims    []dimension
-	words   int
-
-	compiled []*Compiled
+	Schema      *Schema
+	Needs       []bool // by attribute: some route names it, or it must be there. Others need not be put into records
+	Routes      []Route
+	Unreachable []UnreachableRoute // routes that no transaction can reach
+	when        []*Predicate
+	dims        []dimension
+	words       int
+
+	compiled []*CompiledRoute
 }
 
 // Cover is a route that an earlier one covers.
-type Cover struct{ Route, By int }
+type UnreachableRoute struct{ Route, CoveredBy int }
 
 // RouteFault is a fault of one route.
-type RouteFault struct {
-	Name string
-	Of   string // "when" or "key"
-	Err  *Fault
+type RouteError struct {
+	Name  string
+	Field string // "when" or "key"
+	Err   *ExprError
 }
 
-func (f *RouteFault) Error() string { return fmt.Sprintf("route %s, %s: %v", f.Name, f.Of, f.Err) }
+func (f *RouteError) Error() string { return fmt.Sprintf("route %s, %s: %v", f.Name, f.Field, f.Err) }
 
 // Compiled is a route that was checked by itself.
-type Compiled struct {
+type CompiledRoute struct {
 	route Route
 	when  *Predicate
 	key   *Key
@@ -54,22 +54,22 @@
 }
 
 // Compile checks and compiles a route. Several may be compiled at the same time; most of a load's time goes here.
-func (c *Checker) Compile(r Route) (*Compiled, error) {
+func (c *Compiler) CompileRoute(r Route) (*CompiledRoute, error) {
 	when, err := c.Predicate(r.When)
 	if err != nil {
-		return nil, &RouteFault{r.Name, "when", err.(*Fault)}
+		return nil, &RouteError{r.Name, "when", err.(*ExprError)}
 	}
-	x := &Compiled{route: r, when: when, parts: flat(when.tree, opAnd, nil)}
+	x := &CompiledRoute{route: r, when: when, parts: flat(when.tree, opAnd, nil)}
 	if r.Key != "" {
 		if x.key, err = c.Key(r.Key); err != nil {
-			return nil, &RouteFault{r.Name, "key", err.(*Fault)}
+			return nil, &RouteError{r.Name, "key", err.(*ExprError)}
 		}
 	}
 	return x, nil
 }
 
 // named are the places of the attributes that it names.
-func (x *Compiled) named() []int {
+func (x *CompiledRoute) named() []int {
 	all := x.when.tree.attributes(nil)
 	if x.key != nil {
 		all = x.key.tree.attributes(all)
@@ -78,17 +78,17 @@
 }
 
 // Cost is what its parts take at the most, in steps, and the most bytes of its key.
-func (x *Compiled) Cost() (when, key int64, bytes int) {
+func (x *CompiledRoute) Cost() (when, key int64, bytes int) {
 	if x.key != nil {
-		key, bytes = x.key.Cost, x.key.Most
+		key, bytes = x.key.Cost, x.key.MaxLength
 	}
 	return x.when.Cost, key, bytes
 }
 
 // NewTable indexes routes that were compiled by one checker, in their order.
-func NewTable(c *Checker, routes []*Compiled) *Table {
+func NewTable(c *Compiler, routes []*CompiledRoute) *Table {
 	t := &Table{Schema: c.schema, Needs: make([]bool, len(c.schema.Attributes)), words: (len(routes) + 63) / 64}
-	for _, at := range c.schema.must {
+	for _, at := range c.schema.required {
 		t.Needs[at] = true
 	}
 	for _, x := range routes {
@@ -103,8 +103,8 @@
 }
 
 // First is the first route that matches, -1 if none does.
-func (t *Table) First(r *Record) int {
-	var rows [mostDimensions][]uint64
+func (t *Table) FirstMatch(r *Record) int {
+	var rows [maxDimensions][]uint64
 	for i := range t.dims {
 		rows[i] = t.dims[i].row(&r.values[t.dims[i].at])
 	}
@@ -139,8 +139,8 @@
 // so that a row may say too much but never too little.
 
 const (
-	mostDimensions = 16
-	buckets        = 256 // rows of a dimension, beside that for missing values
+	maxDimensions = 16
+	buckets       = 256 // rows of a dimension, beside that for missing values
 )
 
 type way uint8
@@ -162,7 +162,7 @@
 }
 
 func (d *dimension) row(v *Value) []uint64 {
-	if !v.Given {
+	if !v.Present {
 		return d.missing
 	}
 	return d.rows[d.bucket(v)]
@@ -187,14 +187,14 @@
 	if d.kind == Text {
 		return int(xxh3.HashString(v.Text) % buckets)
 	}
-	return int(uint64(v.Num) * 0x9e3779b97f4a7c15 >> 56)
+	return int(uint64(v.Int) * 0x9e3779b97f4a7c15 >> 56)
 }
 
 func (d *dimension) figure(v *Value) float64 {
 	if d.kind == Measure {
-		return v.Fig
+		return v.Float
 	}
-	return float64(v.Num)
+	return float64(v.Int)
 }
 
 // prefixBucket puts texts of fewer than two bytes together.
@@ -233,9 +233,9 @@
 	}
 	figure := func(n *node) float64 {
 		if n.of.Kind == Measure {
-			return n.value.Fig
+			return n.value.Float
 		}
-		return float64(n.value.Num)
+		return float64(n.value.Int)
 	}
 	switch {
 	case n.op == opEqual && attribute(x) && constant(y):
@@ -244,7 +244,7 @@
 		return equal(y, x.value)
 	case n.op == opIn && attribute(n.args[0]):
 		return equal(n.args[0], n.set...)
-	case n.op == opAttribute && n.of.Kind == Flag:
+	case n.op == opAttribute && n.of.Kind == Bool:
 		return equal(n, yesValue)
 	case n.op == opPrefix && attribute(x) && constant(y) && len(y.value.Text) >= 2:
 		return []atom{{at: x.at, way: byPrefix, values: []Value{y.value}}}
@@ -284,7 +284,7 @@
 	slices.SortFunc(views, func(a, b view) int { // those that most routes speak of; ties by place
 		return cmp.Or(cmp.Compare(said[b], said[a]), cmp.Compare(a.at, b.at), cmp.Compare(a.way, b.way))
 	})
-	for _, v := range views[:min(len(views), mostDimensions)] {
+	for _, v := range views[:min(len(views), maxDimensions)] {
 		d := dimension{at: v.at, way: v.way, kind: t.Schema.Attributes[v.at].Type.Kind, routes: said[v]}
 		if v.way == byRange {
 			var all []float64
@@ -350,13 +350,13 @@
 func (d *dimension) value(x float64) *Value {
 	switch {
 	case d.kind == Measure:
-		return &Value{Given: true, Fig: x}
+		return &Value{Present: true, Float: x}
 	case x >= math.MaxInt64:
-		return &Value{Given: true, Num: math.MaxInt64}
+		return &Value{Present: true, Int: math.MaxInt64}
 	case x <= math.MinInt64:
-		return &Value{Given: true, Num: math.MinInt64}
+		return &Value{Present: true, Int: math.MinInt64}
 	}
-	return &Value{Given: true, Num: int64(x)}
+	return &Value{Present: true, Int: int64(x)}
 }
 
 // cover finds routes that an earlier one covers: each part of that one's conjunction follows from a part of theirs. It
@@ -379,7 +379,7 @@
 			return value{}, false
 		}
 		v := &p.atoms[0].values[0]
-		return value{p.atoms[0].at, v.Num, v.Text}, true
+		return value{p.atoms[0].at, v.Int, v.Text}, true
 	}
 	for i := range t.when {
 		for _, n := range t.compiled[i].parts {
@@ -433,7 +433,7 @@
 		}
 		switch {
 		case by >= 0:
-			t.Covered = append(t.Covered, Cover{j, by})
+			t.Unreachable = append(t.Unreachable, UnreachableRoute{j, by})
 		case has:
 			kept[rarest] = append(kept[rarest], j)
 		default:
@@ -442,7 +442,7 @@
 	}
 }
 
-func always(n *node) bool { return n.op == opConst && n.value.Num == 1 }
+func always(n *node) bool { return n.op == opConst && n.value.Int == 1 }
 
 // implies says that where the first holds the second does. False says nothing.
 func implies(first, second *node, a, b []atom) bool {
@@ -456,7 +456,7 @@
 	switch x.way {
 	case byEqual:
 		for _, v := range x.values {
-			if !slices.ContainsFunc(y.values, func(w Value) bool { return w.Num == v.Num && w.Text == v.Text }) {
+			if !slices.ContainsFunc(y.values, func(w Value) bool { return w.Int == v.Int && w.Text == v.Text }) {
 				return false
 			}
 		}
--- a/internal/match/table_test.go
+++ b/internal/match/table_test.go
@@ -28,8 +28,8 @@
 			t.Fatal(faults)
 		}
 		covered := map[int]bool{}
-		for _, x := range tab.Covered {
-			if covered[x.Route] = true; x.By >= x.Route {
+		for _, x := range tab.Unreachable {
+			if covered[x.Route] = true; x.CoveredBy >= x.Route {
 				t.Fatalf("%+v", x)
 			}
 		}
@@ -42,7 +42,7 @@
 					break
 				}
 			}
-			if got := tab.First(r); got != want || covered[got] {
+			if got := tab.FirstMatch(r); got != want || covered[got] {
 				t.Fatalf("route %d, by the reference %d, covered %v, of %+v\n%v", got, want, covered[got], r.values, routes)
 			}
 			var key []byte
@@ -54,18 +54,18 @@
 					r.values[at] = Value{}
 				}
 			}
-			if got := tab.First(r); got != want || got >= 0 && !bytes.Equal(key, tab.AppendKey(got, nil, r)) {
+			if got := tab.FirstMatch(r); got != want || got >= 0 && !bytes.Equal(key, tab.AppendKey(got, nil, r)) {
 				t.Fatalf("route %d without what is not needed, %d with it\n%v", got, want, routes)
 			}
 		}
 	})
 }
 
-func table(c *Checker, routes []Route) (*Table, []error) {
-	var all []*Compiled
+func table(c *Compiler, routes []Route) (*Table, []error) {
+	var all []*CompiledRoute
 	var faults []error
 	for _, r := range routes {
-		x, err := c.Compile(r)
+		x, err := c.CompileRoute(r)
 		if err != nil {
 			faults = append(faults, err)
 		}
@@ -92,8 +92,8 @@
 		{`size > 9007199254740993`, `size > 9007199254740992`, false},
 	} {
 		tab, faults := table(c, []Route{{Name: "a", When: x.first}, {Name: "b", When: x.second}})
-		if len(faults) > 0 || (len(tab.Covered) == 1) != x.covers {
-			t.Errorf("%s, then %s: covered %v, expected %v %v", x.first, x.second, tab.Covered, x.covers, faults)
+		if len(faults) > 0 || (len(tab.Unreachable) == 1) != x.covers {
+			t.Errorf("%s, then %s: covered %v, expected %v %v", x.first, x.second, tab.Unreachable, x.covers, faults)
 		}
 	}
 	_, faults := table(c, []Route{{Name: "a", When: "urgnt"}, {Name: "b", When: "urgent", Key: "size"}, {Name: "c", When: "urgent"}})
--- a/internal/measure/match.go
+++ b/internal/measure/match.go
@@ -105,18 +105,18 @@
 		_, values := sample(chance, n)
 		var b []byte
 		for _, name := range []string{"depot", "class", "kind", "size", "temp", "urgent", "age"} {
-			var v match.Carried
+			var v match.RawValue
 			switch x := values[name].(type) {
 			case string:
 				v.Text = x
 			case int64:
-				v.Kind, v.Num = match.Whole, x
+				v.Kind, v.Int = match.Int, x
 			case float64:
-				v.Kind, v.Fig = match.Measure, x
+				v.Kind, v.Float = match.Measure, x
 			case bool:
-				v.Kind, v.Num = match.Flag, 1
+				v.Kind, v.Int = match.Bool, 1
 			case time.Duration:
-				v.Kind, v.Num = match.Span, x.Microseconds()
+				v.Kind, v.Int = match.Duration, x.Microseconds()
 			}
 			b = wire.AppendAttribute(b, name, &v)
 		}
@@ -146,7 +146,7 @@
 func RunMatch(n int) (*MatchResult, error) {
 	text := []byte("profile \"reading\" {}\n" + routesText(n))
 	r := &MatchResult{RouteCount: n, LoadTime: time.Hour}
-	var book *routes.Book
+	var book *routes.RouteSet
 	for range 3 { // the best of three: the first has caches to fill
 		runtime.GC()
 		start := time.Now()
@@ -156,7 +156,7 @@
 		}
 		book, r.LoadTime = b, min(r.LoadTime, time.Since(start))
 	}
-	checker, err := match.NewChecker(book.Schema, book.Limit)
+	checker, err := match.NewCompiler(book.Schema, book.CostLimit)
 	if err != nil {
 		return nil, err
 	}
@@ -183,7 +183,7 @@
 	records, maps := make([]*match.Record, 64), make([]map[string]any, 64)
 	for i := range records {
 		pairs, m := sample(chance, n)
-		records[i], _ = book.Record(pairs)
+		records[i], _ = book.ParseRecord(pairs)
 		maps[i] = m
 	}
 	scan := func(r *match.Record) int {
@@ -194,7 +194,7 @@
 	}
 	hit := -1
 	for i := range records {
-		a, b, c := book.Table.First(records[i]), scan(records[i]), celScan(maps[i])
+		a, b, c := book.Table.FirstMatch(records[i]), scan(records[i]), celScan(maps[i])
 		if a != b || b != c {
 			r.Mismatched++
 		}
@@ -203,7 +203,7 @@
 			hit = i
 		}
 	}
-	r.IndexNs, r.IndexAllocs = timed(func(i int) { book.Table.First(records[i%64]) })
+	r.IndexNs, r.IndexAllocs = timed(func(i int) { book.Table.FirstMatch(records[i%64]) })
 	r.ScanNs, _ = timed(func(i int) { scan(records[i%64]) })
 	r.CELNs, r.CELAllocs = timed(func(i int) { celScan(maps[i%64]) })
 	if hit >= 0 {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -321,7 +321,7 @@
 		m.Key = c.key
 	} else {
 		c.carried = wire.AppendAttribute(append(c.carried[:0], samples[c.id%uint64(len(samples))]...), "id",
-			&match.Carried{Kind: match.Text, Text: string(c.key)})
+			&match.RawValue{Kind: match.Text, Text: string(c.key)})
 		m.Attributes = c.carried
 	}
 	c.link.Put(wire.KindAsk, m)
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -25,8 +25,8 @@
 	Zones           []string
 	Endpoints       Endpoints
 	Bounds          Bounds
-	IncludedFiles   []string     // files that the settings file includes
-	Routes          *routes.Book // nil if clients send profile, account and key themselves
+	IncludedFiles   []string         // files that the settings file includes
+	Routes          *routes.RouteSet // nil if clients send profile, account and key themselves
 }
 
 // Conflict is a change that a running sentry cannot apply: the block and setting in conflict, and what was expected.
@@ -175,15 +175,15 @@
 
 func readUpdate(f *hclread.File, running *Settings) (*Settings, error) {
 	s := ReadShared(f.Root)
-	s.IncludedFiles = f.Files
+	s.IncludedFiles = f.IncludedFiles
 	s.readEndpoints(f.Root.Block("sentry", true))
-	f.Root.Done()
+	f.Root.RejectUnknown()
 	if running != nil && f.Err() == nil {
 		for _, conflict := range running.Conflicts(s) {
 			kind, label, _ := strings.Cut(conflict.Block, " ")
 			for _, b := range f.Root.Blocks(kind, labelCounts[kind]) {
 				if label == "" || b.Labels[0] == label {
-					b.FaultAt(conflict.Name, "%s", conflict.Message)
+					b.AttributeErrorf(conflict.Name, "%s", conflict.Message)
 				}
 			}
 		}
@@ -208,13 +208,13 @@
 	s := &Settings{}
 	config := &s.Policy
 	deployment := root.Block("deployment", true)
-	config.Sentries = deployment.Whole("sentries", true, 1, 1, 10_000)
+	config.Sentries = deployment.Int("sentries", true, 1, 1, 10_000)
 	s.Zones = deployment.Texts("zones", true)
-	deployment.Done()
+	deployment.RejectUnknown()
 	for i, z := range s.Zones {
 		for _, other := range s.Zones[:i] {
 			if other == z {
-				deployment.FaultAt("zones", "found %q twice, expected each zone once", z)
+				deployment.AttributeErrorf("zones", "found %q twice, expected each zone once", z)
 			}
 		}
 	}
@@ -225,21 +225,21 @@
 	s.readRules(root.Block("rules", true))
 	s.readTrial(root.Block("trial", true))
 	prices := root.Block("prices", false)
-	config.StaleBuildPrice = prices.Figure("behind", false, 0, 0, 10)
-	config.HarmPrice = prices.Figure("harm", false, 0, 0, 100)
-	config.CrossZonePrice = prices.Figure("cross", false, 0, 0, 1)
-	config.WastePrice = prices.Figure("waste", false, 0, 0, 1)
-	config.OverShareValue = prices.Figure("over_share_value", false, 1, 0, 1)
-	prices.Done()
+	config.StaleBuildPrice = prices.Float("behind", false, 0, 0, 10)
+	config.HarmPrice = prices.Float("harm", false, 0, 0, 100)
+	config.CrossZonePrice = prices.Float("cross", false, 0, 0, 1)
+	config.WastePrice = prices.Float("waste", false, 0, 0, 1)
+	config.OverShareValue = prices.Float("over_share_value", false, 1, 0, 1)
+	prices.RejectUnknown()
 	bounds := root.Block("bounds", false)
 	s.Bounds = Bounds{
-		InboxEvents: bounds.Whole("inbox", false, 16384, 64, 1<<20), OpenTransactions: bounds.Whole("open", false, 20_000, 1, 1<<20),
-		ConnectionsPerWorker:  bounds.Whole("connections_per_worker", false, 8, 1, 1024),
-		HandOffsPerConnection: bounds.Whole("hand_offs_per_connection", false, 32, 1, 1<<16),
-		FrameBytes:            bounds.Whole("frame_bytes", false, 4<<20, 4096, 64<<20),
-		UnwrittenBytes:        bounds.Whole("unwritten_bytes", false, 1<<20, 4096, 256<<20),
+		InboxEvents: bounds.Int("inbox", false, 16384, 64, 1<<20), OpenTransactions: bounds.Int("open", false, 20_000, 1, 1<<20),
+		ConnectionsPerWorker:  bounds.Int("connections_per_worker", false, 8, 1, 1024),
+		HandOffsPerConnection: bounds.Int("hand_offs_per_connection", false, 32, 1, 1<<16),
+		FrameBytes:            bounds.Int("frame_bytes", false, 4<<20, 4096, 64<<20),
+		UnwrittenBytes:        bounds.Int("unwritten_bytes", false, 1<<20, 4096, 256<<20),
 	}
-	bounds.Done()
+	bounds.RejectUnknown()
 	s.Routes = routes.Read(root, s.ProfileNames, s.AccountNames)
 	return s
 }
@@ -248,50 +248,50 @@
 func (s *Settings) readProfiles(root *hclread.Body) {
 	for i, b := range root.Blocks("profile", 1) {
 		profile := logic.Profile{
-			DueTime:        b.Span("due_time", true, ms, ms, hour),
-			MaxDeadline:    b.Span("outer_limit", true, hour, ms, 24*hour),
-			Value:          b.Figure("value", false, 1, 0, 1e9),
-			LateValueShare: b.Figure("late_share", false, 0, 0, 1),
-			Repeatability:  logic.Repeatability(b.Word("repeat", true, int(logic.NonIdempotent), "redoable", "labelled", "irreversible")),
+			DueTime:        b.Duration("due_time", true, ms, ms, hour),
+			MaxDeadline:    b.Duration("outer_limit", true, hour, ms, 24*hour),
+			Value:          b.Float("value", false, 1, 0, 1e9),
+			LateValueShare: b.Float("late_share", false, 0, 0, 1),
+			Repeatability:  logic.Repeatability(b.Enum("repeat", true, int(logic.NonIdempotent), "redoable", "labelled", "irreversible")),
 		}
 		deduplicated := profile.Repeatability == logic.Deduplicated
-		profile.DedupScope = logic.DedupScope(b.Word("scope", deduplicated, 0, "all", "zone", "cell"))
-		profile.DedupWindow = b.Span("window", deduplicated, 0, ms, hour)
+		profile.DedupScope = logic.DedupScope(b.Enum("scope", deduplicated, 0, "all", "zone", "cell"))
+		profile.DedupWindow = b.Duration("window", deduplicated, 0, ms, hour)
 		if !deduplicated && (b.Has("scope") || b.Has("window")) {
-			b.Fault("profile %s has a scope or window, expected them with repeat = \"labelled\" only", b.Labels[0])
+			b.Errorf("profile %s has a scope or window, expected them with repeat = \"labelled\" only", b.Labels[0])
 		}
 		if profile.MaxDeadline < profile.DueTime {
-			b.FaultAt("outer_limit", "found less than due_time, expected at least as much")
+			b.AttributeErrorf("outer_limit", "found less than due_time, expected at least as much")
 		}
 		for _, other := range s.ProfileNames {
 			if other == b.Labels[0] {
-				b.Fault("profile %s is declared twice, expected once", other)
+				b.Errorf("profile %s is declared twice, expected once", other)
 			}
 		}
-		slot := b.Whole("place", false, min(i, 255), 0, 255)
-		b.Done()
+		slot := b.Int("place", false, min(i, 255), 0, 255)
+		b.RejectUnknown()
 		if b.Labels[0] == "" {
-			b.Fault("profile without a name, expected one")
+			b.Errorf("profile without a name, expected one")
 		}
 		s.growProfiles(slot)
 		if other := s.ProfileNames[slot]; other != "" {
-			b.FaultAt("place", "found %d, expected one that profile %s does not have", slot, other)
+			b.AttributeErrorf("place", "found %d, expected one that profile %s does not have", slot, other)
 			continue
 		}
 		s.ProfileNames[slot], s.Policy.Profiles[slot] = b.Labels[0], profile
 	}
 	if len(s.ProfileNames) == 0 {
-		root.Fault("no block profile, expected at least one")
+		root.Errorf("no block profile, expected at least one")
 	}
 }
 
 func (s *Settings) readAccounts(root *hclread.Body) {
 	total := 0.0
 	for _, b := range root.Blocks("account", 1) {
-		account := logic.Account{Share: b.Figure("share", true, 0, 0, 1), Quota: b.Figure("quota", true, 0, 0, 1e9)}
-		b.Done()
+		account := logic.Account{Share: b.Float("share", true, 0, 0, 1), Quota: b.Float("quota", true, 0, 0, 1e9)}
+		b.RejectUnknown()
 		if total += account.Share; total > 1+1e-9 {
-			b.FaultAt("share", "found %g over all accounts so far, expected at most 1", total)
+			b.AttributeErrorf("share", "found %g over all accounts so far, expected at most 1", total)
 		}
 		s.AccountNames = append(s.AccountNames, b.Labels[0])
 		s.Policy.Accounts = append(s.Policy.Accounts, account)
@@ -300,101 +300,101 @@
 
 func (s *Settings) readAllowed(b *hclread.Body) {
 	config := &s.Policy
-	config.MayProbe, config.MayCancel = b.Flag("probes", false), b.Flag("cancel", true)
-	config.MayHedge, config.MayMessage = b.Flag("copies", false), b.Flag("messages", false)
-	config.MayNameRetryAfter = b.Flag("name_return", true)
-	config.MaxHandOffs = b.Whole("hand_offs", false, 3, 1, 100)
-	config.MaxRetryAfter = b.Span("most_return", false, time.Second, 0, hour)
-	config.ConnectTimeout = b.Span("connect_limit", false, 250*ms, ms, time.Minute)
-	config.IdleTimeout = b.Span("idle_close", false, 30*time.Second, 0, 24*hour)
-	b.Done()
+	config.MayProbe, config.MayCancel = b.Bool("probes", false), b.Bool("cancel", true)
+	config.MayHedge, config.MayMessage = b.Bool("copies", false), b.Bool("messages", false)
+	config.MayNameRetryAfter = b.Bool("name_return", true)
+	config.MaxHandOffs = b.Int("hand_offs", false, 3, 1, 100)
+	config.MaxRetryAfter = b.Duration("most_return", false, time.Second, 0, hour)
+	config.ConnectTimeout = b.Duration("connect_limit", false, 250*ms, ms, time.Minute)
+	config.IdleTimeout = b.Duration("idle_close", false, 30*time.Second, 0, 24*hour)
+	b.RejectUnknown()
 }
 
 func (s *Settings) readList(b *hclread.Body) {
 	config := &s.Policy
-	config.ListOnRequest = b.Flag("ask", false)
-	config.MaxListAge = b.Span("ask_within", config.ListOnRequest, 10*time.Second, 100*ms, hour)
-	b.Done()
+	config.ListOnRequest = b.Bool("ask", false)
+	config.MaxListAge = b.Duration("ask_within", config.ListOnRequest, 10*time.Second, 100*ms, hour)
+	b.RejectUnknown()
 }
 
 func (s *Settings) readRules(b *hclread.Body) {
 	config := &s.Policy
-	config.TimerGranularity = b.Span("tick", false, 5*ms, time.Microsecond, time.Second)
-	config.AnswerGrace = b.Span("answer_grace", true, 20*ms, 0, time.Minute)
-	config.DrainGrace = b.Span("drain_grace", true, 2*time.Second, 0, time.Minute)
-	config.ColdCapacity = b.Figure("cold_from", true, 1, 0.01, 1)
-	config.WarmUp = b.Span("warm_up", true, 0, 0, hour)
-	config.ColdLoadMultiple = b.Figure("fall_multiple", true, 4, 1, 1000)
-	config.ColdLoadWindow = b.Span("fall_span", true, time.Second, 10*ms, time.Minute)
-	b.Done()
+	config.TimerGranularity = b.Duration("tick", false, 5*ms, time.Microsecond, time.Second)
+	config.AnswerGrace = b.Duration("answer_grace", true, 20*ms, 0, time.Minute)
+	config.DrainGrace = b.Duration("drain_grace", true, 2*time.Second, 0, time.Minute)
+	config.ColdCapacity = b.Float("cold_from", true, 1, 0.01, 1)
+	config.WarmUp = b.Duration("warm_up", true, 0, 0, hour)
+	config.ColdLoadMultiple = b.Float("fall_multiple", true, 4, 1, 1000)
+	config.ColdLoadWindow = b.Duration("fall_span", true, time.Second, 10*ms, time.Minute)
+	b.RejectUnknown()
 }
 
 func (s *Settings) readTrial(b *hclread.Body) {
 	config := &s.Policy
-	config.Control = logic.Control(b.Word("control", true, 0, "any", "share", "timer"))
-	config.EarlierWorkersStay = b.Word("layout", false, 0, "beside", "in_place") == 0
-	config.StageShares = b.Figures("stage_shares", true, 0, 1)
-	config.StageCaps = b.Figures("stage_caps", true, 0, 1)
-	config.FreeExposure = b.Figure("free", true, 0, 0, 1e6)
-	config.ExposureWindow = b.Span("window", true, 4*time.Second, 10*ms, hour)
-	config.ExposureByProfile = b.Flag("by_profile", false)
-	config.GuardedStages = b.Whole("guarded_stages", false, 0, 0, 100)
-	config.ForwardOnly = b.Flag("forward_only", false)
+	config.Control = logic.Control(b.Enum("control", true, 0, "any", "share", "timer"))
+	config.EarlierWorkersStay = b.Enum("layout", false, 0, "beside", "in_place") == 0
+	config.StageShares = b.Floats("stage_shares", true, 0, 1)
+	config.StageCaps = b.Floats("stage_caps", true, 0, 1)
+	config.FreeExposure = b.Float("free", true, 0, 0, 1e6)
+	config.ExposureWindow = b.Duration("window", true, 4*time.Second, 10*ms, hour)
+	config.ExposureByProfile = b.Bool("by_profile", false)
+	config.GuardedStages = b.Int("guarded_stages", false, 0, 0, 100)
+	config.ForwardOnly = b.Bool("forward_only", false)
 	timer := config.Control == logic.ControlTimer
-	config.AdvanceVotes = b.Whole("on_votes", !timer, 0, 0, 10_000)
-	config.HoldVotes = b.Whole("hold_votes", timer, 0, 0, 10_000)
-	config.RollBackVotes = b.Whole("back_votes", true, 1, 1, 10_000)
-	config.VoteTTL = b.Span("vote_life", true, 6*time.Second, 10*ms, hour)
-	config.VoteTimeout = b.Span("vote_wait", true, time.Second, 10*ms, time.Minute)
-	config.VotesPerSecond = b.Figure("votes_per_second", false, 100, 0.01, 1e6)
-	config.BakeTime = b.Span("bake", true, time.Second, 0, 24*hour)
-	config.ComplaintShare = b.Figure("complaint_share", false, 0, 0, 1)
-	config.CountsPeriod = b.Span("counts_every", false, 0, 0, hour)
-	config.CountsSampleShare = b.Figure("counts_share", config.CountsPeriod > 0, 0, 0, 1)
+	config.AdvanceVotes = b.Int("on_votes", !timer, 0, 0, 10_000)
+	config.HoldVotes = b.Int("hold_votes", timer, 0, 0, 10_000)
+	config.RollBackVotes = b.Int("back_votes", true, 1, 1, 10_000)
+	config.VoteTTL = b.Duration("vote_life", true, 6*time.Second, 10*ms, hour)
+	config.VoteTimeout = b.Duration("vote_wait", true, time.Second, 10*ms, time.Minute)
+	config.VotesPerSecond = b.Float("votes_per_second", false, 100, 0.01, 1e6)
+	config.BakeTime = b.Duration("bake", true, time.Second, 0, 24*hour)
+	config.ComplaintShare = b.Float("complaint_share", false, 0, 0, 1)
+	config.CountsPeriod = b.Duration("counts_every", false, 0, 0, hour)
+	config.CountsSampleShare = b.Float("counts_share", config.CountsPeriod > 0, 0, 0, 1)
 	if config.CountsSampleShare > 0 && config.CountsPeriod == 0 {
-		b.FaultAt("counts_share", "found %g without counts_every, expected both or none", config.CountsSampleShare)
+		b.AttributeErrorf("counts_share", "found %g without counts_every, expected both or none", config.CountsSampleShare)
 	}
-	b.Done()
+	b.RejectUnknown()
 	if len(config.StageCaps) != len(config.StageShares) || len(config.StageCaps) == 0 {
-		b.FaultAt("stage_caps", "found %d, expected as many as stage_shares (%d) and one at least",
+		b.AttributeErrorf("stage_caps", "found %d, expected as many as stage_shares (%d) and one at least",
 			len(config.StageCaps), len(config.StageShares))
 	}
 	for name, values := range map[string][]float64{"stage_caps": config.StageCaps, "stage_shares": config.StageShares} {
 		for i := 1; i < len(values); i++ {
 			if values[i] < values[i-1] {
-				b.FaultAt(name, "found %g after %g, expected values that do not decrease", values[i], values[i-1])
+				b.AttributeErrorf(name, "found %g after %g, expected values that do not decrease", values[i], values[i-1])
 			}
 		}
 	}
 	if config.AdvanceVotes > config.Sentries || config.RollBackVotes > config.Sentries {
-		b.Fault("on_votes or back_votes is more than the number of sentries (%d)", config.Sentries)
+		b.Errorf("on_votes or back_votes is more than the number of sentries (%d)", config.Sentries)
 	}
 }
 
 func (s *Settings) readEndpoints(b *hclread.Body) {
 	config, endpoints := &s.Policy, &s.Endpoints
-	config.Position = logic.SentryID(b.Whole("position", true, 0, 0, max(0, config.Sentries-1)))
+	config.Position = logic.SentryID(b.Int("position", true, 0, 0, max(0, config.Sentries-1)))
 	zones := s.Zones
 	if len(zones) == 0 {
 		zones = []string{"(none)"}
 	}
-	config.Zone = logic.ZoneID(b.Word("zone", true, 0, zones...))
+	config.Zone = logic.ZoneID(b.Enum("zone", true, 0, zones...))
 	endpoints.Listen = readAddress(b, "listen", true)
 	endpoints.Metrics = readAddress(b, "metrics", false)
 	endpoints.Discovery = readAddress(b, "list", true)
 	endpoints.ControlPlane = readAddress(b, "desk", true)
 	endpoints.CachedListFile = b.Text("memory", true, "")
-	endpoints.Seed = int64(b.Whole("seed", false, 0, 0, 1<<53))
+	endpoints.Seed = int64(b.Int("seed", false, 0, 0, 1<<53))
 	endpoints.Peers = map[logic.SentryID]string{}
 	for _, peer := range b.Blocks("peer", 1) {
 		position, err := strconv.Atoi(peer.Labels[0])
 		if err != nil || position < 0 || position >= config.Sentries || logic.SentryID(position) == config.Position {
-			peer.Fault("peer %q, expected the position of another sentry, 0 to %d", peer.Labels[0], config.Sentries-1)
+			peer.Errorf("peer %q, expected the position of another sentry, 0 to %d", peer.Labels[0], config.Sentries-1)
 		}
 		endpoints.Peers[logic.SentryID(position)] = readAddress(peer, "address", true)
-		peer.Done()
+		peer.RejectUnknown()
 	}
-	b.Done()
+	b.RejectUnknown()
 }
 
 func readAddress(b *hclread.Body, name string, required bool) string {
@@ -404,7 +404,7 @@
 	}
 	host, port, err := net.SplitHostPort(text)
 	if number, portErr := strconv.Atoi(port); err != nil || portErr != nil || number < 0 || number > 65535 || host == "" {
-		b.FaultAt(name, "found %q, expected host:port", text)
+		b.AttributeErrorf(name, "found %q, expected host:port", text)
 	}
 	return text
 }
--- a/internal/release/read.go
+++ b/internal/release/read.go
@@ -40,7 +40,7 @@
 	r := &reader{p: &plan.Plan{}, blocks: map[string][]*hclread.Body{}}
 	head := f.Root.Blocks("plan", 1)
 	if len(head) != 1 {
-		f.Root.Fault("found %d blocks plan, expected one", len(head))
+		f.Root.Errorf("found %d blocks plan, expected one", len(head))
 		return nil, f.Err()
 	}
 	r.head(head[0])
@@ -49,7 +49,7 @@
 		r.blocks[kind] = f.Root.Blocks(kind, 1)
 		for _, b := range r.blocks[kind] {
 			if slices.Contains(names[kind], b.Labels[0]) {
-				b.Fault("%s %s stands twice, expected once", kind, b.Labels[0])
+				b.Errorf("%s %s stands twice, expected once", kind, b.Labels[0])
 			}
 			names[kind] = append(names[kind], b.Labels[0])
 		}
@@ -59,33 +59,33 @@
 	}
 	for _, b := range r.blocks["group"] {
 		r.p.Groups = append(r.p.Groups, plan.Group{Name: b.Labels[0], Members: b.Texts("members", true)})
-		b.Done()
+		b.RejectUnknown()
 	}
 	for _, b := range r.blocks["approval"] {
-		a := plan.Approval{Name: b.Labels[0], Group: one(b, "group", names["group"]), Count: b.Whole("count", false, 1, 1, 100),
-			Valid: span(b.Span("valid", true, time.Hour, time.Minute, 4*week))}
-		b.Done()
+		a := plan.Approval{Name: b.Labels[0], Group: one(b, "group", names["group"]), Count: b.Int("count", false, 1, 1, 100),
+			Valid: span(b.Duration("valid", true, time.Hour, time.Minute, 4*week))}
+		b.RejectUnknown()
 		r.p.Approvals = append(r.p.Approvals, a)
 	}
 	for _, b := range r.blocks["wave"] {
-		w := plan.Wave{Name: b.Labels[0], Share: b.Figure("share", true, 1, 0, 1), Cap: b.Figure("cap", true, 1, 0, 1),
-			Bake: span(b.Span("bake", true, 0, 0, 4*week)), On: b.Whole("on_votes", false, 1, 0, 100_000),
-			Back: b.Whole("back_votes", false, 1, 1, 100_000), Hold: b.Flag("hold", false),
+		w := plan.Wave{Name: b.Labels[0], Share: b.Float("share", true, 1, 0, 1), Cap: b.Float("cap", true, 1, 0, 1),
+			Bake: span(b.Duration("bake", true, 0, 0, 4*week)), On: b.Int("on_votes", false, 1, 0, 100_000),
+			Back: b.Int("back_votes", false, 1, 1, 100_000), Hold: b.Bool("hold", false),
 			Guarded: several(b, "guard", r.p.Profiles), Windows: several(b, "windows", names["window"]),
 			Approvals: several(b, "approvals", names["approval"])}
-		b.Done()
+		b.RejectUnknown()
 		r.p.Waves = append(r.p.Waves, w)
 	}
-	f.Root.Done()
+	f.Root.RejectUnknown()
 	if err := f.Err(); err != nil { // what the plan means is looked at only if it could be read
 		return nil, err
 	}
 	for _, x := range r.p.Check(now) {
 		b := r.blocks[x.Kind][x.At]
 		if x.Attribute == "" {
-			b.Fault("%s", x.Text)
+			b.Errorf("%s", x.Text)
 		} else {
-			b.FaultAt(x.Attribute, "%s", x.Text)
+			b.AttributeErrorf(x.Attribute, "%s", x.Text)
 		}
 	}
 	if err := f.Err(); err != nil {
@@ -97,22 +97,22 @@
 func (r *reader) head(b *hclread.Body) {
 	r.blocks["plan"] = []*hclread.Body{b}
 	r.p.Name = b.Labels[0]
-	r.p.Build = plan.Build(b.Whole("build", true, 1, 1, 65535))
-	r.p.Sentries = b.Whole("sentries", true, 1, 1, 100_000)
+	r.p.Build = plan.Build(b.Int("build", true, 1, 1, 65535))
+	r.p.Sentries = b.Int("sentries", true, 1, 1, 100_000)
 	r.p.Labels = map[string]string{}
 	if b.Has("profiles") {
 		r.p.Profiles = b.Texts("profiles", true)
 	}
 	if b.Has("labels") {
 		for _, pair := range b.Pairs("labels", true) {
-			if pair.List {
-				b.FaultAt("labels", "found a list as %s, expected a text", pair.Name)
+			if pair.IsList {
+				b.AttributeErrorf("labels", "found a list as %s, expected a text", pair.Name)
 				continue
 			}
 			r.p.Labels[pair.Name] = pair.Values[0]
 		}
 	}
-	b.Done()
+	b.RejectUnknown()
 }
 
 var days = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
@@ -132,14 +132,14 @@
 		}
 		minute, err := plan.ParseClock(text)
 		if err != nil {
-			b.FaultAt(name, "%v", err)
+			b.AttributeErrorf(name, "%v", err)
 		}
 		*to = minute
 	}
 	name := b.Text("zone", true, "UTC")
 	zone, err := time.LoadLocation(name)
 	if err != nil || name == "Local" { // that of the machine is no name
-		b.FaultAt("zone", "found %q, expected a name as Europe/Berlin", name)
+		b.AttributeErrorf("zone", "found %q, expected a name as Europe/Berlin", name)
 		zone = time.UTC
 	}
 	w.Zone = zone
@@ -147,22 +147,22 @@
 		for _, text := range b.Texts("except", true) {
 			s, err := plan.ParseSpan(text)
 			if err != nil {
-				b.FaultAt("except", "%v", err)
+				b.AttributeErrorf("except", "%v", err)
 			}
 			w.Except = append(w.Except, s)
 		}
 	}
-	b.Done()
+	b.RejectUnknown()
 	r.p.Windows = append(r.p.Windows, w)
 }
 
 // one is the place of a name among others, several those of a list of names.
 func one(b *hclread.Body, attribute string, names []string) int {
 	if len(names) == 0 {
-		b.Fault("%s %s: the file has no %s, expected one", b.Kind, b.Labels[0], attribute)
+		b.Errorf("%s %s: the file has no %s, expected one", b.Kind, b.Labels[0], attribute)
 		return 0
 	}
-	return b.Word(attribute, true, 0, names...)
+	return b.Enum(attribute, true, 0, names...)
 }
 
 func several(b *hclread.Body, attribute string, names []string) (places []int) {
@@ -172,7 +172,7 @@
 	for _, text := range b.Texts(attribute, true) {
 		at := slices.Index(names, text)
 		if at < 0 {
-			b.FaultAt(attribute, "found %q, expected some of %v", text, names)
+			b.AttributeErrorf(attribute, "found %q, expected some of %v", text, names)
 			continue
 		}
 		places = append(places, at)
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -21,7 +21,7 @@
 }
 
 // parse reads it with one thing changed, and says in which line.
-func parse(t *testing.T, old, new string) (*Book, int, error) {
+func parse(t *testing.T, old, new string) (*RouteSet, int, error) {
 	t.Helper()
 	before, after, is := strings.Cut(language(t), old)
 	if !is {
@@ -37,8 +37,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if failed := b.Test(); len(failed) > 0 || len(b.Notes) > 0 {
-		t.Error(failed, b.Notes)
+	if failed := b.RunCases(); len(failed) > 0 || len(b.Warnings) > 0 {
+		t.Error(failed, b.Warnings)
 	}
 	nowhere := "with  = { depot = \"kingston\", urgent = true }\n  route = \"none\""
 	for _, x := range [][3]string{
@@ -58,7 +58,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", x[1], err)
 		}
-		if got := strings.Join(b.Test(), "\n"); !strings.Contains(got, x[2]) {
+		if got := strings.Join(b.RunCases(), "\n"); !strings.Contains(got, x[2]) {
 			t.Errorf("%s: %s, expected %s", x[1], got, x[2])
 		}
 	}
@@ -115,19 +115,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(b.Notes) != 1 || !strings.HasPrefix(b.Notes[0], fmt.Sprintf("r.hcl:%d: route older is never reached: all that it matches goes to route spans (r.hcl:", line)) {
-		t.Errorf("the cover is told as %q", b.Notes)
+	if len(b.Warnings) != 1 || !strings.HasPrefix(b.Warnings[0], fmt.Sprintf("r.hcl:%d: route older is never reached: all that it matches goes to route spans (r.hcl:", line)) {
+		t.Errorf("the cover is told as %q", b.Warnings)
 	}
 	var out bytes.Buffer
-	r, misfits := b.Record([]hclread.Pair{{Name: "depot", Values: []string{"may_pen"}}, {Name: "age", Values: []string{"2m"}}, {Name: "id", Values: []string{"x"}}})
-	b.Tell(&out, r, 1)
+	r, misfits := b.ParseRecord([]hclread.Pair{{Name: "depot", Values: []string{"may_pen"}}, {Name: "age", Values: []string{"2m"}}, {Name: "id", Values: []string{"x"}}})
+	b.WriteMatch(&out, r, 1)
 	for _, want := range []string{"route spans (r.hcl:", "): profile reading, account none, key \"x\"\n  4 earlier", "the last 1:\n  not units (r.hcl:", "does not hold: load is missing\n"} {
 		if !strings.Contains(out.String(), want) || len(misfits) > 0 {
 			t.Errorf("%v %s\nexpected in it: %s", misfits, out.String(), want)
 		}
 	}
 	out.Reset()
-	b.Explain(&out, 2)
+	b.WriteExplanation(&out, 2)
 	for _, want := range []string{"9 attributes, 3 named expressions", "let cold        3 steps", "10 routes; were all", "those that cost most", "by range   in 1 routes"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%s\nexpected in it: %s", out.String(), want)
@@ -144,7 +144,7 @@
 		if err != nil {
 			return
 		}
-		_ = b.Test()
-		b.Explain(io.Discard, 5)
+		_ = b.RunCases()
+		b.WriteExplanation(io.Discard, 5)
 	})
 }
--- a/internal/sentry/routing.go
+++ b/internal/sentry/routing.go
@@ -17,13 +17,13 @@
 // across reloads.
 type routing struct {
 	settings *orders.Settings
-	routeSet *routes.Book // nil if the settings have no routes
-	matchers sync.Pool    // of *matcher
+	routeSet *routes.RouteSet // nil if the settings have no routes
+	matchers sync.Pool        // of *matcher
 }
 
 // matcher holds the buffers for reading and matching the attributes of one transaction.
 type matcher struct {
-	routeSet       *routes.Book
+	routeSet       *routes.RouteSet
 	record         *match.Record
 	reader         wire.AttributeReader
 	key            []byte
@@ -31,7 +31,7 @@
 	lastSlots      []int // schema slots by position, from earlier transactions: most clients send attributes in the same order
 	schemaSlot     int   // schema slot of the current attribute, -1 if it is not declared
 	isNeededFunc   func(name []byte) bool
-	storeFunc      func(v *match.Carried)
+	storeFunc      func(v *match.RawValue)
 
 	unknownAttributes, typeMismatches int
 }
@@ -44,7 +44,7 @@
 	}
 	r.matchers.New = func() any {
 		m := &matcher{routeSet: routeSet, record: routeSet.Schema.NewRecord(), lastSlots: make([]int, len(routeSet.Schema.Attributes))}
-		m.isNeededFunc, m.storeFunc = m.isNeeded, func(v *match.Carried) {
+		m.isNeededFunc, m.storeFunc = m.isNeeded, func(v *match.RawValue) {
 			if routeSet.Schema.Put(m.record, m.schemaSlot, v) != nil {
 				m.typeMismatches++
 			}
@@ -59,9 +59,9 @@
 	schema, index := m.routeSet.Schema, m.attributeIndex
 	m.attributeIndex++
 	if index >= len(m.lastSlots) {
-		m.schemaSlot = schema.At(name)
+		m.schemaSlot = schema.Slot(name)
 	} else if m.schemaSlot = m.lastSlots[index]; m.schemaSlot < 0 || schema.Attributes[m.schemaSlot].Name != string(name) {
-		m.schemaSlot = schema.At(name)
+		m.schemaSlot = schema.Slot(name)
 		m.lastSlots[index] = m.schemaSlot
 	}
 	if m.schemaSlot < 0 {
@@ -101,11 +101,11 @@
 	if m.typeMismatches > 0 {
 		s.metrics.typeMismatches.Add(float64(m.typeMismatches))
 	}
-	if r.routeSet.Schema.Absent(m.record) >= 0 {
+	if r.routeSet.Schema.MissingRequired(m.record) >= 0 {
 		e.noRouteReason = reasonAbsent
 		return nil
 	}
-	index := r.routeSet.Table.First(m.record)
+	index := r.routeSet.Table.FirstMatch(m.record)
 	if index < 0 {
 		e.noRouteReason = reasonNoMatch
 		return nil
--- a/internal/sentry/routing_test.go
+++ b/internal/sentry/routing_test.go
@@ -40,13 +40,13 @@
 	c.link.Flush()
 }
 
-func appendAttribute(b []byte, name string, v match.Carried) []byte {
+func appendAttribute(b []byte, name string, v match.RawValue) []byte {
 	return wire.AppendAttribute(b, name, &v)
 }
 
 func textAttributes(pairs ...string) (b []byte) {
 	for i := 0; i < len(pairs); i += 2 {
-		b = appendAttribute(b, pairs[i], match.Carried{Kind: match.Text, Text: pairs[i+1]})
+		b = appendAttribute(b, pairs[i], match.RawValue{Kind: match.Text, Text: pairs[i+1]})
 	}
 	return b
 }
@@ -68,17 +68,17 @@
 		reply(l, m, pb.Ended_ANSWERED)
 	})
 	c := r.testClient()
-	fahrenheit := match.Carried{Kind: match.Measure, Fig: 41, Unit: "fahrenheit"}
-	items := func(n int) match.Carried {
-		v := match.Carried{Kind: match.List}
+	fahrenheit := match.RawValue{Kind: match.Measure, Float: 41, Unit: "fahrenheit"}
+	items := func(n int) match.RawValue {
+		v := match.RawValue{Kind: match.List}
 		for range n {
-			v.Items = append(v.Items, match.Carried{Kind: match.Whole, Num: 21})
+			v.Items = append(v.Items, match.RawValue{Kind: match.Int, Int: 21})
 		}
 		return v
 	}
 	many := textAttributes("kind", "handover", "truck", "m")
 	for i := range 10_000 {
-		many = appendAttribute(many, fmt.Sprint("a", i), match.Carried{Kind: match.Whole, Num: 1})
+		many = appendAttribute(many, fmt.Sprint("a", i), match.RawValue{Kind: match.Int, Int: 1})
 	}
 	long := strings.Repeat("x", 3<<20) // the bound of a frame is 4 MB; a longer one closes the connection
 	for i, x := range []struct {
@@ -94,7 +94,7 @@
 		{many, work{2, "m"}, pb.Outcome_SATISFIED},
 		{textAttributes("kind", "handover", "truck", "m", "region", long), work{2, "m"}, pb.Outcome_SATISFIED},
 		{textAttributes("kind", "handover", "truck", long), work{}, pb.Outcome_NO_ROUTE},
-		{appendAttribute(textAttributes("kind", "handover", "truck", "m"), "temp", match.Carried{Kind: match.Flag, Num: 1}), work{2, "m"}, pb.Outcome_SATISFIED},
+		{appendAttribute(textAttributes("kind", "handover", "truck", "m"), "temp", match.RawValue{Kind: match.Bool, Int: 1}), work{2, "m"}, pb.Outcome_SATISFIED},
 		{textAttributes("kind", "reading", "truck", "a"), work{}, pb.Outcome_NO_ROUTE},
 		{textAttributes("kind", "flying", "truck", "a"), work{}, pb.Outcome_NO_ROUTE},
 		{textAttributes("truck", "a"), work{}, pb.Outcome_NO_ROUTE},
@@ -272,8 +272,8 @@
 	}
 	r := newRouting(&orders.Settings{Routes: routeSet})
 	s := &Sentry{}
-	body := appendAttribute(appendAttribute(textAttributes("kind", "reading", "truck", "0123456789abcdef"), "temp", match.Carried{Kind: match.Measure, Fig: 4, Unit: "celsius"}),
-		"legs", match.Carried{Kind: match.List, Items: []match.Carried{{Kind: match.Whole, Num: 4}, {Kind: match.Whole, Num: 9}}})
+	body := appendAttribute(appendAttribute(textAttributes("kind", "reading", "truck", "0123456789abcdef"), "temp", match.RawValue{Kind: match.Measure, Float: 4, Unit: "celsius"}),
+		"legs", match.RawValue{Kind: match.List, Items: []match.RawValue{{Kind: match.Int, Int: 4}, {Kind: match.Int, Int: 9}}})
 	var e event
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/wire/attributes.go
+++ b/internal/wire/attributes.go
@@ -13,24 +13,24 @@
 // frame, and are valid only as long as the frame is.
 
 // AppendAttribute appends an attribute to an encoded pb.Attributes. An element of a list has an empty name.
-func AppendAttribute(b []byte, name string, value *match.Carried) []byte {
+func AppendAttribute(b []byte, name string, value *match.RawValue) []byte {
 	b = protowire.AppendTag(b, 1, protowire.BytesType)
 	b = protowire.AppendVarint(b, uint64(attributeSize(name, value)))
 	if name != "" {
 		b = protowire.AppendString(protowire.AppendTag(b, 1, protowire.BytesType), name)
 	}
 	switch value.Kind {
-	case match.Whole:
-		b = protowire.AppendVarint(protowire.AppendTag(b, 3, protowire.VarintType), protowire.EncodeZigZag(value.Num))
+	case match.Int:
+		b = protowire.AppendVarint(protowire.AppendTag(b, 3, protowire.VarintType), protowire.EncodeZigZag(value.Int))
 	case match.Measure:
 		if value.Unit != "" {
 			b = protowire.AppendString(protowire.AppendTag(b, 8, protowire.BytesType), value.Unit)
 		}
-		b = protowire.AppendFixed64(protowire.AppendTag(b, 4, protowire.Fixed64Type), math.Float64bits(value.Fig))
-	case match.Flag:
-		b = protowire.AppendVarint(protowire.AppendTag(b, 5, protowire.VarintType), uint64(value.Num))
-	case match.Span:
-		b = protowire.AppendVarint(protowire.AppendTag(b, 6, protowire.VarintType), protowire.EncodeZigZag(value.Num))
+		b = protowire.AppendFixed64(protowire.AppendTag(b, 4, protowire.Fixed64Type), math.Float64bits(value.Float))
+	case match.Bool:
+		b = protowire.AppendVarint(protowire.AppendTag(b, 5, protowire.VarintType), uint64(value.Int))
+	case match.Duration:
+		b = protowire.AppendVarint(protowire.AppendTag(b, 6, protowire.VarintType), protowire.EncodeZigZag(value.Int))
 	case match.List:
 		b = protowire.AppendVarint(protowire.AppendTag(b, 7, protowire.BytesType), uint64(listSize(value.Items)))
 		for i := range value.Items {
@@ -43,27 +43,27 @@
 }
 
 // attributeSize returns the encoded size of an attribute in bytes, without its tag and length.
-func attributeSize(name string, value *match.Carried) (size int) {
+func attributeSize(name string, value *match.RawValue) (size int) {
 	if name != "" {
 		size = 1 + protowire.SizeBytes(len(name))
 	}
 	switch value.Kind {
-	case match.Whole, match.Span:
-		return size + 1 + protowire.SizeVarint(protowire.EncodeZigZag(value.Num))
+	case match.Int, match.Duration:
+		return size + 1 + protowire.SizeVarint(protowire.EncodeZigZag(value.Int))
 	case match.Measure:
 		if value.Unit != "" {
 			size += 1 + protowire.SizeBytes(len(value.Unit))
 		}
 		return size + 9
-	case match.Flag:
-		return size + 1 + protowire.SizeVarint(uint64(value.Num))
+	case match.Bool:
+		return size + 1 + protowire.SizeVarint(uint64(value.Int))
 	case match.List:
 		return size + 1 + protowire.SizeBytes(listSize(value.Items))
 	}
 	return size + 1 + protowire.SizeBytes(len(value.Text))
 }
 
-func listSize(items []match.Carried) (size int) {
+func listSize(items []match.RawValue) (size int) {
 	for i := range items {
 		size += 1 + protowire.SizeBytes(attributeSize("", &items[i]))
 	}
@@ -72,8 +72,8 @@
 
 // AttributeReader decodes pb.Attributes. It reuses its memory from one call to the next.
 type AttributeReader struct {
-	value match.Carried
-	items []match.Carried
+	value match.RawValue
+	items []match.RawValue
 }
 
 // maxListItems is the maximum number of elements that are kept of a list. A longer one exceeds every declared list type.
@@ -82,7 +82,7 @@
 // Read calls handle for each attribute of b whose name is wanted. The name is expected to come first, as most senders write
 // it; an attribute that is not wanted is then skipped without being decoded. An attribute with its name elsewhere is decoded
 // before its name is checked.
-func (r *AttributeReader) Read(b []byte, wanted func(name []byte) bool, handle func(v *match.Carried)) error {
+func (r *AttributeReader) Read(b []byte, wanted func(name []byte) bool, handle func(v *match.RawValue)) error {
 	return forEachAttribute(b, func(body []byte) error {
 		if len(body) > 1 && body[0] == 1<<3|byte(protowire.BytesType) && body[1] < 0x80 && len(body) >= 2+int(body[1]) {
 			name := body[2 : 2+int(body[1])]
@@ -171,7 +171,7 @@
 
 // readAttribute decodes an attribute into value. Without allowList, a list is decoded with no elements: no declared type is
 // a list of lists.
-func (r *AttributeReader) readAttribute(b []byte, value *match.Carried, allowList bool) (name []byte, err error) {
+func (r *AttributeReader) readAttribute(b []byte, value *match.RawValue, allowList bool) (name []byte, err error) {
 	value.Kind, value.Text, value.Unit, value.Items = match.Text, "", "", nil // fields left unchanged are not used by this kind
 	var f field
 	for len(b) > 0 {
@@ -199,15 +199,15 @@
 		case protowire.VarintType:
 			switch f.number {
 			case 3:
-				value.Kind, value.Num = match.Whole, protowire.DecodeZigZag(f.varint)
+				value.Kind, value.Int = match.Int, protowire.DecodeZigZag(f.varint)
 			case 5:
-				value.Kind, value.Num = match.Flag, int64(min(1, f.varint))
+				value.Kind, value.Int = match.Bool, int64(min(1, f.varint))
 			case 6:
-				value.Kind, value.Num = match.Span, protowire.DecodeZigZag(f.varint)
+				value.Kind, value.Int = match.Duration, protowire.DecodeZigZag(f.varint)
 			}
 		case protowire.Fixed64Type:
 			if f.number == 4 {
-				value.Kind, value.Fig = match.Measure, math.Float64frombits(f.varint)
+				value.Kind, value.Float = match.Measure, math.Float64frombits(f.varint)
 			}
 		}
 	}
@@ -219,7 +219,7 @@
 		if len(r.items) >= maxListItems {
 			return nil
 		}
-		r.items = append(r.items, match.Carried{})
+		r.items = append(r.items, match.RawValue{})
 		_, err := r.readAttribute(body, &r.items[len(r.items)-1], false)
 		return err
 	})
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -45,8 +45,8 @@
 	})
 }
 
-func drawValue(t *rapid.T, lists bool) (v match.Carried) {
-	kinds := []match.Kind{match.Text, match.Whole, match.Measure, match.Flag, match.Span}
+func drawValue(t *rapid.T, lists bool) (v match.RawValue) {
+	kinds := []match.Kind{match.Text, match.Int, match.Measure, match.Bool, match.Duration}
 	if lists {
 		kinds = append(kinds, match.List)
 	}
@@ -54,12 +54,12 @@
 	switch v.Kind {
 	case match.Text:
 		v.Text = rapid.String().Draw(t, "text")
-	case match.Whole, match.Span:
-		v.Num = rapid.Int64().Draw(t, "number")
-	case match.Flag:
-		v.Num = int64(rapid.IntRange(0, 1).Draw(t, "flag"))
+	case match.Int, match.Duration:
+		v.Int = rapid.Int64().Draw(t, "number")
+	case match.Bool:
+		v.Int = int64(rapid.IntRange(0, 1).Draw(t, "flag"))
 	case match.Measure:
-		v.Fig, v.Unit = rapid.Float64().Draw(t, "figure"), rapid.SampledFrom([]string{"", "kg"}).Draw(t, "unit")
+		v.Float, v.Unit = rapid.Float64().Draw(t, "figure"), rapid.SampledFrom([]string{"", "kg"}).Draw(t, "unit")
 	case match.List:
 		for range rapid.IntRange(0, 3).Draw(t, "items") {
 			v.Items = append(v.Items, drawValue(t, false))
@@ -68,19 +68,19 @@
 	return v
 }
 
-func toProto(name string, v *match.Carried) *pb.Attribute {
+func toProto(name string, v *match.RawValue) *pb.Attribute {
 	a := &pb.Attribute{Name: name, Unit: v.Unit}
 	switch v.Kind {
 	case match.Text:
 		a.Value = &pb.Attribute_Text{Text: []byte(v.Text)}
-	case match.Whole:
-		a.Value = &pb.Attribute_Whole{Whole: v.Num}
-	case match.Span:
-		a.Value = &pb.Attribute_Span{Span: v.Num}
-	case match.Flag:
-		a.Value = &pb.Attribute_Flag{Flag: v.Num == 1}
+	case match.Int:
+		a.Value = &pb.Attribute_Whole{Whole: v.Int}
+	case match.Duration:
+		a.Value = &pb.Attribute_Span{Span: v.Int}
+	case match.Bool:
+		a.Value = &pb.Attribute_Flag{Flag: v.Int == 1}
 	case match.Measure:
-		a.Value = &pb.Attribute_Figure{Figure: v.Fig}
+		a.Value = &pb.Attribute_Figure{Figure: v.Float}
 	case match.List:
 		list := &pb.Attributes{}
 		for i := range v.Items {
@@ -95,7 +95,7 @@
 func checkDecoded(t *rapid.T, body []byte, written *pb.Attributes) {
 	var r AttributeReader
 	n, name := 0, ""
-	err := r.Read(body, func(b []byte) bool { name = string(b); return true }, func(v *match.Carried) {
+	err := r.Read(body, func(b []byte) bool { name = string(b); return true }, func(v *match.RawValue) {
 		if want := written.All[n]; !proto.Equal(toProto(name, v), want) {
 			t.Fatalf("read %s %+v, wrote %v", name, v, want)
 		}
@@ -109,11 +109,11 @@
 // Whatever the input, the reader terminates, returns at most maxListItems elements, and rejects nothing that the generated code
 // accepts.
 func FuzzAttributes(f *testing.F) {
-	f.Add(AppendAttribute(nil, "a", &match.Carried{Kind: match.List, Items: []match.Carried{{Kind: match.Measure, Fig: 1, Unit: "kg"}}}))
+	f.Add(AppendAttribute(nil, "a", &match.RawValue{Kind: match.List, Items: []match.RawValue{{Kind: match.Measure, Float: 1, Unit: "kg"}}}))
 	f.Add([]byte{10, 4, 58, 2, 10, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var r AttributeReader
-		err := r.Read(data, func([]byte) bool { return true }, func(v *match.Carried) {
+		err := r.Read(data, func([]byte) bool { return true }, func(v *match.RawValue) {
 			if len(v.Items) > maxListItems {
 				t.Errorf("%d elements", len(v.Items))
 			}
--- a/standin/client.go
+++ b/standin/client.go
@@ -318,17 +318,17 @@
 // encodeAttributes returns the eight attributes from which routes derive a transaction's profile, account and key. The lock is
 // held.
 func (c *ClientPool) encodeAttributes(t *Transaction) (b []byte) {
-	add := func(name string, v match.Carried) { b = wire.AppendAttribute(b, name, &v) }
-	add("kind", match.Carried{Text: c.workload.ProfileNames[t.Profile]})
-	add("truck", match.Carried{Text: string(t.key)})
+	add := func(name string, v match.RawValue) { b = wire.AppendAttribute(b, name, &v) }
+	add("kind", match.RawValue{Text: c.workload.ProfileNames[t.Profile]})
+	add("truck", match.RawValue{Text: string(t.key)})
 	if t.account > 0 {
-		add("region", match.Carried{Text: c.workload.AccountNames[t.account-1]})
+		add("region", match.RawValue{Text: c.workload.AccountNames[t.account-1]})
 	}
-	add("temp", match.Carried{Kind: match.Measure, Fig: float64(c.random.Intn(30)), Unit: "celsius"})
-	add("urgent", match.Carried{Kind: match.Flag, Num: int64(c.random.Intn(2))})
-	add("size", match.Carried{Kind: match.Whole, Num: int64(t.work)})
-	add("age", match.Carried{Kind: match.Span, Num: int64(c.env.Now() - t.StartedAt)})
-	add("legs", match.Carried{Kind: match.List, Items: []match.Carried{{Kind: match.Whole, Num: 4}, {Kind: match.Whole, Num: 9}}})
+	add("temp", match.RawValue{Kind: match.Measure, Float: float64(c.random.Intn(30)), Unit: "celsius"})
+	add("urgent", match.RawValue{Kind: match.Bool, Int: int64(c.random.Intn(2))})
+	add("size", match.RawValue{Kind: match.Int, Int: int64(t.work)})
+	add("age", match.RawValue{Kind: match.Duration, Int: int64(c.env.Now() - t.StartedAt)})
+	add("legs", match.RawValue{Kind: match.List, Items: []match.RawValue{{Kind: match.Int, Int: 4}, {Kind: match.Int, Int: 9}}})
 	return b
 }
 
