--- a/internal/match/check.go
+++ b/internal/match/check.go
@@ -40,33 +40,33 @@
 	opAnd
 	opOr
 	opNot
-	opIf
+	opConditional
 	opEqual
-	opUnequal
+	opNotEqual
 	opLess
-	opAtMost
+	opLessEqual
 	opIn
-	opPrefix
-	opJoin
+	opHasPrefix
+	opConcat
 	opHash
 	opGiven
-	opAny
+	opExists
 	opAll
 )
 
 // node is an expression after the check, with constants folded.
 type node struct {
-	op    op
-	of    *Type // of its value; nil for what is true or false
-	args  []*node
-	at    int // attribute, or depth of an element
-	value Value
-	set   []Value // opIn
-	cost  int64   // the most steps that it can take
-	most  int     // the most bytes of a text
-	where int64   // id in the source
-	name  string  // opAttribute
-	named string  // the named expression that it is, empty if none
+	op         op
+	valueType  *Type // of its value; nil for what is true or false
+	args       []*node
+	index      int // attribute, or depth of an element
+	value      Value
+	constants  []Value // opIn
+	cost       int64   // the most steps that it can take
+	maxLength  int     // the most bytes of a text
+	exprID     int64   // id in the source
+	name       string  // opAttribute
+	definition string  // the named expression that it is, empty if none
 }
 
 // Checker checks expressions over one schema.
@@ -74,51 +74,51 @@
 	schema        *Schema
 	env           *cel.Env
 	types         map[string]*Type
-	units         map[string]unit
+	units         map[string]measureUnit
 	costLimit     int64
 	definitions   map[string]*definition
 	mu            sync.Mutex
 	conjunctCache map[string]*node // by their text
 }
 
-type unit struct {
-	of *Type
+type measureUnit struct {
+	measure *Type
 	Unit
 }
 
 // NewChecker makes one. No expression may cost more than the limit, in steps.
-func NewCompiler(s *Schema, limit int64) (*Compiler, error) {
-	c := &Compiler{schema: s, types: map[string]*Type{}, units: map[string]unit{}, costLimit: limit,
+func NewCompiler(s *Schema, costLimit int64) (*Compiler, error) {
+	c := &Compiler{schema: s, types: map[string]*Type{}, units: map[string]measureUnit{}, costLimit: costLimit,
 		definitions: map[string]*definition{}, conjunctCache: map[string]*node{}}
-	a := cel.TypeParamType("A")
-	both := func(t *cel.Type) []*cel.Type { return []*cel.Type{t, t} }
-	fn := func(name string, overloads ...cel.FunctionOpt) cel.EnvOption { return cel.Function(name, overloads...) }
-	over := func(id string, args []*cel.Type, result *cel.Type) cel.FunctionOpt {
+	typeParam := cel.TypeParamType("A")
+	twoOf := func(t *cel.Type) []*cel.Type { return []*cel.Type{t, t} }
+	function := func(name string, overloads ...cel.FunctionOpt) cel.EnvOption { return cel.Function(name, overloads...) }
+	overload := func(id string, args []*cel.Type, result *cel.Type) cel.FunctionOpt {
 		return cel.Overload(id, args, result)
 	}
-	opts := []cel.EnvOption{
+	options := []cel.EnvOption{
 		cel.ParserRecursionLimit(maxParserDepth), cel.ParserExpressionSizeLimit(maxSourceRunes),
 		cel.ClearMacros(), cel.Macros(cel.ExistsMacro, cel.AllMacro),
-		fn(operators.LogicalAnd, over("and", both(cel.BoolType), cel.BoolType)),
-		fn(operators.LogicalOr, over("or", both(cel.BoolType), cel.BoolType)),
-		fn(operators.LogicalNot, over("not", []*cel.Type{cel.BoolType}, cel.BoolType)),
-		fn(operators.NotStrictlyFalse, over("loop", []*cel.Type{cel.BoolType}, cel.BoolType)),
-		fn(operators.Conditional, over("if", []*cel.Type{cel.BoolType, a, a}, a)),
-		fn(operators.Equals, over("equal", both(a), cel.BoolType)),
-		fn(operators.NotEquals, over("unequal", both(a), cel.BoolType)),
-		fn(operators.In, over("in", []*cel.Type{a, cel.ListType(a)}, cel.BoolType)),
-		fn(operators.Add, over("join", both(cel.StringType), cel.StringType)),
-		fn(operators.Negate, over("minus_whole", []*cel.Type{cel.IntType}, cel.IntType),
-			over("minus", []*cel.Type{cel.DoubleType}, cel.DoubleType)),
-		fn("startsWith", cel.MemberOverload("prefix", both(cel.StringType), cel.BoolType)),
-		fn("hash", over("hash_text", []*cel.Type{cel.StringType}, cel.StringType)),
-		fn("given", over("given_any", []*cel.Type{a}, cel.BoolType)),
-		fn("span", over("span_text", []*cel.Type{cel.StringType}, cel.DurationType)),
+		function(operators.LogicalAnd, overload("and", twoOf(cel.BoolType), cel.BoolType)),
+		function(operators.LogicalOr, overload("or", twoOf(cel.BoolType), cel.BoolType)),
+		function(operators.LogicalNot, overload("not", []*cel.Type{cel.BoolType}, cel.BoolType)),
+		function(operators.NotStrictlyFalse, overload("loop", []*cel.Type{cel.BoolType}, cel.BoolType)),
+		function(operators.Conditional, overload("if", []*cel.Type{cel.BoolType, typeParam, typeParam}, typeParam)),
+		function(operators.Equals, overload("equal", twoOf(typeParam), cel.BoolType)),
+		function(operators.NotEquals, overload("unequal", twoOf(typeParam), cel.BoolType)),
+		function(operators.In, overload("in", []*cel.Type{typeParam, cel.ListType(typeParam)}, cel.BoolType)),
+		function(operators.Add, overload("join", twoOf(cel.StringType), cel.StringType)),
+		function(operators.Negate, overload("minus_whole", []*cel.Type{cel.IntType}, cel.IntType),
+			overload("minus", []*cel.Type{cel.DoubleType}, cel.DoubleType)),
+		function("startsWith", cel.MemberOverload("prefix", twoOf(cel.StringType), cel.BoolType)),
+		function("hash", overload("hash_text", []*cel.Type{cel.StringType}, cel.StringType)),
+		function("given", overload("given_any", []*cel.Type{typeParam}, cel.BoolType)),
+		function("span", overload("span_text", []*cel.Type{cel.StringType}, cel.DurationType)),
 	}
 	ordered := []*cel.Type{cel.IntType, cel.DurationType, cel.StringType}
 	for _, attribute := range s.Attributes {
 		t := attribute.Type
-		opts = append(opts, cel.Variable(attribute.Name, celType(t)))
+		options = append(options, cel.Variable(attribute.Name, celType(t)))
 		if t.Kind == List {
 			t = t.Element
 		}
@@ -127,7 +127,7 @@
 		}
 		c.types[t.Name] = t
 		for _, member := range t.Members {
-			opts = append(opts, cel.Variable(t.Name+"."+member, celType(t)))
+			options = append(options, cel.Variable(t.Name+"."+member, celType(t)))
 		}
 		if t.Kind == Measure {
 			ordered = append(ordered, celType(t))
@@ -135,31 +135,31 @@
 				if _, taken := c.units[u.Name]; taken {
 					return nil, fmt.Errorf("unit %s is declared for two measures", u.Name)
 				}
-				c.units[u.Name] = unit{t, u}
-				opts = append(opts, fn(u.Name, over("unit_"+u.Name, []*cel.Type{cel.DoubleType}, celType(t)),
-					over("unit_whole_"+u.Name, []*cel.Type{cel.IntType}, celType(t))))
+				c.units[u.Name] = measureUnit{t, u}
+				options = append(options, function(u.Name, overload("unit_"+u.Name, []*cel.Type{cel.DoubleType}, celType(t)),
+					overload("unit_whole_"+u.Name, []*cel.Type{cel.IntType}, celType(t))))
 			}
 		}
 	}
 	for _, name := range []string{operators.Less, operators.LessEquals, operators.Greater, operators.GreaterEquals} {
 		var overloads []cel.FunctionOpt
 		for i, t := range ordered {
-			overloads = append(overloads, over(fmt.Sprintf("order_%s_%d", name, i), both(t), cel.BoolType))
+			overloads = append(overloads, overload(fmt.Sprintf("order_%s_%d", name, i), twoOf(t), cel.BoolType))
 		}
-		opts = append(opts, fn(name, overloads...))
+		options = append(options, function(name, overloads...))
 	}
-	env, err := cel.NewCustomEnv(opts...)
+	env, err := cel.NewCustomEnv(options...)
 	if err != nil {
 		return nil, err
 	}
 	c.env = env
-	c.settle()
+	c.forceLazyInit()
 	return c, nil
 }
 
 // settle has cel-go make now what it keeps for its messages: it does so at the first undeclared name, and not safely
 // when several expressions are checked at once.
-func (c *Compiler) settle() { _, _ = c.env.Compile(strings.Repeat("u", 65)) } // longer than any name
+func (c *Compiler) forceLazyInit() { _, _ = c.env.Compile(strings.Repeat("u", 65)) } // longer than any name
 
 func celType(t *Type) *cel.Type {
 	switch t.Kind {
@@ -178,14 +178,14 @@
 }
 
 // parse parses and checks a text by cel-go.
-func (c *Compiler) parse(text string) (*cel.Ast, error) {
-	if !utf8.ValidString(text) || strings.ContainsRune(text, 0) {
+func (c *Compiler) parse(source string) (*cel.Ast, error) {
+	if !utf8.ValidString(source) || strings.ContainsRune(source, 0) {
 		return nil, &ExprError{1, 1, "found NUL or bytes that are no UTF-8, expected text"}
 	}
-	checked, issues := c.env.Compile(text)
+	checked, issues := c.env.Compile(source)
 	if issues != nil && issues.Err() != nil {
 		e := issues.Errors()[0]
-		return nil, &ExprError{max(1, e.Location.Line()), max(1, e.Location.Column()+1), c.explain(e.Message)}
+		return nil, &ExprError{max(1, e.Location.Line()), max(1, e.Location.Column()+1), c.rewriteMessage(e.Message)}
 	}
 	return checked, nil
 }
@@ -193,61 +193,61 @@
 // check makes the tree of a text. The parts of a conjunction are parsed one by one and kept, since those of a large table
 // repeat and cel-go's parser takes most of its load. What does not come out well that way is parsed whole, so that all
 // faults are told of the whole and at their place in it.
-func (c *Compiler) check(text string) (*node, error) {
-	parts := conjuncts(text)
+func (c *Compiler) check(source string) (*node, error) {
+	parts := splitConjuncts(source)
 	if len(parts) == 1 {
-		return c.part(text)
+		return c.checkCached(source)
 	}
 	var all *node
-	for _, p := range parts {
-		n, err := c.part(p)
-		if err != nil || n.of.Kind != Bool {
-			return c.whole(text)
+	for _, part := range parts {
+		n, err := c.checkCached(part)
+		if err != nil || n.valueType.Kind != Bool {
+			return c.checkWhole(source)
 		}
 		if all != nil {
-			n = &node{op: opAnd, of: flagType, args: []*node{all, n}, cost: all.cost + n.cost + 1}
+			n = &node{op: opAnd, valueType: boolType, args: []*node{all, n}, cost: all.cost + n.cost + 1}
 		}
 		if all = n; all.cost > c.costLimit {
-			return c.whole(text)
+			return c.checkWhole(source)
 		}
 	}
 	return all, nil
 }
 
 // part is whole for a text that may come again.
-func (c *Compiler) part(text string) (*node, error) {
+func (c *Compiler) checkCached(source string) (*node, error) {
 	c.mu.Lock()
-	n := c.conjunctCache[text]
+	n := c.conjunctCache[source]
 	c.mu.Unlock()
 	if n != nil {
 		return n, nil
 	}
-	n, err := c.whole(text)
+	n, err := c.checkWhole(source)
 	if err == nil {
 		c.mu.Lock()
-		c.conjunctCache[text] = n
+		c.conjunctCache[source] = n
 		c.mu.Unlock()
 	}
 	return n, err
 }
 
 // blanks are what cel-go passes over; it refuses others, such as a vertical tab.
-const blanks = " \t\r\n\f"
+const whitespace = " \t\r\n\f"
 
 // conjuncts cuts a text at the ands that stand outside of all brackets and quotes. Where it is not sure that these parts
 // mean what the whole does, the whole is the only part.
-func conjuncts(text string) (parts []string) {
-	whole := []string{text}
-	if len(text) > maxSourceRunes || strings.ContainsAny(text, "?\\") || strings.Contains(text, "||") || strings.Contains(text, "//") ||
-		strings.Contains(text, `""`) || strings.Contains(text, "''") {
+func splitConjuncts(source string) (parts []string) {
+	whole := []string{source}
+	if len(source) > maxSourceRunes || strings.ContainsAny(source, "?\\") || strings.Contains(source, "||") || strings.Contains(source, "//") ||
+		strings.Contains(source, `""`) || strings.Contains(source, "''") {
 		return whole
 	}
-	depth, from := 0, 0
-	for i := 0; i < len(text); i++ {
-		switch text[i] {
+	depth, start := 0, 0
+	for i := 0; i < len(source); i++ {
+		switch source[i] {
 		case '"', '\'':
-			end := strings.IndexByte(text[i+1:], text[i])
-			if end < 0 || strings.ContainsAny(text[i:i+1+end], "\r\n") {
+			end := strings.IndexByte(source[i+1:], source[i])
+			if end < 0 || strings.ContainsAny(source[i:i+1+end], "\r\n") {
 				return whole
 			}
 			i += end + 1
@@ -258,57 +258,57 @@
 				return whole
 			}
 		case '&':
-			if depth == 0 && strings.HasPrefix(text[i:], "&&") {
-				parts = append(parts, strings.Trim(text[from:i], blanks))
+			if depth == 0 && strings.HasPrefix(source[i:], "&&") {
+				parts = append(parts, strings.Trim(source[start:i], whitespace))
 				i++
-				from = i + 1
+				start = i + 1
 			}
 		}
 	}
 	if depth != 0 {
 		return whole
 	}
-	return append(parts, strings.Trim(text[from:], blanks))
+	return append(parts, strings.Trim(source[start:], whitespace))
 }
 
 // whole parses, checks and builds a text.
-func (c *Compiler) whole(text string) (*node, error) {
-	checked, err := c.parse(text)
+func (c *Compiler) checkWhole(source string) (*node, error) {
+	checked, err := c.parse(source)
 	if err != nil {
 		return nil, err
 	}
-	b := &builder{c: c, tree: checked.NativeRep(), elements: map[string]element{}}
+	b := &builder{compiler: c, tree: checked.NativeRep(), elements: map[string]loopElement{}}
 	n, err := b.build(b.tree.Expr(), 0)
 	if err != nil {
 		return nil, err
 	}
-	return n, b.bounded(n)
+	return n, b.checkCost(n)
 }
 
 // bounded refuses what costs too much and names the part that costs most.
-func (b *builder) bounded(n *node) error {
-	if n.cost <= b.c.costLimit {
+func (b *builder) checkCost(n *node) error {
+	if n.cost <= b.compiler.costLimit {
 		return nil
 	}
 	worst := n
 	for next := n; next != nil; { // down the part that costs most, not into named ones: they stand elsewhere
 		worst, next = next, nil
-		for _, a := range worst.args {
-			if worst.named == "" && a.cost > b.c.costLimit/2 && (next == nil || a.cost > next.cost) {
-				next = a
+		for _, arg := range worst.args {
+			if worst.definition == "" && arg.cost > b.compiler.costLimit/2 && (next == nil || arg.cost > next.cost) {
+				next = arg
 			}
 		}
 	}
-	return b.fault(worst.where, "found a cost of %d steps, most of it in %.60s, expected at most %d", n.cost, worst.text(true), b.c.costLimit)
+	return b.errorAt(worst.exprID, "found a cost of %d steps, most of it in %.60s, expected at most %d", n.cost, worst.source(true), b.compiler.costLimit)
 }
 
 // explain says in this language's words what cel-go found, and what would fit.
-func (c *Compiler) explain(message string) string {
+func (c *Compiler) rewriteMessage(message string) string {
 	message = strings.ReplaceAll(message, "\n", " ")
-	if _, rest, is := strings.Cut(message, "undeclared reference to '"); is {
+	if _, rest, ok := strings.Cut(message, "undeclared reference to '"); ok {
 		name, _, _ := strings.Cut(rest, "'")
 		if t := c.types[name]; t != nil && t.Kind == Enum {
-			return noMember(t)
+			return unknownMemberMessage(t)
 		}
 		var known []string
 		for n := range c.schema.slots {
@@ -318,182 +318,182 @@
 			known = slices.AppendSeq(known, names)
 		}
 		slices.Sort(known)
-		return fmt.Sprintf("%s, expected one of %s", UndeclaredPrefix(name), few(known))
+		return fmt.Sprintf("%s, expected one of %s", UndeclaredPrefix(name), joinFirst(known))
 	}
-	if name, is := strings.CutSuffix(message, "' does not support field selection"); is { // an attribute is called as its set
+	if name, ok := strings.CutSuffix(message, "' does not support field selection"); ok { // an attribute is called as its set
 		if t := c.types[strings.TrimPrefix(name, "type '")]; t != nil && t.Kind == Enum {
-			return noMember(t)
+			return unknownMemberMessage(t)
 		}
 	}
-	if _, rest, is := strings.Cut(message, "found no matching overload for '"); is {
+	if _, rest, ok := strings.Cut(message, "found no matching overload for '"); ok {
 		name, rest, _ := strings.Cut(rest, "' applied to '")
-		sides, _, _ := strings.Cut(rest, "'")
-		fits := "sides of one type"
+		operands, _, _ := strings.Cut(rest, "'")
+		expected := "sides of one type"
 		for name, t := range c.types {
-			if t.Kind == Measure && strings.Contains(sides, name) {
+			if t.Kind == Measure && strings.Contains(operands, name) {
 				var units []string
 				for _, u := range t.Units {
 					units = append(units, u.Name+"(...)")
 				}
-				fits = fmt.Sprintf("%s; a figure of %s as %s", fits, name, few(units))
+				expected = fmt.Sprintf("%s; a figure of %s as %s", expected, name, joinFirst(units))
 			}
 		}
-		return fmt.Sprintf("found no matching overload for '%s' applied to '%s', expected %s", name, sides, fits)
+		return fmt.Sprintf("found no matching overload for '%s' applied to '%s', expected %s", name, operands, expected)
 	}
 	return message
 }
 
-func noMember(t *Type) string {
-	return fmt.Sprintf("found a member that %s does not have, expected one of %s", t.Name, few(t.Members))
+func unknownMemberMessage(t *Type) string {
+	return fmt.Sprintf("found a member that %s does not have, expected one of %s", t.Name, joinFirst(t.Members))
 }
 
 // Undeclared begins what is said of a name that nobody declared.
 func UndeclaredPrefix(name string) string { return "undeclared reference to '" + name + "'" }
 
 // few names the first of many.
-func few(names []string) string {
+func joinFirst(names []string) string {
 	if len(names) > 20 {
 		names = append(names[:20:20], "...")
 	}
 	return strings.Join(names, ", ")
 }
 
-type element struct {
-	depth int
-	of    *Type
+type loopElement struct {
+	depth     int
+	valueType *Type
 }
 
 type builder struct {
-	c        *Compiler
+	compiler *Compiler
 	tree     *ast.AST
-	elements map[string]element
+	elements map[string]loopElement
 }
 
-func (b *builder) fault(id int64, format string, args ...any) error {
-	at := b.tree.SourceInfo().GetStartLocation(id)
-	return &ExprError{max(1, at.Line()), at.Column() + 1, fmt.Sprintf(format, args...)}
+func (b *builder) errorAt(id int64, format string, args ...any) error {
+	location := b.tree.SourceInfo().GetStartLocation(id)
+	return &ExprError{max(1, location.Line()), location.Column() + 1, fmt.Sprintf(format, args...)}
 }
 
 var (
-	textType  = &Type{Kind: Text}
-	wholeType = &Type{Kind: Int}
-	flagType  = &Type{Kind: Bool}
-	spanType  = &Type{Kind: Duration}
+	textType     = &Type{Kind: Text}
+	intType      = &Type{Kind: Int}
+	boolType     = &Type{Kind: Bool}
+	durationType = &Type{Kind: Duration}
 )
 
 func (b *builder) build(e ast.Expr, depth int) (*node, error) {
-	n := &node{where: e.ID(), cost: 1}
+	n := &node{exprID: e.ID(), cost: 1}
 	switch e.Kind() {
 	case ast.LiteralKind:
 		n.value = Value{Present: true}
 		switch v := e.AsLiteral().(type) {
 		case types.String:
-			n.of, n.value.Text, n.most = textType, string(v), len(v)
+			n.valueType, n.value.Text, n.maxLength = textType, string(v), len(v)
 		case types.Int:
-			n.of, n.value.Int = wholeType, int64(v)
+			n.valueType, n.value.Int = intType, int64(v)
 		case types.Double:
-			n.of, n.value.Float = &Type{Kind: Measure}, float64(v)
+			n.valueType, n.value.Float = &Type{Kind: Measure}, float64(v)
 		case types.Bool:
-			n.of = flagType
+			n.valueType = boolType
 			if v {
 				n.value.Int = 1
 			}
 		default:
-			return nil, b.fault(e.ID(), "found a literal of type %s, expected a text, a number or a flag", v.Type().TypeName())
+			return nil, b.errorAt(e.ID(), "found a literal of type %s, expected a text, a number or a flag", v.Type().TypeName())
 		}
 		return n, nil
 	case ast.IdentKind:
-		return b.named(n, e.AsIdent(), depth)
+		return b.resolve(n, e.AsIdent(), depth)
 	case ast.SelectKind:
 		s := e.AsSelect()
 		if s.Operand().Kind() == ast.IdentKind {
-			return b.named(n, s.Operand().AsIdent()+"."+s.FieldName(), depth)
+			return b.resolve(n, s.Operand().AsIdent()+"."+s.FieldName(), depth)
 		}
 	case ast.ComprehensionKind:
-		return b.loop(n, e.AsComprehension(), depth)
+		return b.buildLoop(n, e.AsComprehension(), depth)
 	case ast.CallKind:
-		return b.call(n, e.AsCall(), depth)
+		return b.buildCall(n, e.AsCall(), depth)
 	}
-	return nil, b.fault(e.ID(), "found what this language does not have, expected a comparison, a name or a call")
+	return nil, b.errorAt(e.ID(), "found what this language does not have, expected a comparison, a name or a call")
 }
 
-func (b *builder) named(n *node, name string, depth int) (*node, error) {
-	if x, is := b.elements[name]; is {
-		n.op, n.at, n.of, n.most = opElement, x.depth, x.of, x.of.MaxLength
+func (b *builder) resolve(n *node, name string, depth int) (*node, error) {
+	if element, ok := b.elements[name]; ok {
+		n.op, n.index, n.valueType, n.maxLength = opElement, element.depth, element.valueType, element.valueType.MaxLength
 		return n, nil
 	}
-	if d, is := b.c.definitions[name]; is {
-		if d.faults[depth] != nil {
-			return nil, b.fault(n.where, "%s: %s", name, d.faults[depth].(*ExprError).Msg)
+	if definition, ok := b.compiler.definitions[name]; ok {
+		if definition.errs[depth] != nil {
+			return nil, b.errorAt(n.exprID, "%s: %s", name, definition.errs[depth].(*ExprError).Msg)
 		}
-		use := *d.at[depth]
-		use.where, use.named = n.where, name
+		use := *definition.nodes[depth]
+		use.exprID, use.definition = n.exprID, name
 		return &use, nil
 	}
-	if at, is := b.c.schema.slots[name]; is {
-		n.op, n.at, n.of, n.name = opAttribute, at, b.c.schema.Attributes[at].Type, name
-		n.most = n.of.MaxLength
+	if slot, ok := b.compiler.schema.slots[name]; ok {
+		n.op, n.index, n.valueType, n.name = opAttribute, slot, b.compiler.schema.Attributes[slot].Type, name
+		n.maxLength = n.valueType.MaxLength
 		return n, nil
 	}
-	if set, member, is := strings.Cut(name, "."); is && b.c.types[set] != nil {
-		if place, is := b.c.types[set].memberIndex[member]; is {
-			n.of, n.value = b.c.types[set], Value{Present: true, Int: place}
+	if set, member, ok := strings.Cut(name, "."); ok && b.compiler.types[set] != nil {
+		if index, ok := b.compiler.types[set].memberIndex[member]; ok {
+			n.valueType, n.value = b.compiler.types[set], Value{Present: true, Int: index}
 			return n, nil
 		}
 	}
-	return nil, b.fault(n.where, "found %q, expected a declared name", name)
+	return nil, b.errorAt(n.exprID, "found %q, expected a declared name", name)
 }
 
 // loop is any or all of a list, as the macros expand it.
-func (b *builder) loop(n *node, x ast.ComprehensionExpr, depth int) (*node, error) {
+func (b *builder) buildLoop(n *node, loop ast.ComprehensionExpr, depth int) (*node, error) {
 	if depth >= maxNestedLoops {
-		return nil, b.fault(n.where, "found any or all nested deeper than %d", maxNestedLoops)
+		return nil, b.errorAt(n.exprID, "found any or all nested deeper than %d", maxNestedLoops)
 	}
-	list, err := b.build(x.IterRange(), depth)
+	list, err := b.build(loop.IterRange(), depth)
 	if err != nil {
 		return nil, err
 	}
-	step := x.LoopStep()
-	if list.of == nil || list.of.Kind != List || list.op != opAttribute || step.Kind() != ast.CallKind || len(step.AsCall().Args()) != 2 {
-		return nil, b.fault(n.where, "found a loop that is not over an attribute's list, expected one that is")
+	step := loop.LoopStep()
+	if list.valueType == nil || list.valueType.Kind != List || list.op != opAttribute || step.Kind() != ast.CallKind || len(step.AsCall().Args()) != 2 {
+		return nil, b.errorAt(n.exprID, "found a loop that is not over an attribute's list, expected one that is")
 	}
-	n.op = opAny
+	n.op = opExists
 	if step.AsCall().FunctionName() == operators.LogicalAnd {
 		n.op = opAll
 	}
-	if b.c.taken(x.IterVar()) {
-		return nil, b.fault(n.where, "found %s for an element, which is declared, expected another name", x.IterVar())
+	if b.compiler.isDeclared(loop.IterVar()) {
+		return nil, b.errorAt(n.exprID, "found %s for an element, which is declared, expected another name", loop.IterVar())
 	}
-	hidden, shadows := b.elements[x.IterVar()]
-	b.elements[x.IterVar()] = element{depth, list.of.Element}
+	outer, shadowed := b.elements[loop.IterVar()]
+	b.elements[loop.IterVar()] = loopElement{depth, list.valueType.Element}
 	body, err := b.build(step.AsCall().Args()[1], depth+1)
 	if err != nil {
 		return nil, err
 	}
-	delete(b.elements, x.IterVar())
-	if shadows {
-		b.elements[x.IterVar()] = hidden
+	delete(b.elements, loop.IterVar())
+	if shadowed {
+		b.elements[loop.IterVar()] = outer
 	}
-	n.at, n.args, n.of = depth, []*node{list, body}, flagType
-	n.cost = 1 + list.cost + times(int64(list.of.MaxLength), body.cost)
+	n.index, n.args, n.valueType = depth, []*node{list, body}, boolType
+	n.cost = 1 + list.cost + saturatingMultiply(int64(list.valueType.MaxLength), body.cost)
 	return n, nil
 }
 
 // times multiplies costs; what is too much stays too much.
-func times(a, b int64) int64 {
+func saturatingMultiply(a, b int64) int64 {
 	if b > 0 && a > math.MaxInt64/8/b {
 		return math.MaxInt64 / 8
 	}
 	return a * b
 }
 
-func (b *builder) call(n *node, x ast.CallExpr, depth int) (*node, error) {
-	args := x.Args()
-	if x.IsMemberFunction() {
-		args = append([]ast.Expr{x.Target()}, args...)
+func (b *builder) buildCall(n *node, call ast.CallExpr, depth int) (*node, error) {
+	args := call.Args()
+	if call.IsMemberFunction() {
+		args = append([]ast.Expr{call.Target()}, args...)
 	}
-	if x.FunctionName() == operators.In && args[1].Kind() == ast.ListKind {
-		return b.member(n, args, depth)
+	if call.FunctionName() == operators.In && args[1].Kind() == ast.ListKind {
+		return b.buildMembership(n, args, depth)
 	}
 	for _, a := range args {
 		arg, err := b.build(a, depth)
@@ -503,19 +503,19 @@
 		n.args = append(n.args, arg)
 		n.cost = min(math.MaxInt64/8, n.cost+arg.cost)
 	}
-	n.of = flagType
-	words := func(of ...*node) { // comparing texts takes a step for each eight bytes
-		most := of[0].most
-		for _, x := range of {
-			most = min(most, x.most)
+	n.valueType = boolType
+	addComparisonCost := func(of ...*node) { // comparing texts takes a step for each eight bytes
+		shortest := of[0].maxLength
+		for _, call := range of {
+			shortest = min(shortest, call.maxLength)
 		}
-		n.cost += int64(most / 8)
+		n.cost += int64(shortest / 8)
 	}
-	if u, is := b.c.units[x.FunctionName()]; is {
-		return b.unit(n, u)
+	if u, ok := b.compiler.units[call.FunctionName()]; ok {
+		return b.measureUnit(n, u)
 	}
 	swap := func() { n.args[0], n.args[1] = n.args[1], n.args[0] }
-	switch x.FunctionName() {
+	switch call.FunctionName() {
 	case operators.LogicalAnd:
 		n.op = opAnd
 	case operators.LogicalOr:
@@ -523,100 +523,100 @@
 	case operators.LogicalNot:
 		n.op = opNot
 	case operators.Conditional:
-		n.op, n.of, n.most = opIf, n.args[1].of, max(n.args[1].most, n.args[2].most)
+		n.op, n.valueType, n.maxLength = opConditional, n.args[1].valueType, max(n.args[1].maxLength, n.args[2].maxLength)
 	case operators.Equals, operators.NotEquals:
 		n.op = opEqual
-		if x.FunctionName() == operators.NotEquals {
-			n.op = opUnequal
+		if call.FunctionName() == operators.NotEquals {
+			n.op = opNotEqual
 		}
-		if n.args[0].of.Kind == List {
-			return nil, b.fault(n.where, "found a comparison of lists, expected any or all of one")
+		if n.args[0].valueType.Kind == List {
+			return nil, b.errorAt(n.exprID, "found a comparison of lists, expected any or all of one")
 		}
-		words(n.args...)
+		addComparisonCost(n.args...)
 	case operators.Less, operators.LessEquals, operators.Greater, operators.GreaterEquals:
 		n.op = opLess
-		if strings.HasSuffix(x.FunctionName(), "=_") {
-			n.op = opAtMost
+		if strings.HasSuffix(call.FunctionName(), "=_") {
+			n.op = opLessEqual
 		}
-		if strings.HasPrefix(x.FunctionName(), "_>") {
+		if strings.HasPrefix(call.FunctionName(), "_>") {
 			swap()
 		}
-		words(n.args...)
+		addComparisonCost(n.args...)
 	case operators.In:
-		return nil, b.fault(n.where, "found membership in what is no list of constants, expected one, or any of an attribute")
+		return nil, b.errorAt(n.exprID, "found membership in what is no list of constants, expected one, or any of an attribute")
 	case operators.Add:
-		n.op, n.of, n.most = opJoin, textType, n.args[0].most+n.args[1].most
-		if n.most > maxTextBytes {
-			return nil, b.fault(n.where, "found a text of up to %d bytes, expected at most %d", n.most, maxTextBytes)
+		n.op, n.valueType, n.maxLength = opConcat, textType, n.args[0].maxLength+n.args[1].maxLength
+		if n.maxLength > maxTextBytes {
+			return nil, b.errorAt(n.exprID, "found a text of up to %d bytes, expected at most %d", n.maxLength, maxTextBytes)
 		}
-		n.cost += int64(n.most / 8)
+		n.cost += int64(n.maxLength / 8)
 	case "startsWith":
-		n.op = opPrefix
-		words(n.args...)
+		n.op = opHasPrefix
+		addComparisonCost(n.args...)
 	case "hash":
-		n.op, n.of, n.most = opHash, textType, 16
-		n.cost += int64(n.args[0].most / 8)
+		n.op, n.valueType, n.maxLength = opHash, textType, 16
+		n.cost += int64(n.args[0].maxLength / 8)
 	case "given":
 		if n.op = opGiven; n.args[0].op != opAttribute {
-			return nil, b.fault(n.where, "found given of what is no attribute, expected one")
+			return nil, b.errorAt(n.exprID, "found given of what is no attribute, expected one")
 		}
 	case "span":
 		d, err := time.ParseDuration(n.args[0].value.Text)
 		if n.args[0].op != opConst || err != nil || d%time.Microsecond != 0 {
-			return nil, b.fault(n.where, "found a span that is no constant such as \"250ms\" in whole microseconds")
+			return nil, b.errorAt(n.exprID, "found a span that is no constant such as \"250ms\" in whole microseconds")
 		}
-		return &node{of: spanType, where: n.where, cost: 1, value: Value{Present: true, Int: d.Microseconds()}}, nil
+		return &node{valueType: durationType, exprID: n.exprID, cost: 1, value: Value{Present: true, Int: d.Microseconds()}}, nil
 	case operators.Negate:
 		if n.args[0].op != opConst {
-			return nil, b.fault(n.where, "found - before what is no constant, expected a number")
+			return nil, b.errorAt(n.exprID, "found - before what is no constant, expected a number")
 		}
 		v := n.args[0].value
 		if v.Int == math.MinInt64 {
-			return nil, b.fault(n.where, "found a number beyond the whole numbers of 64 bits")
+			return nil, b.errorAt(n.exprID, "found a number beyond the whole numbers of 64 bits")
 		}
 		v.Int, v.Float = -v.Int, -v.Float
-		return &node{of: n.args[0].of, where: n.where, cost: 1, value: v}, nil
+		return &node{valueType: n.args[0].valueType, exprID: n.exprID, cost: 1, value: v}, nil
 	default:
-		return nil, b.fault(n.where, "found %s, expected what this language has", x.FunctionName())
+		return nil, b.errorAt(n.exprID, "found %s, expected what this language has", call.FunctionName())
 	}
 	return n, nil
 }
 
 // unit folds a figure with its unit.
-func (b *builder) unit(n *node, u unit) (*node, error) {
-	a := n.args[0]
-	if a.op != opConst {
-		return nil, b.fault(n.where, "found %s of what is no constant, expected a number", u.Name)
+func (b *builder) measureUnit(n *node, u measureUnit) (*node, error) {
+	arg := n.args[0]
+	if arg.op != opConst {
+		return nil, b.errorAt(n.exprID, "found %s of what is no constant, expected a number", u.Name)
 	}
-	figure := a.value.Float
-	if a.of.Kind == Int {
-		figure = float64(a.value.Int)
+	number := arg.value.Float
+	if arg.valueType.Kind == Int {
+		number = float64(arg.value.Int)
 	}
-	kept, err := u.toFirstUnit(figure)
+	converted, err := u.toFirstUnit(number)
 	if err != nil {
-		return nil, b.fault(n.where, "%v", err)
+		return nil, b.errorAt(n.exprID, "%v", err)
 	}
-	return &node{of: u.of, where: n.where, cost: 1, value: Value{Present: true, Float: kept}}, nil
+	return &node{valueType: u.measure, exprID: n.exprID, cost: 1, value: Value{Present: true, Float: converted}}, nil
 }
 
 // member is membership in a list of constants.
-func (b *builder) member(n *node, args []ast.Expr, depth int) (*node, error) {
-	of, err := b.build(args[0], depth)
+func (b *builder) buildMembership(n *node, args []ast.Expr, depth int) (*node, error) {
+	operand, err := b.build(args[0], depth)
 	if err != nil {
 		return nil, err
 	}
-	n.op, n.of, n.args = opIn, flagType, []*node{of}
-	n.cost += of.cost
+	n.op, n.valueType, n.args = opIn, boolType, []*node{operand}
+	n.cost += operand.cost
 	for _, e := range args[1].AsList().Elements() {
-		x, err := b.build(e, depth)
+		constant, err := b.build(e, depth)
 		if err != nil {
 			return nil, err
 		}
-		if x.op != opConst {
-			return nil, b.fault(x.where, "found what is no constant in a list, expected constants")
+		if constant.op != opConst {
+			return nil, b.errorAt(constant.exprID, "found what is no constant in a list, expected constants")
 		}
-		n.set = append(n.set, x.value)
-		n.cost += 1 + int64(min(of.most, x.most)/8)
+		n.constants = append(n.constants, constant.value)
+		n.cost += 1 + int64(min(operand.maxLength, constant.maxLength)/8)
 	}
 	return n, nil
 }
--- a/internal/match/compile.go
+++ b/internal/match/compile.go
@@ -21,235 +21,235 @@
 
 // Key is a compiled expression that gives a text.
 type Key struct {
-	Cost      int64
-	MaxLength int // bytes of its text
-	add       func(*Record, []byte) []byte
-	tree      *node
+	Cost       int64
+	MaxLength  int // bytes of its text
+	appendText func(*Record, []byte) []byte
+	tree       *node
 }
 
 // Append adds the text to what is there already.
-func (k *Key) Append(to []byte, r *Record) []byte { return k.add(r, to) }
+func (k *Key) Append(dst []byte, r *Record) []byte { return k.appendText(r, dst) }
 
 // Predicate checks and compiles a text that must be true or false.
-func (c *Compiler) Predicate(text string) (*Predicate, error) {
-	n, err := c.check(text)
+func (c *Compiler) Predicate(source string) (*Predicate, error) {
+	n, err := c.check(source)
 	if err != nil {
 		return nil, err
 	}
-	if n.of.Kind != Bool {
-		return nil, &ExprError{1, 1, fmt.Sprintf("found %v, expected true or false", n.of)}
+	if n.valueType.Kind != Bool {
+		return nil, &ExprError{1, 1, fmt.Sprintf("found %v, expected true or false", n.valueType)}
 	}
-	return &Predicate{Cost: n.cost, holds: truth(n), tree: n}, nil
+	return &Predicate{Cost: n.cost, holds: compileBool(n), tree: n}, nil
 }
 
 // Key checks and compiles a text that must give a text.
-func (c *Compiler) Key(text string) (*Key, error) {
-	n, err := c.check(text)
+func (c *Compiler) Key(source string) (*Key, error) {
+	n, err := c.check(source)
 	if err != nil {
 		return nil, err
 	}
-	if n.of.Kind != Text {
-		return nil, &ExprError{1, 1, fmt.Sprintf("found %v, expected a text", n.of)}
+	if n.valueType.Kind != Text {
+		return nil, &ExprError{1, 1, fmt.Sprintf("found %v, expected a text", n.valueType)}
 	}
-	return &Key{Cost: n.cost, MaxLength: n.most, add: joiner(n), tree: n}, nil
+	return &Key{Cost: n.cost, MaxLength: n.maxLength, appendText: compileText(n), tree: n}, nil
 }
 
 // get gives a node's value; what is not given has the zero value.
-func get(n *node) func(*Record) *Value {
+func compileValue(n *node) func(*Record) *Value {
 	switch n.op {
 	case opConst:
 		v := &n.value
 		return func(*Record) *Value { return v }
 	case opAttribute:
-		at := n.at
-		return func(r *Record) *Value { return &r.values[at] }
+		index := n.index
+		return func(r *Record) *Value { return &r.values[index] }
 	case opElement:
-		at := n.at
-		return func(r *Record) *Value { return &r.elements[at] }
-	case opIf:
-		cond, yes, no := truth(n.args[0]), get(n.args[1]), get(n.args[2])
+		index := n.index
+		return func(r *Record) *Value { return &r.elements[index] }
+	case opConditional:
+		condition, whenTrue, whenFalse := compileBool(n.args[0]), compileValue(n.args[1]), compileValue(n.args[2])
 		return func(r *Record) *Value {
-			if cond(r) {
-				return yes(r)
+			if condition(r) {
+				return whenTrue(r)
 			}
-			return no(r)
+			return whenFalse(r)
 		}
 	}
-	if n.of.Kind == Text {
-		add := joiner(n)
-		return func(r *Record) *Value { return &Value{Present: true, Text: string(add(r, nil))} }
+	if n.valueType.Kind == Text {
+		appendText := compileText(n)
+		return func(r *Record) *Value { return &Value{Present: true, Text: string(appendText(r, nil))} }
 	}
-	holds := truth(n)
+	holds := compileBool(n)
 	return func(r *Record) *Value {
 		if holds(r) {
-			return &yesValue
+			return &trueValue
 		}
-		return &noValue
+		return &falseValue
 	}
 }
 
-var yesValue, noValue = Value{Present: true, Int: 1}, Value{Present: true}
+var trueValue, falseValue = Value{Present: true, Int: 1}, Value{Present: true}
 
 // truth compiles what is true or false.
-func truth(n *node) func(*Record) bool {
+func compileBool(n *node) func(*Record) bool {
 	switch n.op {
 	case opAnd, opOr:
 		var parts []func(*Record) bool
-		for _, a := range flat(n, n.op, nil) {
-			parts = append(parts, truth(a))
+		for _, a := range flatten(n, n.op, nil) {
+			parts = append(parts, compileBool(a))
 		}
-		and := n.op == opAnd
+		isAnd := n.op == opAnd
 		if len(parts) == 2 {
 			a, b := parts[0], parts[1]
-			if and {
+			if isAnd {
 				return func(r *Record) bool { return a(r) && b(r) }
 			}
 			return func(r *Record) bool { return a(r) || b(r) }
 		}
 		return func(r *Record) bool {
 			for _, p := range parts {
-				if p(r) != and {
-					return !and
+				if p(r) != isAnd {
+					return !isAnd
 				}
 			}
-			return and
+			return isAnd
 		}
 	case opNot:
-		a := truth(n.args[0])
+		a := compileBool(n.args[0])
 		return func(r *Record) bool { return !a(r) }
 	case opGiven:
-		at := n.args[0].at
-		return func(r *Record) bool { return r.values[at].Present }
-	case opEqual, opUnequal, opLess, opAtMost:
-		return comparison(n)
+		index := n.args[0].index
+		return func(r *Record) bool { return r.values[index].Present }
+	case opEqual, opNotEqual, opLess, opLessEqual:
+		return compileComparison(n)
 	case opIn:
-		return member(n)
-	case opPrefix:
-		a, b := get(n.args[0]), get(n.args[1])
+		return compileMembership(n)
+	case opHasPrefix:
+		a, b := compileValue(n.args[0]), compileValue(n.args[1])
 		return func(r *Record) bool {
 			x, y := a(r), b(r)
 			return x.Present && y.Present && strings.HasPrefix(x.Text, y.Text)
 		}
-	case opAny, opAll:
-		list, body, at, all := n.args[0].at, truth(n.args[1]), n.at, n.op == opAll
+	case opExists, opAll:
+		slot, body, index, isAll := n.args[0].index, compileBool(n.args[1]), n.index, n.op == opAll
 		return func(r *Record) bool {
-			if !r.values[list].Present {
+			if !r.values[slot].Present {
 				return false
 			}
-			for _, e := range r.values[list].List {
-				if r.elements[at] = e; body(r) != all {
-					return !all
+			for _, e := range r.values[slot].List {
+				if r.elements[index] = e; body(r) != isAll {
+					return !isAll
 				}
 			}
-			return all
+			return isAll
 		}
 	}
-	a := get(n)
+	a := compileValue(n)
 	return func(r *Record) bool { v := a(r); return v.Present && v.Int != 0 }
 }
 
 // flat lists the parts of nested ands or ors.
-func flat(n *node, o op, to []*node) []*node {
-	if n.op != o {
-		return append(to, n)
+func flatten(n *node, operator op, parts []*node) []*node {
+	if n.op != operator {
+		return append(parts, n)
 	}
-	return flat(n.args[1], o, flat(n.args[0], o, to))
+	return flatten(n.args[1], operator, flatten(n.args[0], operator, parts))
 }
 
-func comparison(n *node) func(*Record) bool {
+func compileComparison(n *node) func(*Record) bool {
 	x, y, o := n.args[0], n.args[1], n.op
-	kind := x.of.Kind
+	kind := x.valueType.Kind
 	if x.op == opAttribute && y.op == opConst && kind != Text && kind != Measure && o == opEqual { // the usual one
-		at, want := x.at, y.value.Int
-		return func(r *Record) bool { v := &r.values[at]; return v.Int == want && v.Present }
+		slot, want := x.index, y.value.Int
+		return func(r *Record) bool { v := &r.values[slot]; return v.Int == want && v.Present }
 	}
-	a, b := get(x), get(y)
+	a, b := compileValue(x), compileValue(y)
 	switch {
 	case kind == Text && o == opEqual:
 		return func(r *Record) bool { x, y := a(r), b(r); return x.Present && y.Present && x.Text == y.Text }
-	case kind == Text && o == opUnequal:
+	case kind == Text && o == opNotEqual:
 		return func(r *Record) bool { x, y := a(r), b(r); return x.Present && y.Present && x.Text != y.Text }
 	case kind == Measure && o == opLess:
 		return func(r *Record) bool { x, y := a(r), b(r); return x.Present && y.Present && x.Float < y.Float }
-	case kind == Measure && o == opAtMost:
+	case kind == Measure && o == opLessEqual:
 		return func(r *Record) bool { x, y := a(r), b(r); return x.Present && y.Present && x.Float <= y.Float }
 	}
-	return func(r *Record) bool { x, y := a(r), b(r); return x.Present && y.Present && ordered(kind, o, x, y) }
+	return func(r *Record) bool { x, y := a(r), b(r); return x.Present && y.Present && compare(kind, o, x, y) }
 }
 
 // ordered compares two given values of one kind.
-func ordered(k Kind, o op, x, y *Value) bool {
-	by := cmp.Compare(x.Int, y.Int)
-	switch k {
+func compare(kind Kind, operator op, x, y *Value) bool {
+	order := cmp.Compare(x.Int, y.Int)
+	switch kind {
 	case Text:
-		by = strings.Compare(x.Text, y.Text)
+		order = strings.Compare(x.Text, y.Text)
 	case Measure:
-		by = cmp.Compare(x.Float, y.Float)
+		order = cmp.Compare(x.Float, y.Float)
 	}
-	switch o {
+	switch operator {
 	case opEqual:
-		return by == 0
-	case opUnequal:
-		return by != 0
+		return order == 0
+	case opNotEqual:
+		return order != 0
 	case opLess:
-		return by < 0
+		return order < 0
 	}
-	return by <= 0
+	return order <= 0
 }
 
-func member(n *node) func(*Record) bool {
-	a := get(n.args[0])
-	switch n.args[0].of.Kind {
+func compileMembership(n *node) func(*Record) bool {
+	a := compileValue(n.args[0])
+	switch n.args[0].valueType.Kind {
 	case Text:
-		in := map[string]bool{}
-		for _, v := range n.set {
-			in[v.Text] = true
+		constants := map[string]bool{}
+		for _, v := range n.constants {
+			constants[v.Text] = true
 		}
-		return func(r *Record) bool { v := a(r); return v.Present && in[v.Text] }
+		return func(r *Record) bool { v := a(r); return v.Present && constants[v.Text] }
 	case Measure:
 		return func(r *Record) bool {
 			v := a(r)
-			return v.Present && slices.ContainsFunc(n.set, func(x Value) bool { return x.Float == v.Float })
+			return v.Present && slices.ContainsFunc(n.constants, func(x Value) bool { return x.Float == v.Float })
 		}
 	}
-	in := map[int64]bool{}
-	for _, v := range n.set {
-		in[v.Int] = true
+	constants := map[int64]bool{}
+	for _, v := range n.constants {
+		constants[v.Int] = true
 	}
-	return func(r *Record) bool { v := a(r); return v.Present && in[v.Int] }
+	return func(r *Record) bool { v := a(r); return v.Present && constants[v.Int] }
 }
 
 // joiner compiles what gives a text, added to a buffer.
-func joiner(n *node) func(*Record, []byte) []byte {
+func compileText(n *node) func(*Record, []byte) []byte {
 	switch n.op {
-	case opJoin:
-		a, b := joiner(n.args[0]), joiner(n.args[1])
-		return func(r *Record, to []byte) []byte { return b(r, a(r, to)) }
+	case opConcat:
+		a, b := compileText(n.args[0]), compileText(n.args[1])
+		return func(r *Record, dst []byte) []byte { return b(r, a(r, dst)) }
 	case opHash:
-		a := joiner(n.args[0])
-		return func(r *Record, to []byte) []byte {
-			at := len(to)
-			to = a(r, to)
-			return hashed(to[:at], to[at:])
+		a := compileText(n.args[0])
+		return func(r *Record, dst []byte) []byte {
+			start := len(dst)
+			dst = a(r, dst)
+			return appendHash(dst[:start], dst[start:])
 		}
-	case opIf:
-		cond, yes, no := truth(n.args[0]), joiner(n.args[1]), joiner(n.args[2])
-		return func(r *Record, to []byte) []byte {
-			if cond(r) {
-				return yes(r, to)
+	case opConditional:
+		condition, whenTrue, whenFalse := compileBool(n.args[0]), compileText(n.args[1]), compileText(n.args[2])
+		return func(r *Record, dst []byte) []byte {
+			if condition(r) {
+				return whenTrue(r, dst)
 			}
-			return no(r, to)
+			return whenFalse(r, dst)
 		}
 	}
-	a := get(n)
-	return func(r *Record, to []byte) []byte { return append(to, a(r).Text...) }
+	a := compileValue(n)
+	return func(r *Record, dst []byte) []byte { return append(dst, a(r).Text...) }
 }
 
 // hashed adds the hash of a text, as 16 hex digits.
-func hashed(to, text []byte) []byte {
-	h := xxh3.Hash(text)
+func appendHash(dst, text []byte) []byte {
+	hash := xxh3.Hash(text)
 	for shift := 60; shift >= 0; shift -= 4 {
-		to = append(to, "0123456789abcdef"[h>>shift&15])
+		dst = append(dst, "0123456789abcdef"[hash>>shift&15])
 	}
-	return to
+	return dst
 }
--- a/internal/match/define.go
+++ b/internal/match/define.go
@@ -22,130 +22,130 @@
 // definition is one as checked. How deep in loops it stands where it is used says which elements are its own, so that it
 // is kept once for each depth.
 type definition struct {
-	of     *cel.Type
-	at     [maxNestedLoops + 1]*node
-	faults [maxNestedLoops + 1]error
+	outputType *cel.Type
+	nodes      [maxNestedLoops + 1]*node
+	errs       [maxNestedLoops + 1]error
 }
 
 const maxDefinitions = 1024
 
 // taken says that a name is declared as something.
-func (c *Compiler) taken(name string) bool {
-	_, attribute := c.schema.slots[name]
-	_, unit := c.units[name]
-	return attribute || unit || c.types[name] != nil || c.definitions[name] != nil
+func (c *Compiler) isDeclared(name string) bool {
+	_, isAttribute := c.schema.slots[name]
+	_, isUnit := c.units[name]
+	return isAttribute || isUnit || c.types[name] != nil || c.definitions[name] != nil
 }
 
 // Define checks named expressions, each after those that it names. All faults come back, each expression's own. It is
 // called before anything else is checked.
-func (c *Compiler) Define(all []Definition) (faults []error) {
-	fault := func(d *Definition, err error) { faults = append(faults, &DefinitionError{d.Name, err.(*ExprError)}) }
+func (c *Compiler) Define(all []Definition) (errs []error) {
+	addError := func(d *Definition, err error) { errs = append(errs, &DefinitionError{d.Name, err.(*ExprError)}) }
 	if len(all) > maxDefinitions {
-		fault(&all[maxDefinitions], &ExprError{1, 1, "found more than 1024 named expressions, expected at most that"})
-		return faults
+		addError(&all[maxDefinitions], &ExprError{1, 1, "found more than 1024 named expressions, expected at most that"})
+		return errs
 	}
-	place := map[string]int{}
+	indexes := map[string]int{}
 	for i := range all {
 		d := &all[i]
-		if _, twice := place[d.Name]; twice || !isName(d.Name) || c.taken(d.Name) {
-			fault(d, &ExprError{1, 1, "found a name that is taken or none, expected a new one of letters, digits and _"})
+		if _, isDuplicate := indexes[d.Name]; isDuplicate || !isName(d.Name) || c.isDeclared(d.Name) {
+			addError(d, &ExprError{1, 1, "found a name that is taken or none, expected a new one of letters, digits and _"})
 			continue
 		}
-		place[d.Name] = i
+		indexes[d.Name] = i
 	}
 	uses := make([][]int, len(all))
-	for _, i := range place {
-		for _, used := range c.names(all[i].Source) {
-			if j, is := place[used]; is {
+	for _, i := range indexes {
+		for _, used := range c.referencedNames(all[i].Source) {
+			if j, ok := indexes[used]; ok {
 				uses[i] = append(uses[i], j)
 			}
 		}
 	}
-	for level, left := 0, place; len(left) > 0; level++ { // those that name nothing unchecked, then those that name these
+	for level, remaining := 0, indexes; len(remaining) > 0; level++ { // those that name nothing unchecked, then those that name these
 		var ready []int
-		for _, i := range left {
-			if !slices.ContainsFunc(uses[i], func(j int) bool { _, waits := left[all[j].Name]; return waits }) {
+		for _, i := range remaining {
+			if !slices.ContainsFunc(uses[i], func(j int) bool { _, isRemaining := remaining[all[j].Name]; return isRemaining }) {
 				ready = append(ready, i)
 			}
 		}
 		if len(ready) == 0 {
-			for _, i := range left {
-				if way := cycle(i, uses, all); way != "" {
-					fault(&all[i], &ExprError{1, 1, "found a cycle, " + way + ", expected none"})
+			for _, i := range remaining {
+				if path := findCycle(i, uses, all); path != "" {
+					addError(&all[i], &ExprError{1, 1, "found a cycle, " + path + ", expected none"})
 				}
 			}
 			break
 		}
 		slices.Sort(ready)
-		var names []cel.EnvOption
+		var variables []cel.EnvOption
 		for _, i := range ready {
-			delete(left, all[i].Name)
-			d, err := c.define(all[i].Source)
+			delete(remaining, all[i].Name)
+			d, err := c.checkDefinition(all[i].Source)
 			if err != nil {
-				fault(&all[i], err)
+				addError(&all[i], err)
 				continue
 			}
 			c.definitions[all[i].Name] = d
-			names = append(names, cel.Variable(all[i].Name, d.of))
+			variables = append(variables, cel.Variable(all[i].Name, d.outputType))
 		}
-		if len(names) == 0 {
+		if len(variables) == 0 {
 			continue
 		}
-		env, err := c.env.Extend(names...)
+		env, err := c.env.Extend(variables...)
 		if err != nil {
-			fault(&all[ready[0]], &ExprError{1, 1, err.Error()})
+			addError(&all[ready[0]], &ExprError{1, 1, err.Error()})
 			break
 		}
 		c.env = env
 	}
-	c.settle()
-	slices.SortFunc(faults, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
-	return faults
+	c.forceLazyInit()
+	slices.SortFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
+	return errs
 }
 
 // Cost is what a named expression takes at the most, in steps; 0 for one that has a fault.
 func (c *Compiler) Cost(name string) int64 {
 	if d := c.definitions[name]; d != nil {
-		return d.at[0].cost
+		return d.nodes[0].cost
 	}
 	return 0
 }
 
 // names are those that a text mentions, elements of its loops and members of sets left out. A text that does not parse
 // mentions none: its check says what is wrong with it.
-func (c *Compiler) names(text string) (found []string) {
-	parsed, issues := c.env.Parse(text)
+func (c *Compiler) referencedNames(source string) (names []string) {
+	parsed, issues := c.env.Parse(source)
 	if issues != nil && issues.Err() != nil {
 		return nil
 	}
-	loops := map[string]bool{}
+	loopVariables := map[string]bool{}
 	ast.PostOrderVisit(parsed.NativeRep().Expr(), ast.NewExprVisitor(func(e ast.Expr) {
 		switch e.Kind() {
 		case ast.IdentKind:
-			found = append(found, e.AsIdent())
+			names = append(names, e.AsIdent())
 		case ast.ComprehensionKind:
-			loops[e.AsComprehension().IterVar()] = true
+			loopVariables[e.AsComprehension().IterVar()] = true
 		}
 	}))
-	return slices.DeleteFunc(found, func(n string) bool { return loops[n] })
+	return slices.DeleteFunc(names, func(n string) bool { return loopVariables[n] })
 }
 
 // cycle is a way from an expression back to itself, empty if there is none.
-func cycle(from int, uses [][]int, all []Definition) string {
-	before := map[int]int{}
-	for queue := []int{from}; len(queue) > 0; queue = queue[1:] {
+func findCycle(start int, uses [][]int, all []Definition) string {
+	previous := map[int]int{}
+	for queue := []int{start}; len(queue) > 0; queue = queue[1:] {
 		for _, next := range uses[queue[0]] {
-			if next == from {
-				way := all[from].Name
-				for at := queue[0]; ; at = before[at] {
-					way = all[at].Name + " -> " + way
-					if at == from {
-						return way
+			if next == start {
+				path := all[start].Name
+				for at := queue[0]; ; at = previous[at] {
+					path = all[at].Name + " -> " + path
+					if at == start {
+						return path
 					}
 				}
 			}
-			if _, seen := before[next]; !seen {
-				before[next] = queue[0]
+			if _, seen := previous[next]; !seen {
+				previous[next] = queue[0]
 				queue = append(queue, next)
 			}
 		}
@@ -153,22 +153,22 @@
 	return ""
 }
 
-func (c *Compiler) define(text string) (*definition, error) {
-	checked, err := c.parse(text)
+func (c *Compiler) checkDefinition(source string) (*definition, error) {
+	checked, err := c.parse(source)
 	if err != nil {
 		return nil, err
 	}
-	d := &definition{of: checked.OutputType()}
-	for depth := range d.at {
-		b := &builder{c: c, tree: checked.NativeRep(), elements: map[string]element{}}
+	d := &definition{outputType: checked.OutputType()}
+	for depth := range d.nodes {
+		b := &builder{compiler: c, tree: checked.NativeRep(), elements: map[string]loopElement{}}
 		n, err := b.build(b.tree.Expr(), depth)
 		if err == nil {
-			err = b.bounded(n)
+			err = b.checkCost(n)
 		}
 		if err != nil && depth == 0 {
 			return nil, err
 		}
-		d.at[depth], d.faults[depth] = n, err
+		d.nodes[depth], d.errs[depth] = n, err
 	}
 	return d, nil
 }
--- a/internal/match/explain.go
+++ b/internal/match/explain.go
@@ -7,106 +7,106 @@
 )
 
 // infix are the operators that stand between their two sides.
-var infix = [opAll + 1]string{opAnd: "&&", opOr: "||", opEqual: "==", opUnequal: "!=", opLess: "<", opAtMost: "<=", opJoin: "+"}
+var infixOperators = [opAll + 1]string{opAnd: "&&", opOr: "||", opEqual: "==", opNotEqual: "!=", opLess: "<", opLessEqual: "<=", opConcat: "+"}
 
 // text writes a node in the language, so that nodes that mean different things read differently. Named expressions
 // stand by their names or in full.
-func (n *node) text(names bool) string {
-	if n.named != "" && names {
-		return n.named
+func (n *node) source(useNames bool) string {
+	if n.definition != "" && useNames {
+		return n.definition
 	}
-	arg := func(i int) string { return n.args[i].text(names) }
+	arg := func(i int) string { return n.args[i].source(useNames) }
 	switch n.op {
 	case opConst:
-		if n.of.Kind == Duration {
-			return "span(" + n.of.format(&n.value) + ")"
+		if n.valueType.Kind == Duration {
+			return "span(" + n.valueType.format(&n.value) + ")"
 		}
-		return n.of.format(&n.value)
+		return n.valueType.format(&n.value)
 	case opAttribute:
 		return n.name
 	case opElement:
-		return fmt.Sprintf("element%d", n.at)
+		return fmt.Sprintf("element%d", n.index)
 	case opNot:
 		return "!(" + arg(0) + ")"
-	case opIf:
+	case opConditional:
 		return "(" + arg(0) + " ? " + arg(1) + " : " + arg(2) + ")"
 	case opIn:
-		var set []string
-		for i := range n.set {
-			set = append(set, n.args[0].of.format(&n.set[i]))
+		var constants []string
+		for i := range n.constants {
+			constants = append(constants, n.args[0].valueType.format(&n.constants[i]))
 		}
-		return arg(0) + " in [" + strings.Join(set, ", ") + "]"
-	case opPrefix:
+		return arg(0) + " in [" + strings.Join(constants, ", ") + "]"
+	case opHasPrefix:
 		return arg(0) + ".startsWith(" + arg(1) + ")"
 	case opHash:
 		return "hash(" + arg(0) + ")"
 	case opGiven:
 		return "given(" + arg(0) + ")"
-	case opAny, opAll:
-		how := "exists"
+	case opExists, opAll:
+		macro := "exists"
 		if n.op == opAll {
-			how = "all"
+			macro = "all"
 		}
-		return fmt.Sprintf("%s.%s(element%d, %s)", arg(0), how, n.at, arg(1))
+		return fmt.Sprintf("%s.%s(element%d, %s)", arg(0), macro, n.index, arg(1))
 	}
-	part := func(i int) string { // of another operator, in brackets
-		if a := n.args[i]; infix[a.op] != "" && (a.named == "" || !names) && (a.op != n.op || i > 0) {
+	operand := func(i int) string { // of another operator, in brackets
+		if a := n.args[i]; infixOperators[a.op] != "" && (a.definition == "" || !useNames) && (a.op != n.op || i > 0) {
 			return "(" + arg(i) + ")"
 		}
 		return arg(i)
 	}
-	return part(0) + " " + infix[n.op] + " " + part(1)
+	return operand(0) + " " + infixOperators[n.op] + " " + operand(1)
 }
 
 // Miss says why a route did not match: the first part of its conjunction that does not hold, and what the attributes
 // of that part are.
 type Miss struct {
-	Route int
-	Part  string
-	Found string
+	Route    int
+	Conjunct string
+	Values   string
 }
 
 // Misses are the routes before one, each with why it did not match. All of them with -1.
-func (t *Table) Misses(r *Record, before int) (all []Miss) {
+func (t *Table) Misses(r *Record, before int) (misses []Miss) {
 	if before < 0 {
-		before = len(t.when)
+		before = len(t.predicates)
 	}
 	for i := range before {
-		for _, part := range t.compiled[i].parts {
-			if truth(part)(r) {
+		for _, part := range t.compiled[i].conjuncts {
+			if compileBool(part)(r) {
 				continue
 			}
-			var found []string
-			for _, at := range part.attributes(nil) {
-				a, value := &t.Schema.Attributes[at], "missing"
-				if r.values[at].Present {
-					value = a.Type.format(&r.values[at])
+			var values []string
+			for _, slot := range part.attributeSlots(nil) {
+				a, value := &t.Schema.Attributes[slot], "missing"
+				if r.values[slot].Present {
+					value = a.Type.format(&r.values[slot])
 				}
-				found = append(found, a.Name+" is "+value)
+				values = append(values, a.Name+" is "+value)
 			}
-			all = append(all, Miss{i, part.text(true), strings.Join(found, ", ")})
+			misses = append(misses, Miss{i, part.source(true), strings.Join(values, ", ")})
 			break
 		}
 	}
-	return all
+	return misses
 }
 
 // attributes adds the places of those that a node names.
-func (n *node) attributes(to []int) []int {
-	if n.op == opAttribute && !slices.Contains(to, n.at) {
-		to = append(to, n.at)
+func (n *node) attributeSlots(slots []int) []int {
+	if n.op == opAttribute && !slices.Contains(slots, n.index) {
+		slots = append(slots, n.index)
 	}
 	for _, a := range n.args {
-		to = a.attributes(to)
+		slots = a.attributeSlots(slots)
 	}
-	return to
+	return slots
 }
 
 // Cost is what a route's parts take at the most, in steps, and the most bytes of its key.
 func (t *Table) Cost(route int) (when, key int64, bytes int) { return t.compiled[route].Cost() }
 
 // Shape is one dimension of a table's index.
-type Dimension struct {
+type DimensionInfo struct {
 	Attribute string
 	Lookup    string
 	Routes    int // that it can rule out
@@ -115,11 +115,11 @@
 }
 
 // Shapes are those of the whole index.
-func (t *Table) Dimensions() (all []Dimension) {
-	for i := range t.dims {
-		d := &t.dims[i]
-		all = append(all, Dimension{t.Schema.Attributes[d.at].Name, [...]string{"equal", "range", "prefix"}[d.way], d.routes,
-			len(d.rows) + 1, (len(d.rows) + 1) * t.words * 8})
+func (t *Table) Dimensions() (infos []DimensionInfo) {
+	for i := range t.dimensions {
+		d := &t.dimensions[i]
+		infos = append(infos, DimensionInfo{t.Schema.Attributes[d.slot].Name, [...]string{"equal", "range", "prefix"}[d.lookup], d.routeCount,
+			len(d.rows) + 1, (len(d.rows) + 1) * t.rowWords * 8})
 	}
-	return all
+	return infos
 }
--- a/internal/match/match_test.go
+++ b/internal/match/match_test.go
@@ -18,7 +18,7 @@
 	weight      = &Type{Kind: Measure, Name: "weight", Units: []Unit{{"kg", 1, 0}, {"tonne", 1000, 0}}}
 )
 
-func schema(t testing.TB) *Schema {
+func testSchema(t testing.TB) *Schema {
 	s, err := NewSchema([]Attribute{
 		{"depot", site, false}, {"home", site, true}, {"class", truck, true}, {"temp", temperature, true}, {"load", weight, true},
 		{"id", &Type{Kind: Text, MaxLength: 64}, true}, {"kind", &Type{Kind: Text, MaxLength: 16}, true}, {"size", &Type{Kind: Int}, true},
@@ -33,7 +33,7 @@
 }
 
 // carried is a Go value as a sender gives it.
-func carried(v any) RawValue {
+func rawValue(v any) RawValue {
 	switch x := v.(type) {
 	case string:
 		return RawValue{Kind: Text, Text: x}
@@ -51,30 +51,30 @@
 	}
 	list := RawValue{Kind: List}
 	for _, e := range v.([]any) {
-		list.Items = append(list.Items, carried(e))
+		list.Items = append(list.Items, rawValue(e))
 	}
 	return list
 }
 
-func set(s *Schema, r *Record, attribute string, v any) error {
-	at, x := s.Slot([]byte(attribute)), carried(v)
+func putValue(s *Schema, r *Record, attribute string, v any) error {
+	at, x := s.Slot([]byte(attribute)), rawValue(v)
 	if at < 0 {
 		return fmt.Errorf("%s is not declared", attribute)
 	}
 	return s.Put(r, at, &x)
 }
 
-func fill(t testing.TB, s *Schema, r *Record, values map[string]any) {
+func putValues(t testing.TB, s *Schema, r *Record, values map[string]any) {
 	t.Helper()
 	for name, v := range values {
-		if err := set(s, r, name, v); err != nil {
+		if err := putValue(s, r, name, v); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func checker(t testing.TB, limit int64) (*Schema, *Compiler) {
-	s := schema(t)
+func testCompiler(t testing.TB, limit int64) (*Schema, *Compiler) {
+	s := testSchema(t)
 	c, err := NewCompiler(s, limit)
 	if err != nil {
 		t.Fatal(err)
@@ -83,9 +83,9 @@
 }
 
 func TestHolds(t *testing.T) {
-	s, c := checker(t, 100_000)
+	s, c := testCompiler(t, 100_000)
 	r := s.NewRecord()
-	fill(t, s, r, map[string]any{"depot": "kingston", "class": "reefer", "temp": 8.0, "id": "drop-17", "size": int64(12),
+	putValues(t, s, r, map[string]any{"depot": "kingston", "class": "reefer", "temp": 8.0, "id": "drop-17", "size": int64(12),
 		"urgent": true, "age": 90 * time.Second, "temps": []any{2.0, 3.5, 9.0}, "stops": []any{"kingston", "may_pen"}, "tags": []any{"a", "b"}})
 	for text, want := range map[string]bool{
 		`depot == site.kingston`: true, `depot != site.kingston`: false, `depot == home`: false, `!(depot == home)`: true,
@@ -123,7 +123,7 @@
 
 // What can't be meant fails when it is checked, with its place and what was found.
 func TestFaults(t *testing.T) {
-	_, c := checker(t, 5_000)
+	_, c := testCompiler(t, 5_000)
 	deep := func(n int, open, close string) string {
 		return strings.Repeat(open, n) + "urgent" + strings.Repeat(close, n)
 	}
@@ -173,21 +173,21 @@
 
 // What does not fit is left missing and said; nothing else of the record is lost.
 func TestHostileRecords(t *testing.T) {
-	s, c := checker(t, 1000)
+	s, c := testCompiler(t, 1000)
 	p, err := c.Predicate(`urgent && !(id == "x") && !(temp < celsius(1))`)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := s.NewRecord()
-	fill(t, s, r, map[string]any{"urgent": true})
+	putValues(t, s, r, map[string]any{"urgent": true})
 	for i := range 10_000 {
-		if set(s, r, fmt.Sprint("a", i), "x") == nil {
+		if putValue(s, r, fmt.Sprint("a", i), "x") == nil {
 			t.Fatal("an attribute that nobody declared is taken")
 		}
 	}
 	for name, v := range map[string]any{"id": strings.Repeat("x", 10<<20), "temp": math.NaN(), "load": math.Inf(1), "size": "12",
 		"depot": "moon", "kind": int64(3), "temps": []any{"x"}, "stops": []any{"kingston", int64(3)}, "age": int64(5), "class": false, "tags": slices.Repeat([]any{"a"}, 21)} {
-		if err := set(s, r, name, v); err == nil || len(err.Error()) > 200 {
+		if err := putValue(s, r, name, v); err == nil || len(err.Error()) > 200 {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -209,7 +209,7 @@
 }
 
 // texts draws expressions that mostly check.
-func texts(t *rapid.T, depth int, elements []string) string {
+func drawExpression(t *rapid.T, depth int, elements []string) string {
 	pick := func(of ...string) string { return rapid.SampledFrom(of).Draw(t, "atom") }
 	if depth <= 0 {
 		sites := append([]string{"depot", "home", "site.kingston", "site.may_pen"}, elements...)
@@ -220,7 +220,7 @@
 			pick("id", "kind", `"drop"`, `id + kind`, `hash(id)`, `(urgent ? id : kind)`)+pick(" == ", " != ", " < ", " <= ")+pick("id", `"drop"`, "kind"),
 			`id.startsWith(kind)`, `id in ["drop", "a"]`, `age > span("1m")`, `temps.all(x, x < celsius(6))`, `tags.exists(x, x == kind)`)
 	}
-	sub := func() string { return texts(t, depth-1, elements) }
+	sub := func() string { return drawExpression(t, depth-1, elements) }
 	switch rapid.IntRange(0, 5).Draw(t, "form") {
 	case 0:
 		return "(" + sub() + " && " + sub() + ")"
@@ -232,24 +232,24 @@
 		return "(" + sub() + " ? " + sub() + " : " + sub() + ")"
 	case 4:
 		x := fmt.Sprint("e", len(elements))
-		return "stops." + pick("exists", "all") + "(" + x + ", " + texts(t, depth-1, append(elements[:len(elements):len(elements)], x)) + ")"
+		return "stops." + pick("exists", "all") + "(" + x + ", " + drawExpression(t, depth-1, append(elements[:len(elements):len(elements)], x)) + ")"
 	}
 	return sub()
 }
 
-func draw(t *rapid.T, s *Schema, r *Record) {
+func drawRecord(t *rapid.T, s *Schema, r *Record) {
 	r.Clear()
 	for _, a := range s.Attributes {
 		if rapid.IntRange(0, 3).Draw(t, "missing") == 0 {
 			continue
 		}
-		if err := set(s, r, a.Name, drawn(t, a.Type)); err != nil {
+		if err := putValue(s, r, a.Name, drawValue(t, a.Type)); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func drawn(t *rapid.T, of *Type) any {
+func drawValue(t *rapid.T, of *Type) any {
 	switch of.Kind {
 	case Text:
 		return rapid.SampledFrom([]string{"", "a", "drop", "drop-17", "dropdrop"}).Draw(t, "text")
@@ -266,18 +266,18 @@
 	}
 	var list []any
 	for range rapid.IntRange(0, 4).Draw(t, "n") {
-		list = append(list, drawn(t, of.Element))
+		list = append(list, drawValue(t, of.Element))
 	}
 	return list
 }
 
 // Compiled and plainly interpreted, every expression says the same of every record, within its cost.
 func TestCompiledIsTheReference(t *testing.T) {
-	s, c := checker(t, math.MaxInt32)
+	s, c := testCompiler(t, math.MaxInt32)
 	r, checked := s.NewRecord(), 0
 	var tight []float64 // of each expression, the part of its bound that its dearest record took
 	rapid.Check(t, func(t *rapid.T) {
-		text := texts(t, rapid.IntRange(0, 3).Draw(t, "depth"), nil)
+		text := drawExpression(t, rapid.IntRange(0, 3).Draw(t, "depth"), nil)
 		p, err := c.Predicate(text)
 		if err != nil {
 			if strings.Contains(err.Error(), "nested deeper") {
@@ -287,7 +287,7 @@
 		}
 		most := int64(0)
 		for range 5 {
-			draw(t, s, r)
+			drawRecord(t, s, r)
 			want, steps := p.Interpret(r)
 			most = max(most, steps)
 			if got := p.Holds(r); got != want || steps > p.Cost {
@@ -309,7 +309,7 @@
 
 // Cut into its conjuncts, a text means what it means whole, and costs as much.
 func FuzzConjuncts(f *testing.F) {
-	_, c := checker(f, 10_000)
+	_, c := testCompiler(f, 10_000)
 	for _, text := range []string{`urgent && size > 3 && (urgent || id == "a && b")`, `id == "a" && !urgent`, `urgent && kind == '"' && size in [1, 2]`,
 		`urgent &&`, `&& urgent`, `urgent && (urgent`, `urgent && "`, `urgent && id == r"\\" && urgent`, `urgent && urgent // && size`,
 		`urgent ? urgent : size > 3 && urgent`, `urgent && urgent ? urgent : urgent`, `urgent || urgent && urgent`, `urgent && """a""" == id`,
@@ -319,7 +319,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		cut, err := c.check(text)
-		whole, bad := c.whole(text)
+		whole, bad := c.checkWhole(text)
 		if (err == nil) != (bad == nil) || err != nil && err.Error() != bad.Error() {
 			t.Fatalf("%q: %v, whole %v", text, err, bad)
 		}
@@ -327,19 +327,19 @@
 			return
 		}
 		parts := func(n *node) (all string) {
-			for _, p := range flat(n, opAnd, nil) {
-				all += p.text(false) + "\n"
+			for _, p := range flatten(n, opAnd, nil) {
+				all += p.source(false) + "\n"
 			}
 			return all
 		}
-		if parts(cut) != parts(whole) || cut.cost != whole.cost || cut.of.Kind != whole.of.Kind {
+		if parts(cut) != parts(whole) || cut.cost != whole.cost || cut.valueType.Kind != whole.valueType.Kind {
 			t.Errorf("%q: cut into %q, cost %d; whole %q, cost %d", text, parts(cut), cut.cost, parts(whole), whole.cost)
 		}
 	})
 }
 
 func FuzzPredicate(f *testing.F) {
-	s, c := checker(f, 10_000)
+	s, c := testCompiler(f, 10_000)
 	r := s.NewRecord()
 	for _, text := range []string{`depot == site.kingston && temps.exists(x, x > celsius(8))`, `urgent ? size > 1 : id + kind < "a"`, `size in [1]`} {
 		f.Add(text)
--- a/internal/match/schema.go
+++ b/internal/match/schema.go
@@ -49,12 +49,12 @@
 }
 
 // kept is a figure of this unit in the first one.
-func (u *Unit) toFirstUnit(figure float64) (float64, error) {
-	figure = figure*u.Scale + u.Offset
-	if math.IsNaN(figure) || math.IsInf(figure, 0) {
-		return 0, fmt.Errorf("found %g, expected a finite figure", figure)
+func (u *Unit) toFirstUnit(number float64) (float64, error) {
+	number = number*u.Scale + u.Offset
+	if math.IsNaN(number) || math.IsInf(number, 0) {
+		return 0, fmt.Errorf("found %g, expected a finite figure", number)
 	}
-	return figure, nil
+	return number, nil
 }
 
 // Attribute is what a transaction may carry.
@@ -85,34 +85,34 @@
 	if len(attributes) > maxAttributes {
 		return nil, fmt.Errorf("found %d attributes, expected at most %d", len(attributes), maxAttributes)
 	}
-	named := map[string]*Type{}
+	types := map[string]*Type{}
 	for i, a := range attributes {
 		if !isName(a.Name) {
 			return nil, fmt.Errorf("attribute %q: expected a name of letters, digits and _", a.Name)
 		}
-		if _, twice := s.slots[a.Name]; twice {
+		if _, isDuplicate := s.slots[a.Name]; isDuplicate {
 			return nil, fmt.Errorf("attribute %s stands twice", a.Name)
 		}
 		s.slots[a.Name] = i
 		if !a.Optional {
 			s.required = append(s.required, i)
 		}
-		if err := a.Type.check(named, true); err != nil {
+		if err := a.Type.check(types, true); err != nil {
 			return nil, fmt.Errorf("attribute %s: %w", a.Name, err)
 		}
 	}
 	return s, nil
 }
 
-func (t *Type) check(named map[string]*Type, list bool) error {
+func (t *Type) check(types map[string]*Type, allowList bool) error {
 	if t.Kind == Measure || t.Kind == Enum {
 		if !isName(t.Name) {
 			return fmt.Errorf("type %q: expected a name of letters, digits and _", t.Name)
 		}
-		if other := named[t.Name]; other != nil && other != t {
+		if other := types[t.Name]; other != nil && other != t {
 			return fmt.Errorf("type %s is declared twice", t.Name)
 		}
-		named[t.Name] = t
+		types[t.Name] = t
 	}
 	switch t.Kind {
 	case Text:
@@ -125,7 +125,7 @@
 		}
 		t.memberIndex = make(map[string]int64, len(t.Members))
 		for i, n := range t.Members {
-			if _, twice := t.memberIndex[n]; !isName(n) || twice {
+			if _, isDuplicate := t.memberIndex[n]; !isName(n) || isDuplicate {
 				return fmt.Errorf("set %s: member %q, expected a name of letters, digits and _ once", t.Name, n)
 			}
 			t.memberIndex[n] = int64(i)
@@ -140,10 +140,10 @@
 			}
 		}
 	case List:
-		if !list || t.Element == nil || t.MaxLength < 1 || t.MaxLength > maxListElements {
+		if !allowList || t.Element == nil || t.MaxLength < 1 || t.MaxLength > maxListElements {
 			return fmt.Errorf("found a list of at most %d, expected 1 to %d elements that are no lists", t.MaxLength, maxListElements)
 		}
-		return t.Element.check(named, false)
+		return t.Element.check(types, false)
 	}
 	return nil
 }
@@ -194,86 +194,86 @@
 
 // At is an attribute's place, -1 if it is not declared.
 func (s *Schema) Slot(name []byte) int {
-	if at, known := s.slots[string(name)]; known {
-		return at
+	if slot, ok := s.slots[string(name)]; ok {
+		return slot
 	}
 	return -1
 }
 
 // Put gives a record a value. What does not fit its type is left missing, and an error says why. The record keeps the
 // texts as they are, without a copy.
-func (s *Schema) Put(r *Record, at int, v *RawValue) error {
-	t, slot := s.Attributes[at].Type, &r.values[at]
-	slot.Present, slot.Text = false, ""
-	if t.Kind != List || v.Kind != List {
-		if err := t.store(slot, v); err != nil {
-			return fmt.Errorf("%s: %w", s.Attributes[at].Name, err)
+func (s *Schema) Put(r *Record, slot int, raw *RawValue) error {
+	t, value := s.Attributes[slot].Type, &r.values[slot]
+	value.Present, value.Text = false, ""
+	if t.Kind != List || raw.Kind != List {
+		if err := t.store(value, raw); err != nil {
+			return fmt.Errorf("%s: %w", s.Attributes[slot].Name, err)
 		}
 		return nil
 	}
-	if len(v.Items) > t.MaxLength {
-		return fmt.Errorf("%s: found %d elements, expected at most %d", s.Attributes[at].Name, len(v.Items), t.MaxLength)
+	if len(raw.Items) > t.MaxLength {
+		return fmt.Errorf("%s: found %d elements, expected at most %d", s.Attributes[slot].Name, len(raw.Items), t.MaxLength)
 	}
-	slot.List = slices.Grow(slot.List[:0], len(v.Items))[:len(v.Items)]
-	for i := range v.Items {
-		if err := t.Element.store(&slot.List[i], &v.Items[i]); err != nil {
-			return fmt.Errorf("%s, element %d: %w", s.Attributes[at].Name, i, err)
+	value.List = slices.Grow(value.List[:0], len(raw.Items))[:len(raw.Items)]
+	for i := range raw.Items {
+		if err := t.Element.store(&value.List[i], &raw.Items[i]); err != nil {
+			return fmt.Errorf("%s, element %d: %w", s.Attributes[slot].Name, i, err)
 		}
 	}
-	slot.Present = true
+	value.Present = true
 	return nil
 }
 
 // Absent is the first attribute that must be there and is not, -1 if there is none.
 func (s *Schema) MissingRequired(r *Record) int {
-	for _, at := range s.required {
-		if !r.values[at].Present {
-			return at
+	for _, slot := range s.required {
+		if !r.values[slot].Present {
+			return slot
 		}
 	}
 	return -1
 }
 
 // take puts into a value what fits its type, or leaves it missing. What other kinds keep in it is not touched.
-func (t *Type) store(out *Value, v *RawValue) error {
-	out.Present, out.Text = false, ""
+func (t *Type) store(value *Value, raw *RawValue) error {
+	value.Present, value.Text = false, ""
 	switch {
-	case t.Kind == Text && v.Kind == Text:
-		if len(v.Text) > t.MaxLength {
-			return fmt.Errorf("found %d bytes, expected at most %d", len(v.Text), t.MaxLength)
+	case t.Kind == Text && raw.Kind == Text:
+		if len(raw.Text) > t.MaxLength {
+			return fmt.Errorf("found %d bytes, expected at most %d", len(raw.Text), t.MaxLength)
 		}
-		out.Text = v.Text
-	case t.Kind == Enum && v.Kind == Text:
-		place, is := t.memberIndex[v.Text]
-		if !is {
-			return fmt.Errorf("found %.64q, expected a member of %s", v.Text, t.Name)
+		value.Text = raw.Text
+	case t.Kind == Enum && raw.Kind == Text:
+		index, ok := t.memberIndex[raw.Text]
+		if !ok {
+			return fmt.Errorf("found %.64q, expected a member of %s", raw.Text, t.Name)
 		}
-		out.Int = place
-	case t.Kind == v.Kind && (t.Kind == Int || t.Kind == Duration):
-		out.Int = v.Int
-	case t.Kind == Bool && v.Kind == Bool:
-		out.Int = min(1, max(0, v.Int))
-	case t.Kind == Measure && (v.Kind == Measure || v.Kind == Int):
-		figure := v.Float
-		if v.Kind == Int {
-			figure = float64(v.Int)
+		value.Int = index
+	case t.Kind == raw.Kind && (t.Kind == Int || t.Kind == Duration):
+		value.Int = raw.Int
+	case t.Kind == Bool && raw.Kind == Bool:
+		value.Int = min(1, max(0, raw.Int))
+	case t.Kind == Measure && (raw.Kind == Measure || raw.Kind == Int):
+		number := raw.Float
+		if raw.Kind == Int {
+			number = float64(raw.Int)
 		}
-		at := 0
-		if v.Unit != "" {
-			at = slices.IndexFunc(t.Units, func(u Unit) bool { return u.Name == v.Unit })
+		unitIndex := 0
+		if raw.Unit != "" {
+			unitIndex = slices.IndexFunc(t.Units, func(u Unit) bool { return u.Name == raw.Unit })
 		}
-		if at < 0 {
-			return fmt.Errorf("found a figure in %.64q, expected a unit of %s", v.Unit, t.Name)
+		if unitIndex < 0 {
+			return fmt.Errorf("found a figure in %.64q, expected a unit of %s", raw.Unit, t.Name)
 		}
-		kept, err := t.Units[at].toFirstUnit(figure)
+		converted, err := t.Units[unitIndex].toFirstUnit(number)
 		if err != nil {
 			return err
 		}
-		out.Float = kept
+		value.Float = converted
 	default:
-		return fmt.Errorf("found %s, expected %v", kindNames[v.Kind], t)
+		return fmt.Errorf("found %s, expected %v", kindNames[raw.Kind], t)
 	}
-	out.Present = true
+	value.Present = true
 	return nil
 }
 
@@ -282,17 +282,17 @@
 
 // Parse reads a value as a person writes it: 12, true, 250ms, 8 celsius, a member's name, a text as it is, the elements
 // of a list with commas between.
-func (t *Type) Parse(text string) (v RawValue, err error) {
+func (t *Type) Parse(text string) (raw RawValue, err error) {
 	switch t.Kind {
 	case Text, Enum:
 		return RawValue{Kind: Text, Text: text}, nil
 	case Int:
-		v.Kind = Int
-		v.Int, err = strconv.ParseInt(text, 10, 64)
+		raw.Kind = Int
+		raw.Int, err = strconv.ParseInt(text, 10, 64)
 	case Bool:
-		v.Kind = Bool
+		raw.Kind = Bool
 		if text == "true" {
-			v.Int = 1
+			raw.Int = 1
 		} else if text != "false" {
 			err = strconv.ErrSyntax
 		}
@@ -301,25 +301,25 @@
 		if d, err = time.ParseDuration(text); err == nil && d%time.Microsecond != 0 {
 			err = strconv.ErrRange
 		}
-		v.Kind, v.Int = Duration, d.Microseconds()
+		raw.Kind, raw.Int = Duration, d.Microseconds()
 	case Measure:
-		figure, unit, _ := strings.Cut(text, " ")
-		v.Kind, v.Unit = Measure, unit
-		v.Float, err = strconv.ParseFloat(figure, 64)
+		number, unit, _ := strings.Cut(text, " ")
+		raw.Kind, raw.Unit = Measure, unit
+		raw.Float, err = strconv.ParseFloat(number, 64)
 	case List:
-		v.Kind = List
+		raw.Kind = List
 		for part := range strings.SplitSeq(text, ",") {
 			item, err := t.Element.Parse(strings.TrimSpace(part))
 			if err != nil {
-				return v, err
+				return raw, err
 			}
-			v.Items = append(v.Items, item)
+			raw.Items = append(raw.Items, item)
 		}
 	}
 	if err != nil {
-		return v, fmt.Errorf("found %.64q, expected %v", text, t)
+		return raw, fmt.Errorf("found %.64q, expected %v", text, t)
 	}
-	return v, nil
+	return raw, nil
 }
 
 // show writes a value as the language does.
@@ -332,19 +332,19 @@
 	case Duration:
 		return strconv.Quote((time.Duration(v.Int) * time.Microsecond).String())
 	case Measure:
-		figure := strconv.FormatFloat(v.Float, 'g', -1, 64)
+		number := strconv.FormatFloat(v.Float, 'g', -1, 64)
 		if len(t.Units) == 0 { // a literal without a unit
-			return figure
+			return number
 		}
-		return t.Units[0].Name + "(" + figure + ")"
+		return t.Units[0].Name + "(" + number + ")"
 	case Enum:
 		return t.Name + "." + t.Members[v.Int]
 	case List:
-		var all []string
+		var elements []string
 		for i := range v.List {
-			all = append(all, t.Element.format(&v.List[i]))
+			elements = append(elements, t.Element.format(&v.List[i]))
 		}
-		return "[" + strings.Join(all, ", ") + "]"
+		return "[" + strings.Join(elements, ", ") + "]"
 	}
 	return strconv.FormatInt(v.Int, 10)
 }
--- a/internal/match/table_test.go
+++ b/internal/match/table_test.go
@@ -12,18 +12,18 @@
 
 // Whatever the routes, the index answers as trying each in turn by the reference does; a covered route is never it.
 func TestFirstIsTheFirst(t *testing.T) {
-	s, c := checker(t, math.MaxInt32)
+	s, c := testCompiler(t, math.MaxInt32)
 	r := s.NewRecord()
 	rapid.Check(t, func(t *rapid.T) {
 		var routes []Route
 		for i := range rapid.IntRange(0, 90).Draw(t, "routes") {
-			parts := []string{texts(t, rapid.IntRange(0, 1).Draw(t, "depth"), nil)}
+			parts := []string{drawExpression(t, rapid.IntRange(0, 1).Draw(t, "depth"), nil)}
 			for range rapid.IntRange(0, 2).Draw(t, "more") {
-				parts = append(parts, texts(t, 0, nil))
+				parts = append(parts, drawExpression(t, 0, nil))
 			}
 			routes = append(routes, Route{Name: fmt.Sprint(i), When: strings.Join(parts, " && "), Key: "id"})
 		}
-		tab, faults := table(c, routes)
+		tab, faults := compileTable(c, routes)
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
@@ -34,9 +34,9 @@
 			}
 		}
 		for range 8 {
-			draw(t, s, r)
+			drawRecord(t, s, r)
 			want := -1
-			for i, p := range tab.when {
+			for i, p := range tab.predicates {
 				if holds, _ := p.Interpret(r); holds {
 					want = i
 					break
@@ -61,7 +61,7 @@
 	})
 }
 
-func table(c *Compiler, routes []Route) (*Table, []error) {
+func compileTable(c *Compiler, routes []Route) (*Table, []error) {
 	var all []*CompiledRoute
 	var faults []error
 	for _, r := range routes {
@@ -78,7 +78,7 @@
 }
 
 func TestCovers(t *testing.T) {
-	_, c := checker(t, 10_000)
+	_, c := testCompiler(t, 10_000)
 	for _, x := range []struct {
 		first, second string
 		covers        bool
@@ -91,12 +91,12 @@
 		{`home == site.kingston`, `depot == site.kingston`, false}, {`age < span("1m")`, `age < span("10s")`, true}, {`!urgent`, `urgent`, false},
 		{`size > 9007199254740993`, `size > 9007199254740992`, false},
 	} {
-		tab, faults := table(c, []Route{{Name: "a", When: x.first}, {Name: "b", When: x.second}})
+		tab, faults := compileTable(c, []Route{{Name: "a", When: x.first}, {Name: "b", When: x.second}})
 		if len(faults) > 0 || (len(tab.Unreachable) == 1) != x.covers {
 			t.Errorf("%s, then %s: covered %v, expected %v %v", x.first, x.second, tab.Unreachable, x.covers, faults)
 		}
 	}
-	_, faults := table(c, []Route{{Name: "a", When: "urgnt"}, {Name: "b", When: "urgent", Key: "size"}, {Name: "c", When: "urgent"}})
+	_, faults := compileTable(c, []Route{{Name: "a", When: "urgnt"}, {Name: "b", When: "urgent", Key: "size"}, {Name: "c", When: "urgent"}})
 	if len(faults) != 2 || !strings.Contains(faults[0].Error(), "route a, when: 1:1: undeclared reference to 'urgnt'") ||
 		!strings.Contains(faults[1].Error(), "route b, key: 1:1: found a whole number, expected a text") {
 		t.Errorf("%v", faults)
--- a/internal/routes/try.go
+++ b/internal/routes/try.go
@@ -122,7 +122,7 @@
 	}
 	for _, m := range b.Table.Misses(r, at+1) {
 		if m.Route == at {
-			return fmt.Sprintf(": %s does not hold: %s", m.Part, m.Found)
+			return fmt.Sprintf(": %s does not hold: %s", m.Conjunct, m.Values)
 		}
 	}
 	return ", which matches too but comes later"
@@ -159,7 +159,7 @@
 		misses = misses[len(misses)-few:]
 	}
 	for _, m := range misses {
-		fmt.Fprintf(w, "  not %s (%s): %s does not hold: %s\n", b.RouteName(m.Route), b.locations[m.Route], m.Part, m.Found)
+		fmt.Fprintf(w, "  not %s (%s): %s does not hold: %s\n", b.RouteName(m.Route), b.locations[m.Route], m.Conjunct, m.Values)
 	}
 }
 
