--- a/internal/match/check.go
+++ b/internal/match/check.go
@@ -17,59 +17,63 @@
 	"cel.dev/cel-go/common/types"
 )
 
-// Fault is what is wrong with an expression, at a place in it.
+// ExprError is an error in the source of an expression, with its position.
 type ExprError struct {
-	Line, Column int // from 1
+	Line, Column int // 1-based; the column counts code points
 	Msg          string
 }
 
-func (f *ExprError) Error() string { return fmt.Sprintf("%d:%d: %s", f.Line, f.Column, f.Msg) }
+func (e *ExprError) Error() string { return fmt.Sprintf("%d:%d: %s", e.Line, e.Column, e.Msg) }
 
+// Limits on the source of an expression.
 const (
-	maxSourceRunes = 32 << 10 // code points of an expression
-	maxParserDepth = 64
-	maxNestedLoops = 4 // any and all within each other
+	maxSourceRunes = 32 << 10
+	maxParserDepth = 64 // recursion depth of cel-go's parser
+	maxNestedLoops = 4  // exists and all within each other
 )
 
+// op is the operation of a node on its arguments.
 type op uint8
 
 const (
 	opConst op = iota
 	opAttribute
-	opElement
+	opElement // the current element of a loop
 	opAnd
 	opOr
 	opNot
 	opConditional
 	opEqual
 	opNotEqual
-	opLess
+	opLess // > and >= become < and <= with swapped operands
 	opLessEqual
-	opIn
+	opIn // membership in a list of constants
 	opHasPrefix
 	opConcat
 	opHash
 	opGiven
-	opExists
-	opAll
+	opExists // args: the list and the condition on its element
+	opAll    // same args as opExists
 )
 
-// node is an expression after the check, with constants folded.
+// node is a node of a checked expression, with constants folded. Nodes are shared between expressions and are not
+// changed once they are built.
 type node struct {
 	op         op
-	valueType  *Type // of its value; nil for what is true or false
+	valueType  *Type
 	args       []*node
-	index      int // attribute, or depth of an element
-	value      Value
+	index      int     // opAttribute: schema slot; opElement, opExists and opAll: nesting depth of the loop
+	value      Value   // opConst
 	constants  []Value // opIn
-	cost       int64   // the most steps that it can take
-	maxLength  int     // the most bytes of a text
-	exprID     int64   // id in the source
+	cost       int64   // worst-case number of steps
+	maxLength  int     // bytes of a text, elements of a list
+	exprID     int64   // cel-go's ID of the expression, for its position
 	name       string  // opAttribute
-	definition string  // the named expression that it is, empty if none
+	definition string  // name of the definition that the node was copied from, empty if none
 }
 
-// Checker checks expressions over one schema.
+// Compiler checks and compiles expressions over one schema. Predicate, Key and CompileRoute may be called concurrently
+// once Define has returned.
 type Compiler struct {
 	schema        *Schema
 	env           *cel.Env
@@ -78,15 +82,16 @@
 	costLimit     int64
 	definitions   map[string]*definition
 	mu            sync.Mutex
-	conjunctCache map[string]*node // by their text
+	conjunctCache map[string]*node // by source; guarded by mu
 }
 
+// measureUnit is a unit together with the measure that it belongs to.
 type measureUnit struct {
 	measure *Type
 	Unit
 }
 
-// NewChecker makes one. No expression may cost more than the limit, in steps.
+// NewCompiler returns a compiler that refuses expressions with a worst-case cost above costLimit, in steps.
 func NewCompiler(s *Schema, costLimit int64) (*Compiler, error) {
 	c := &Compiler{schema: s, types: map[string]*Type{}, units: map[string]measureUnit{}, costLimit: costLimit,
 		definitions: map[string]*definition{}, conjunctCache: map[string]*node{}}
@@ -157,9 +162,9 @@
 	return c, nil
 }
 
-// settle has cel-go make now what it keeps for its messages: it does so at the first undeclared name, and not safely
-// when several expressions are checked at once.
-func (c *Compiler) forceLazyInit() { _, _ = c.env.Compile(strings.Repeat("u", 65)) } // longer than any name
+// forceLazyInit compiles an undeclared name. cel-go initializes the data for its error messages at the first undeclared
+// name, which is not safe when several expressions are checked concurrently. The name is longer than any declared one.
+func (c *Compiler) forceLazyInit() { _, _ = c.env.Compile(strings.Repeat("u", 65)) }
 
 func celType(t *Type) *cel.Type {
 	switch t.Kind {
@@ -177,10 +182,10 @@
 	return cel.OpaqueType(t.Name)
 }
 
-// parse parses and checks a text by cel-go.
+// parse parses and type-checks the source of an expression with cel-go.
 func (c *Compiler) parse(source string) (*cel.Ast, error) {
 	if !utf8.ValidString(source) || strings.ContainsRune(source, 0) {
-		return nil, &ExprError{1, 1, "found NUL or bytes that are no UTF-8, expected text"}
+		return nil, &ExprError{1, 1, "found NUL or invalid UTF-8, expected a text in UTF-8"}
 	}
 	checked, issues := c.env.Compile(source)
 	if issues != nil && issues.Err() != nil {
@@ -190,9 +195,9 @@
 	return checked, nil
 }
 
-// check makes the tree of a text. The parts of a conjunction are parsed one by one and kept, since those of a large table
-// repeat and cel-go's parser takes most of its load. What does not come out well that way is parsed whole, so that all
-// faults are told of the whole and at their place in it.
+// check returns the tree of an expression. The conjuncts of a conjunction are parsed separately and cached, because they
+// repeat in a large table and parsing in cel-go takes most of the time of loading it. If a conjunct has an error, the
+// whole expression is parsed again, so that the error has its position in the whole.
 func (c *Compiler) check(source string) (*node, error) {
 	parts := splitConjuncts(source)
 	if len(parts) == 1 {
@@ -214,7 +219,7 @@
 	return all, nil
 }
 
-// part is whole for a text that may come again.
+// checkCached is checkWhole with a cache.
 func (c *Compiler) checkCached(source string) (*node, error) {
 	c.mu.Lock()
 	n := c.conjunctCache[source]
@@ -231,11 +236,11 @@
 	return n, err
 }
 
-// blanks are what cel-go passes over; it refuses others, such as a vertical tab.
+// whitespace lists the characters that cel-go skips. It refuses others, such as a vertical tab.
 const whitespace = " \t\r\n\f"
 
-// conjuncts cuts a text at the ands that stand outside of all brackets and quotes. Where it is not sure that these parts
-// mean what the whole does, the whole is the only part.
+// splitConjuncts splits an expression at each && outside brackets and quotes. If the source contains anything that could
+// make the conjunction of the parts differ from the whole, such as ||, a comment or an escape, the only part is the whole.
 func splitConjuncts(source string) (parts []string) {
 	whole := []string{source}
 	if len(source) > maxSourceRunes || strings.ContainsAny(source, "?\\") || strings.Contains(source, "||") || strings.Contains(source, "//") ||
@@ -271,7 +276,7 @@
 	return append(parts, strings.Trim(source[start:], whitespace))
 }
 
-// whole parses, checks and builds a text.
+// checkWhole parses and checks an expression as a whole and builds its tree.
 func (c *Compiler) checkWhole(source string) (*node, error) {
 	checked, err := c.parse(source)
 	if err != nil {
@@ -285,13 +290,14 @@
 	return n, b.checkCost(n)
 }
 
-// bounded refuses what costs too much and names the part that costs most.
+// checkCost returns an error if a node exceeds the cost limit. The error names the innermost part that alone
+// costs more than half of the limit.
 func (b *builder) checkCost(n *node) error {
 	if n.cost <= b.compiler.costLimit {
 		return nil
 	}
 	worst := n
-	for next := n; next != nil; { // down the part that costs most, not into named ones: they stand elsewhere
+	for next := n; next != nil; { // descends into the costliest argument, but not into definitions
 		worst, next = next, nil
 		for _, arg := range worst.args {
 			if worst.definition == "" && arg.cost > b.compiler.costLimit/2 && (next == nil || arg.cost > next.cost) {
@@ -302,7 +308,7 @@
 	return b.errorAt(worst.exprID, "found a cost of %d steps, most of it in %.60s, expected at most %d", n.cost, worst.source(true), b.compiler.costLimit)
 }
 
-// explain says in this language's words what cel-go found, and what would fit.
+// rewriteMessage adds to an error message of cel-go what was expected, by the names of the schema.
 func (c *Compiler) rewriteMessage(message string) string {
 	message = strings.ReplaceAll(message, "\n", " ")
 	if _, rest, ok := strings.Cut(message, "undeclared reference to '"); ok {
@@ -311,8 +317,8 @@
 			return unknownMemberMessage(t)
 		}
 		var known []string
-		for n := range c.schema.slots {
-			known = append(known, n)
+		for name := range c.schema.slots {
+			known = append(known, name)
 		}
 		for _, names := range []iter.Seq[string]{maps.Keys(c.definitions), maps.Keys(c.units), maps.Keys(c.types)} {
 			known = slices.AppendSeq(known, names)
@@ -320,7 +326,7 @@
 		slices.Sort(known)
 		return fmt.Sprintf("%s, expected one of %s", UndeclaredPrefix(name), joinFirst(known))
 	}
-	if name, ok := strings.CutSuffix(message, "' does not support field selection"); ok { // an attribute is called as its set
+	if name, ok := strings.CutSuffix(message, "' does not support field selection"); ok { // an attribute named like its set
 		if t := c.types[strings.TrimPrefix(name, "type '")]; t != nil && t.Kind == Enum {
 			return unknownMemberMessage(t)
 		}
@@ -328,7 +334,7 @@
 	if _, rest, ok := strings.Cut(message, "found no matching overload for '"); ok {
 		name, rest, _ := strings.Cut(rest, "' applied to '")
 		operands, _, _ := strings.Cut(rest, "'")
-		expected := "sides of one type"
+		expected := "operands of one type"
 		for name, t := range c.types {
 			if t.Kind == Measure && strings.Contains(operands, name) {
 				var units []string
@@ -347,10 +353,10 @@
 	return fmt.Sprintf("found a member that %s does not have, expected one of %s", t.Name, joinFirst(t.Members))
 }
 
-// Undeclared begins what is said of a name that nobody declared.
+// UndeclaredPrefix returns the beginning of the message about an undeclared name.
 func UndeclaredPrefix(name string) string { return "undeclared reference to '" + name + "'" }
 
-// few names the first of many.
+// joinFirst joins the first 20 names.
 func joinFirst(names []string) string {
 	if len(names) > 20 {
 		names = append(names[:20:20], "...")
@@ -358,17 +364,20 @@
 	return strings.Join(names, ", ")
 }
 
+// loopElement is the loop variable of an exists or all.
 type loopElement struct {
 	depth     int
 	valueType *Type
 }
 
+// builder builds the nodes of one expression from cel-go's checked tree.
 type builder struct {
 	compiler *Compiler
 	tree     *ast.AST
-	elements map[string]loopElement
+	elements map[string]loopElement // loop variables in scope, by name
 }
 
+// errorAt returns an error at the position of an expression, given by cel-go's ID of it.
 func (b *builder) errorAt(id int64, format string, args ...any) error {
 	location := b.tree.SourceInfo().GetStartLocation(id)
 	return &ExprError{max(1, location.Line()), location.Column() + 1, fmt.Sprintf(format, args...)}
@@ -381,6 +390,7 @@
 	durationType = &Type{Kind: Duration}
 )
 
+// build returns the node of an expression that is nested in depth loops.
 func (b *builder) build(e ast.Expr, depth int) (*node, error) {
 	n := &node{exprID: e.ID(), cost: 1}
 	switch e.Kind() {
@@ -414,9 +424,10 @@
 	case ast.CallKind:
 		return b.buildCall(n, e.AsCall(), depth)
 	}
-	return nil, b.errorAt(e.ID(), "found what this language does not have, expected a comparison, a name or a call")
+	return nil, b.errorAt(e.ID(), "found an expression that the language does not support, expected a comparison, a name or a call")
 }
 
+// resolve sets a node to what a name refers to: a loop variable, a definition, an attribute or a member of a set.
 func (b *builder) resolve(n *node, name string, depth int) (*node, error) {
 	if element, ok := b.elements[name]; ok {
 		n.op, n.index, n.valueType, n.maxLength = opElement, element.depth, element.valueType, element.valueType.MaxLength
@@ -444,10 +455,10 @@
 	return nil, b.errorAt(n.exprID, "found %q, expected a declared name", name)
 }
 
-// loop is any or all of a list, as the macros expand it.
+// buildLoop builds exists or all from the comprehension that cel-go's macro expands to.
 func (b *builder) buildLoop(n *node, loop ast.ComprehensionExpr, depth int) (*node, error) {
 	if depth >= maxNestedLoops {
-		return nil, b.errorAt(n.exprID, "found any or all nested deeper than %d", maxNestedLoops)
+		return nil, b.errorAt(n.exprID, "found exists or all nested deeper than %d", maxNestedLoops)
 	}
 	list, err := b.build(loop.IterRange(), depth)
 	if err != nil {
@@ -455,14 +466,14 @@
 	}
 	step := loop.LoopStep()
 	if list.valueType == nil || list.valueType.Kind != List || list.op != opAttribute || step.Kind() != ast.CallKind || len(step.AsCall().Args()) != 2 {
-		return nil, b.errorAt(n.exprID, "found a loop that is not over an attribute's list, expected one that is")
+		return nil, b.errorAt(n.exprID, "found exists or all of something else than an attribute, expected an attribute that is a list")
 	}
 	n.op = opExists
 	if step.AsCall().FunctionName() == operators.LogicalAnd {
 		n.op = opAll
 	}
 	if b.compiler.isDeclared(loop.IterVar()) {
-		return nil, b.errorAt(n.exprID, "found %s for an element, which is declared, expected another name", loop.IterVar())
+		return nil, b.errorAt(n.exprID, "found %s for an element, which is a declared name, expected another one", loop.IterVar())
 	}
 	outer, shadowed := b.elements[loop.IterVar()]
 	b.elements[loop.IterVar()] = loopElement{depth, list.valueType.Element}
@@ -479,7 +490,8 @@
 	return n, nil
 }
 
-// times multiplies costs; what is too much stays too much.
+// saturatingMultiply multiplies two costs. The product stops at an eighth of the largest int64, so that sums of costs do
+// not overflow.
 func saturatingMultiply(a, b int64) int64 {
 	if b > 0 && a > math.MaxInt64/8/b {
 		return math.MaxInt64 / 8
@@ -487,6 +499,7 @@
 	return a * b
 }
 
+// buildCall builds a call of an operator or a function.
 func (b *builder) buildCall(n *node, call ast.CallExpr, depth int) (*node, error) {
 	args := call.Args()
 	if call.IsMemberFunction() {
@@ -504,7 +517,7 @@
 		n.cost = min(math.MaxInt64/8, n.cost+arg.cost)
 	}
 	n.valueType = boolType
-	addComparisonCost := func(of ...*node) { // comparing texts takes a step for each eight bytes
+	addComparisonCost := func(of ...*node) { // comparing texts takes one step for every 8 bytes
 		shortest := of[0].maxLength
 		for _, call := range of {
 			shortest = min(shortest, call.maxLength)
@@ -530,7 +543,7 @@
 			n.op = opNotEqual
 		}
 		if n.args[0].valueType.Kind == List {
-			return nil, b.errorAt(n.exprID, "found a comparison of lists, expected any or all of one")
+			return nil, b.errorAt(n.exprID, "found a comparison of lists, expected exists or all of one list")
 		}
 		addComparisonCost(n.args...)
 	case operators.Less, operators.LessEquals, operators.Greater, operators.GreaterEquals:
@@ -543,7 +556,7 @@
 		}
 		addComparisonCost(n.args...)
 	case operators.In:
-		return nil, b.errorAt(n.exprID, "found membership in what is no list of constants, expected one, or any of an attribute")
+		return nil, b.errorAt(n.exprID, "found in without a list of constants, expected such a list, or exists for an attribute that is a list")
 	case operators.Add:
 		n.op, n.valueType, n.maxLength = opConcat, textType, n.args[0].maxLength+n.args[1].maxLength
 		if n.maxLength > maxTextBytes {
@@ -558,35 +571,35 @@
 		n.cost += int64(n.args[0].maxLength / 8)
 	case "given":
 		if n.op = opGiven; n.args[0].op != opAttribute {
-			return nil, b.errorAt(n.exprID, "found given of what is no attribute, expected one")
+			return nil, b.errorAt(n.exprID, "found given of something else than an attribute, expected an attribute")
 		}
 	case "span":
 		d, err := time.ParseDuration(n.args[0].value.Text)
 		if n.args[0].op != opConst || err != nil || d%time.Microsecond != 0 {
-			return nil, b.errorAt(n.exprID, "found a span that is no constant such as \"250ms\" in whole microseconds")
+			return nil, b.errorAt(n.exprID, "found an invalid span, expected a constant such as \"250ms\" in whole microseconds")
 		}
 		return &node{valueType: durationType, exprID: n.exprID, cost: 1, value: Value{Present: true, Int: d.Microseconds()}}, nil
 	case operators.Negate:
 		if n.args[0].op != opConst {
-			return nil, b.errorAt(n.exprID, "found - before what is no constant, expected a number")
+			return nil, b.errorAt(n.exprID, "found - before something else than a constant, expected a number")
 		}
 		v := n.args[0].value
 		if v.Int == math.MinInt64 {
-			return nil, b.errorAt(n.exprID, "found a number beyond the whole numbers of 64 bits")
+			return nil, b.errorAt(n.exprID, "found a number outside the range of 64-bit whole numbers")
 		}
 		v.Int, v.Float = -v.Int, -v.Float
 		return &node{valueType: n.args[0].valueType, exprID: n.exprID, cost: 1, value: v}, nil
 	default:
-		return nil, b.errorAt(n.exprID, "found %s, expected what this language has", call.FunctionName())
+		return nil, b.errorAt(n.exprID, "found %s, expected an operator or function of the language", call.FunctionName())
 	}
 	return n, nil
 }
 
-// unit folds a figure with its unit.
+// measureUnit folds a call such as celsius(8) into a constant in the first unit of its measure.
 func (b *builder) measureUnit(n *node, u measureUnit) (*node, error) {
 	arg := n.args[0]
 	if arg.op != opConst {
-		return nil, b.errorAt(n.exprID, "found %s of what is no constant, expected a number", u.Name)
+		return nil, b.errorAt(n.exprID, "found %s of something else than a constant, expected a number", u.Name)
 	}
 	number := arg.value.Float
 	if arg.valueType.Kind == Int {
@@ -599,7 +612,7 @@
 	return &node{valueType: u.measure, exprID: n.exprID, cost: 1, value: Value{Present: true, Float: converted}}, nil
 }
 
-// member is membership in a list of constants.
+// buildMembership builds the operator in with a list of constants.
 func (b *builder) buildMembership(n *node, args []ast.Expr, depth int) (*node, error) {
 	operand, err := b.build(args[0], depth)
 	if err != nil {
@@ -613,7 +626,7 @@
 			return nil, err
 		}
 		if constant.op != opConst {
-			return nil, b.errorAt(constant.exprID, "found what is no constant in a list, expected constants")
+			return nil, b.errorAt(constant.exprID, "found an expression in a list, expected constants")
 		}
 		n.constants = append(n.constants, constant.value)
 		n.cost += 1 + int64(min(operand.maxLength, constant.maxLength)/8)
--- a/internal/match/compile.go
+++ b/internal/match/compile.go
@@ -11,26 +11,26 @@
 
 // Predicate is a compiled expression that is true or false.
 type Predicate struct {
-	Cost  int64 // the most steps that it can take
+	Cost  int64 // worst-case number of steps
 	holds func(*Record) bool
 	tree  *node
 }
 
-// Holds evaluates it.
+// Holds reports whether the predicate is true of a record.
 func (p *Predicate) Holds(r *Record) bool { return p.holds(r) }
 
-// Key is a compiled expression that gives a text.
+// Key is a compiled expression whose value is a text.
 type Key struct {
-	Cost       int64
-	MaxLength  int // bytes of its text
+	Cost       int64 // worst-case number of steps
+	MaxLength  int   // bytes
 	appendText func(*Record, []byte) []byte
 	tree       *node
 }
 
-// Append adds the text to what is there already.
+// Append appends the key of a record to dst.
 func (k *Key) Append(dst []byte, r *Record) []byte { return k.appendText(r, dst) }
 
-// Predicate checks and compiles a text that must be true or false.
+// Predicate checks and compiles an expression that is true or false.
 func (c *Compiler) Predicate(source string) (*Predicate, error) {
 	n, err := c.check(source)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return &Predicate{Cost: n.cost, holds: compileBool(n), tree: n}, nil
 }
 
-// Key checks and compiles a text that must give a text.
+// Key checks and compiles an expression whose value is a text.
 func (c *Compiler) Key(source string) (*Key, error) {
 	n, err := c.check(source)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return &Key{Cost: n.cost, MaxLength: n.maxLength, appendText: compileText(n), tree: n}, nil
 }
 
-// get gives a node's value; what is not given has the zero value.
+// compileValue compiles a node of any type. A missing value is a Value with empty Text and Present false.
 func compileValue(n *node) func(*Record) *Value {
 	switch n.op {
 	case opConst:
@@ -90,7 +90,7 @@
 
 var trueValue, falseValue = Value{Present: true, Int: 1}, Value{Present: true}
 
-// truth compiles what is true or false.
+// compileBool compiles a node that is true or false.
 func compileBool(n *node) func(*Record) bool {
 	switch n.op {
 	case opAnd, opOr:
@@ -148,7 +148,7 @@
 	return func(r *Record) bool { v := a(r); return v.Present && v.Int != 0 }
 }
 
-// flat lists the parts of nested ands or ors.
+// flatten appends to parts the operands of nested nodes of one operator, in order.
 func flatten(n *node, operator op, parts []*node) []*node {
 	if n.op != operator {
 		return append(parts, n)
@@ -156,10 +156,11 @@
 	return flatten(n.args[1], operator, flatten(n.args[0], operator, parts))
 }
 
+// compileComparison compiles ==, !=, < and <=.
 func compileComparison(n *node) func(*Record) bool {
 	x, y, o := n.args[0], n.args[1], n.op
 	kind := x.valueType.Kind
-	if x.op == opAttribute && y.op == opConst && kind != Text && kind != Measure && o == opEqual { // the usual one
+	if x.op == opAttribute && y.op == opConst && kind != Text && kind != Measure && o == opEqual { // fast path for the most frequent comparison
 		slot, want := x.index, y.value.Int
 		return func(r *Record) bool { v := &r.values[slot]; return v.Int == want && v.Present }
 	}
@@ -177,7 +178,7 @@
 	return func(r *Record) bool { x, y := a(r), b(r); return x.Present && y.Present && compare(kind, o, x, y) }
 }
 
-// ordered compares two given values of one kind.
+// compare applies a comparison operator to two present values of one kind.
 func compare(kind Kind, operator op, x, y *Value) bool {
 	order := cmp.Compare(x.Int, y.Int)
 	switch kind {
@@ -197,18 +198,19 @@
 	return order <= 0
 }
 
+// compileMembership compiles membership in a list of constants.
 func compileMembership(n *node) func(*Record) bool {
-	a := compileValue(n.args[0])
+	operand := compileValue(n.args[0])
 	switch n.args[0].valueType.Kind {
 	case Text:
 		constants := map[string]bool{}
 		for _, v := range n.constants {
 			constants[v.Text] = true
 		}
-		return func(r *Record) bool { v := a(r); return v.Present && constants[v.Text] }
+		return func(r *Record) bool { v := operand(r); return v.Present && constants[v.Text] }
 	case Measure:
 		return func(r *Record) bool {
-			v := a(r)
+			v := operand(r)
 			return v.Present && slices.ContainsFunc(n.constants, func(x Value) bool { return x.Float == v.Float })
 		}
 	}
@@ -216,10 +218,10 @@
 	for _, v := range n.constants {
 		constants[v.Int] = true
 	}
-	return func(r *Record) bool { v := a(r); return v.Present && constants[v.Int] }
+	return func(r *Record) bool { v := operand(r); return v.Present && constants[v.Int] }
 }
 
-// joiner compiles what gives a text, added to a buffer.
+// compileText compiles a node whose value is a text into a function that appends the text to a buffer.
 func compileText(n *node) func(*Record, []byte) []byte {
 	switch n.op {
 	case opConcat:
@@ -245,7 +247,7 @@
 	return func(r *Record, dst []byte) []byte { return append(dst, a(r).Text...) }
 }
 
-// hashed adds the hash of a text, as 16 hex digits.
+// appendHash appends the XXH3 hash of a text as 16 hexadecimal digits.
 func appendHash(dst, text []byte) []byte {
 	hash := xxh3.Hash(text)
 	for shift := 60; shift >= 0; shift -= 4 {
--- a/internal/match/define.go
+++ b/internal/match/define.go
@@ -8,19 +8,19 @@
 	"cel.dev/cel-go/common/ast"
 )
 
-// Definition is an expression with a name, to be used in others.
+// Definition is a named expression that other expressions use by its name.
 type Definition struct{ Name, Source string }
 
-// DefinitionFault is a fault of one named expression.
+// DefinitionError is an error in a definition.
 type DefinitionError struct {
 	Name string
 	Err  *ExprError
 }
 
-func (f *DefinitionError) Error() string { return f.Name + ": " + f.Err.Error() }
+func (e *DefinitionError) Error() string { return e.Name + ": " + e.Err.Error() }
 
-// definition is one as checked. How deep in loops it stands where it is used says which elements are its own, so that it
-// is kept once for each depth.
+// definition is a checked definition. Loop variables are numbered by nesting depth, so the definition has a tree for each
+// depth at which it can be used.
 type definition struct {
 	outputType *cel.Type
 	nodes      [maxNestedLoops + 1]*node
@@ -29,49 +29,49 @@
 
 const maxDefinitions = 1024
 
-// taken says that a name is declared as something.
+// isDeclared reports whether a name is that of an attribute, a unit, a type or a definition.
 func (c *Compiler) isDeclared(name string) bool {
 	_, isAttribute := c.schema.slots[name]
 	_, isUnit := c.units[name]
 	return isAttribute || isUnit || c.types[name] != nil || c.definitions[name] != nil
 }
 
-// Define checks named expressions, each after those that it names. All faults come back, each expression's own. It is
-// called before anything else is checked.
-func (c *Compiler) Define(all []Definition) (errs []error) {
+// Define checks and adds definitions, each after those that it uses. It returns a *DefinitionError for each definition
+// that has an error. Define must return before any other expression is checked.
+func (c *Compiler) Define(definitions []Definition) (errs []error) {
 	addError := func(d *Definition, err error) { errs = append(errs, &DefinitionError{d.Name, err.(*ExprError)}) }
-	if len(all) > maxDefinitions {
-		addError(&all[maxDefinitions], &ExprError{1, 1, "found more than 1024 named expressions, expected at most that"})
+	if len(definitions) > maxDefinitions {
+		addError(&definitions[maxDefinitions], &ExprError{1, 1, "found more than 1024 named expressions, expected at most 1024"})
 		return errs
 	}
 	indexes := map[string]int{}
-	for i := range all {
-		d := &all[i]
+	for i := range definitions {
+		d := &definitions[i]
 		if _, isDuplicate := indexes[d.Name]; isDuplicate || !isName(d.Name) || c.isDeclared(d.Name) {
-			addError(d, &ExprError{1, 1, "found a name that is taken or none, expected a new one of letters, digits and _"})
+			addError(d, &ExprError{1, 1, "found a name that is declared already or invalid, expected a new one of letters, digits and _"})
 			continue
 		}
 		indexes[d.Name] = i
 	}
-	uses := make([][]int, len(all))
+	uses := make([][]int, len(definitions))
 	for _, i := range indexes {
-		for _, used := range c.referencedNames(all[i].Source) {
-			if j, ok := indexes[used]; ok {
-				uses[i] = append(uses[i], j)
+		for _, name := range c.referencedNames(definitions[i].Source) {
+			if used, ok := indexes[name]; ok {
+				uses[i] = append(uses[i], used)
 			}
 		}
 	}
-	for level, remaining := 0, indexes; len(remaining) > 0; level++ { // those that name nothing unchecked, then those that name these
+	for level, remaining := 0, indexes; len(remaining) > 0; level++ { // each level uses definitions of earlier levels only
 		var ready []int
 		for _, i := range remaining {
-			if !slices.ContainsFunc(uses[i], func(j int) bool { _, isRemaining := remaining[all[j].Name]; return isRemaining }) {
+			if !slices.ContainsFunc(uses[i], func(used int) bool { _, isRemaining := remaining[definitions[used].Name]; return isRemaining }) {
 				ready = append(ready, i)
 			}
 		}
 		if len(ready) == 0 {
 			for _, i := range remaining {
-				if path := findCycle(i, uses, all); path != "" {
-					addError(&all[i], &ExprError{1, 1, "found a cycle, " + path + ", expected none"})
+				if path := findCycle(i, uses, definitions); path != "" {
+					addError(&definitions[i], &ExprError{1, 1, "found a cycle, " + path + ", expected none"})
 				}
 			}
 			break
@@ -79,21 +79,21 @@
 		slices.Sort(ready)
 		var variables []cel.EnvOption
 		for _, i := range ready {
-			delete(remaining, all[i].Name)
-			d, err := c.checkDefinition(all[i].Source)
+			delete(remaining, definitions[i].Name)
+			d, err := c.checkDefinition(definitions[i].Source)
 			if err != nil {
-				addError(&all[i], err)
+				addError(&definitions[i], err)
 				continue
 			}
-			c.definitions[all[i].Name] = d
-			variables = append(variables, cel.Variable(all[i].Name, d.outputType))
+			c.definitions[definitions[i].Name] = d
+			variables = append(variables, cel.Variable(definitions[i].Name, d.outputType))
 		}
 		if len(variables) == 0 {
 			continue
 		}
 		env, err := c.env.Extend(variables...)
 		if err != nil {
-			addError(&all[ready[0]], &ExprError{1, 1, err.Error()})
+			addError(&definitions[ready[0]], &ExprError{1, 1, err.Error()})
 			break
 		}
 		c.env = env
@@ -103,7 +103,7 @@
 	return errs
 }
 
-// Cost is what a named expression takes at the most, in steps; 0 for one that has a fault.
+// Cost returns the worst-case number of steps of a definition, 0 if the definition has an error.
 func (c *Compiler) Cost(name string) int64 {
 	if d := c.definitions[name]; d != nil {
 		return d.nodes[0].cost
@@ -111,8 +111,8 @@
 	return 0
 }
 
-// names are those that a text mentions, elements of its loops and members of sets left out. A text that does not parse
-// mentions none: its check says what is wrong with it.
+// referencedNames returns the names in an expression, without its loop variables. For a member of a set it returns the
+// name of the set. It returns none for an expression that does not parse: checkDefinition reports the error.
 func (c *Compiler) referencedNames(source string) (names []string) {
 	parsed, issues := c.env.Parse(source)
 	if issues != nil && issues.Err() != nil {
@@ -130,15 +130,15 @@
 	return slices.DeleteFunc(names, func(n string) bool { return loopVariables[n] })
 }
 
-// cycle is a way from an expression back to itself, empty if there is none.
-func findCycle(start int, uses [][]int, all []Definition) string {
+// findCycle returns the shortest path of uses from a definition back to itself, empty if there is none.
+func findCycle(start int, uses [][]int, definitions []Definition) string {
 	previous := map[int]int{}
 	for queue := []int{start}; len(queue) > 0; queue = queue[1:] {
 		for _, next := range uses[queue[0]] {
 			if next == start {
-				path := all[start].Name
+				path := definitions[start].Name
 				for at := queue[0]; ; at = previous[at] {
-					path = all[at].Name + " -> " + path
+					path = definitions[at].Name + " -> " + path
 					if at == start {
 						return path
 					}
@@ -153,6 +153,8 @@
 	return ""
 }
 
+// checkDefinition checks the source of a definition and builds its tree for each nesting depth. An error at depth 0 is an
+// error of the definition; errors at other depths are reported where it is used.
 func (c *Compiler) checkDefinition(source string) (*definition, error) {
 	checked, err := c.parse(source)
 	if err != nil {
--- a/internal/match/define_test.go
+++ b/internal/match/define_test.go
@@ -56,11 +56,11 @@
 	}{
 		{[]Definition{{"a", "b && urgent"}, {"b", "c"}, {"c", "!a"}}, "a: 1:1: found a cycle, a -> b -> c -> a"},
 		{[]Definition{{"a", "a"}}, "found a cycle, a -> a"}, {doubled, "most of it in d"},
-		{[]Definition{{"urgent", "true"}}, "a name that is taken"}, {[]Definition{{"site", "true"}}, "a name that is taken"},
-		{[]Definition{{"celsius", "true"}}, "a name that is taken"}, {[]Definition{{"a", "true"}, {"a", "true"}}, "a name that is taken"},
-		{[]Definition{{"a-b", "true"}}, "a name that is taken or none"}, {[]Definition{{"a", "urgent && "}}, "a: 1:11: Syntax error"},
+		{[]Definition{{"urgent", "true"}}, "a name that is declared already"}, {[]Definition{{"site", "true"}}, "a name that is declared already"},
+		{[]Definition{{"celsius", "true"}}, "a name that is declared already"}, {[]Definition{{"a", "true"}, {"a", "true"}}, "a name that is declared already"},
+		{[]Definition{{"a-b", "true"}}, "a name that is declared already or invalid"}, {[]Definition{{"a", "urgent && "}}, "a: 1:11: Syntax error"},
 		{[]Definition{{"cold", "true"}, {"x", `tags.exists(cold, cold == "a")`}}, "found cold for an element"},
-		{[]Definition{{"аge", "true"}}, "a name that is taken or none"}, // the first letter is Cyrillic
+		{[]Definition{{"аge", "true"}}, "a name that is declared already or invalid"}, // the first letter is Cyrillic
 	} {
 		_, c := testCompiler(t, 2_000)
 		if got := fmt.Sprint(c.Define(x.all)); !strings.Contains(got, x.want) {
--- a/internal/match/explain.go
+++ b/internal/match/explain.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// infix are the operators that stand between their two sides.
+// infixOperators holds the operators that are written between their two operands.
 var infixOperators = [opAll + 1]string{opAnd: "&&", opOr: "||", opEqual: "==", opNotEqual: "!=", opLess: "<", opLessEqual: "<=", opConcat: "+"}
 
-// text writes a node in the language, so that nodes that mean different things read differently. Named expressions
-// stand by their names or in full.
+// source returns a node as an expression of the language. Nodes with different meanings have different sources.
+// Definitions appear by their names if useNames is true, and in full otherwise.
 func (n *node) source(useNames bool) string {
 	if n.definition != "" && useNames {
 		return n.definition
@@ -49,7 +49,7 @@
 		}
 		return fmt.Sprintf("%s.%s(element%d, %s)", arg(0), macro, n.index, arg(1))
 	}
-	operand := func(i int) string { // of another operator, in brackets
+	operand := func(i int) string { // in parentheses if needed
 		if a := n.args[i]; infixOperators[a.op] != "" && (a.definition == "" || !useNames) && (a.op != n.op || i > 0) {
 			return "(" + arg(i) + ")"
 		}
@@ -58,15 +58,15 @@
 	return operand(0) + " " + infixOperators[n.op] + " " + operand(1)
 }
 
-// Miss says why a route did not match: the first part of its conjunction that does not hold, and what the attributes
-// of that part are.
+// Miss describes why a route does not match a record.
 type Miss struct {
 	Route    int
-	Conjunct string
-	Values   string
+	Conjunct string // source of the first conjunct that does not hold
+	Values   string // values of the attributes in the conjunct
 }
 
-// Misses are the routes before one, each with why it did not match. All of them with -1.
+// Misses returns a Miss for each route before the given one that does not match, or for each route that does not match
+// if before is -1.
 func (t *Table) Misses(r *Record, before int) (misses []Miss) {
 	if before < 0 {
 		before = len(t.predicates)
@@ -91,7 +91,7 @@
 	return misses
 }
 
-// attributes adds the places of those that a node names.
+// attributeSlots appends the schema slots of the attributes in a node to slots, each once.
 func (n *node) attributeSlots(slots []int) []int {
 	if n.op == opAttribute && !slices.Contains(slots, n.index) {
 		slots = append(slots, n.index)
@@ -102,19 +102,20 @@
 	return slots
 }
 
-// Cost is what a route's parts take at the most, in steps, and the most bytes of its key.
+// Cost returns the worst-case numbers of steps of a route's condition and key, and the greatest length of the key in
+// bytes.
 func (t *Table) Cost(route int) (when, key int64, bytes int) { return t.compiled[route].Cost() }
 
-// Shape is one dimension of a table's index.
+// DimensionInfo describes one dimension of a table's index.
 type DimensionInfo struct {
 	Attribute string
 	Lookup    string
-	Routes    int // that it can rule out
+	Routes    int // that the dimension can rule out
 	Rows      int
 	Bytes     int
 }
 
-// Shapes are those of the whole index.
+// Dimensions describes the dimensions of the index.
 func (t *Table) Dimensions() (infos []DimensionInfo) {
 	for i := range t.dimensions {
 		d := &t.dimensions[i]
--- a/internal/match/table.go
+++ b/internal/match/table.go
@@ -11,41 +11,42 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Route says what becomes of the transactions that match it.
+// Route gives the transactions that match its condition a profile, an account and a key.
 type Route struct {
 	Name    string
-	When    string // true or false
-	Key     string // a text; empty: none
+	When    string // source of the condition
+	Key     string // source of the key, empty for no key
 	Profile int
 	Account int
 }
 
-// Table is routes in order, compiled and indexed: its answer is always that of the first that matches.
+// Table is a list of compiled routes with an index. The first route that matches a record applies.
 type Table struct {
 	Schema      *Schema
-	Needs       []bool // by attribute: some route names it, or it must be there. Others need not be put into records
+	Needs       []bool // by schema slot: whether records need the attribute, because a route uses it or it is required
 	Routes      []Route
-	Unreachable []UnreachableRoute // routes that no transaction can reach
+	Unreachable []UnreachableRoute
 	predicates  []*Predicate
 	dimensions  []dimension
-	rowWords    int
+	rowWords    int // 64-bit words of a row of the index
 
 	compiled []*CompiledRoute
 }
 
-// Cover is a route that an earlier one covers.
+// UnreachableRoute is a route that never applies, because an earlier route matches all that it matches. Both are indexes
+// into Table.Routes.
 type UnreachableRoute struct{ Route, CoveredBy int }
 
-// RouteFault is a fault of one route.
+// RouteError is an error in an expression of a route.
 type RouteError struct {
 	Name  string
 	Field string // "when" or "key"
 	Err   *ExprError
 }
 
-func (f *RouteError) Error() string { return fmt.Sprintf("route %s, %s: %v", f.Name, f.Field, f.Err) }
+func (e *RouteError) Error() string { return fmt.Sprintf("route %s, %s: %v", e.Name, e.Field, e.Err) }
 
-// Compiled is a route that was checked by itself.
+// CompiledRoute is a route that is ready to be added to a table.
 type CompiledRoute struct {
 	route     Route
 	when      *Predicate
@@ -53,56 +54,57 @@
 	conjuncts []*node
 }
 
-// Compile checks and compiles a route. Several may be compiled at the same time; most of a load's time goes here.
-func (c *Compiler) CompileRoute(r Route) (*CompiledRoute, error) {
-	when, err := c.Predicate(r.When)
+// CompileRoute checks and compiles a route; its error is a *RouteError. It may be called concurrently: compiling routes
+// takes most of the time of loading a table.
+func (c *Compiler) CompileRoute(route Route) (*CompiledRoute, error) {
+	when, err := c.Predicate(route.When)
 	if err != nil {
-		return nil, &RouteError{r.Name, "when", err.(*ExprError)}
+		return nil, &RouteError{route.Name, "when", err.(*ExprError)}
 	}
-	x := &CompiledRoute{route: r, when: when, conjuncts: flatten(when.tree, opAnd, nil)}
-	if r.Key != "" {
-		if x.key, err = c.Key(r.Key); err != nil {
-			return nil, &RouteError{r.Name, "key", err.(*ExprError)}
+	compiled := &CompiledRoute{route: route, when: when, conjuncts: flatten(when.tree, opAnd, nil)}
+	if route.Key != "" {
+		if compiled.key, err = c.Key(route.Key); err != nil {
+			return nil, &RouteError{route.Name, "key", err.(*ExprError)}
 		}
 	}
-	return x, nil
+	return compiled, nil
 }
 
-// named are the places of the attributes that it names.
-func (x *CompiledRoute) attributeSlots() []int {
-	slots := x.when.tree.attributeSlots(nil)
-	if x.key != nil {
-		slots = x.key.tree.attributeSlots(slots)
+// attributeSlots returns the schema slots of the attributes that the route uses.
+func (r *CompiledRoute) attributeSlots() []int {
+	slots := r.when.tree.attributeSlots(nil)
+	if r.key != nil {
+		slots = r.key.tree.attributeSlots(slots)
 	}
 	return slots
 }
 
-// Cost is what its parts take at the most, in steps, and the most bytes of its key.
-func (x *CompiledRoute) Cost() (whenCost, keyCost int64, maxKeyBytes int) {
-	if x.key != nil {
-		keyCost, maxKeyBytes = x.key.Cost, x.key.MaxLength
+// Cost returns the worst-case numbers of steps of the condition and the key, and the greatest length of the key in bytes.
+func (r *CompiledRoute) Cost() (whenCost, keyCost int64, maxKeyBytes int) {
+	if r.key != nil {
+		keyCost, maxKeyBytes = r.key.Cost, r.key.MaxLength
 	}
-	return x.when.Cost, keyCost, maxKeyBytes
+	return r.when.Cost, keyCost, maxKeyBytes
 }
 
-// NewTable indexes routes that were compiled by one checker, in their order.
+// NewTable returns a table of routes, in the order given. All routes must have been compiled by c.
 func NewTable(c *Compiler, routes []*CompiledRoute) *Table {
 	t := &Table{Schema: c.schema, Needs: make([]bool, len(c.schema.Attributes)), rowWords: (len(routes) + 63) / 64}
 	for _, slot := range c.schema.required {
 		t.Needs[slot] = true
 	}
-	for _, x := range routes {
-		for _, slot := range x.attributeSlots() {
+	for _, route := range routes {
+		for _, slot := range route.attributeSlots() {
 			t.Needs[slot] = true
 		}
-		t.Routes, t.compiled, t.predicates = append(t.Routes, x.route), append(t.compiled, x), append(t.predicates, x.when)
+		t.Routes, t.compiled, t.predicates = append(t.Routes, route.route), append(t.compiled, route), append(t.predicates, route.when)
 	}
 	t.buildIndex()
 	t.findUnreachable()
 	return t
 }
 
-// First is the first route that matches, -1 if none does.
+// FirstMatch returns the index of the first route that matches a record, -1 if none does.
 func (t *Table) FirstMatch(r *Record) int {
 	var rows [maxDimensions][]uint64
 	for i := range t.dimensions {
@@ -126,7 +128,7 @@
 	return -1
 }
 
-// AppendKey adds the key that a route makes of a record.
+// AppendKey appends the key that a route gives a record to dst.
 func (t *Table) AppendKey(route int, dst []byte, r *Record) []byte {
 	if k := t.compiled[route].key; k != nil {
 		return k.Append(dst, r)
@@ -134,29 +136,30 @@
 	return dst
 }
 
-// The index. A dimension is one attribute, seen in one way: it gives, for a value, a row with a bit for each route that
-// this value does not rule out. The rows of all dimensions are intersected word by word, and what is left is evaluated,
-// so that a row may say too much but never too little.
-
+// The index of a table has up to maxDimensions dimensions. A dimension is an attribute with a kind of lookup. For a value
+// of the attribute it holds a row: a bitmap of the routes that the value does not rule out. FirstMatch intersects the rows
+// of all dimensions and evaluates the remaining routes in order. A row may therefore have bits for routes that do not
+// match, but must have the bits of all that do.
 const (
 	maxDimensions = 16
-	bucketCount   = 256 // rows of a dimension, beside that for missing values
+	bucketCount   = 256 // rows of a dimension, without the row for a missing value
 )
 
+// lookup is how a dimension finds the row for a value.
 type lookup uint8
 
 const (
-	byEqual  lookup = iota // hash of the value
-	byRange                // segment between bounds
-	byPrefix               // hash of the first two bytes
+	byEqual  lookup = iota // by the hash of the value
+	byRange                // by the interval between bounds that the value is in
+	byPrefix               // by the hash of the first two bytes
 )
 
 type dimension struct {
 	slot       int
 	lookup     lookup
 	kind       Kind
-	routeCount int       // that it is said in
-	bounds     []float64 // byRange, rising
+	routeCount int       // constraints on the attribute, about one per route
+	bounds     []float64 // byRange, ascending
 	rows       [][]uint64
 	missingRow []uint64
 }
@@ -197,7 +200,7 @@
 	return float64(v.Int)
 }
 
-// prefixBucket puts texts of fewer than two bytes together.
+// prefixBucket returns the bucket of a text's first two bytes. Shorter texts share bucket 0.
 func prefixBucket(s string) int {
 	if len(s) < 2 {
 		return 0
@@ -205,15 +208,15 @@
 	return int((uint(s[0])*31+uint(s[1]))%(bucketCount-1)) + 1
 }
 
-// atom is what a part of a conjunction says of one attribute, for the index.
+// constraint is what a conjunct requires of one attribute.
 type constraint struct {
 	slot   int
 	lookup lookup
-	values []Value // byEqual: one of these; byPrefix: begins with the first
-	lo, hi float64 // byRange: within, both included
+	values []Value // byEqual: the attribute is one of them; byPrefix: it begins with the first
+	lo, hi float64 // byRange: bounds, inclusive
 }
 
-// atomsOf reads a part of a conjunction. What it can't read says nothing.
+// constraintsOf returns the constraints of a conjunct, none for a conjunct of a form that the index does not support.
 func constraintsOf(n *node) []constraint {
 	isAttribute := func(n *node) bool { return n.op == opAttribute }
 	isConstant := func(n *node) bool { return n.op == opConst }
@@ -256,12 +259,13 @@
 	return nil
 }
 
+// buildIndex builds the dimensions that have the most constraints.
 func (t *Table) buildIndex() {
-	type view struct {
-		at  int
-		way lookup
+	type slotLookup struct {
+		slot   int
+		lookup lookup
 	}
-	counts, usesPrefix := map[view]int{}, map[int]bool{}
+	counts, usesPrefix := map[slotLookup]int{}, map[int]bool{}
 	constraints := make([][]constraint, len(t.predicates))
 	for i := range t.predicates {
 		for _, part := range t.compiled[i].conjuncts {
@@ -271,27 +275,27 @@
 				usesPrefix[found[0].slot] = true
 			}
 		}
-		for _, a := range constraints[i] {
-			counts[view{a.slot, a.lookup}]++
+		for _, c := range constraints[i] {
+			counts[slotLookup{c.slot, c.lookup}]++
 		}
 	}
-	var views []view
+	var candidates []slotLookup
 	for v := range counts {
-		if v.way != byPrefix || usesPrefix[v.at] { // of equalities alone, prefixes tell nothing new
-			views = append(views, v)
+		if v.lookup != byPrefix || usesPrefix[v.slot] { // without a startsWith, prefixes rule out no more than equality does
+			candidates = append(candidates, v)
 		}
 	}
-	slices.SortFunc(views, func(a, b view) int { // those that most routes speak of; ties by place
-		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a.at, b.at), cmp.Compare(a.way, b.way))
+	slices.SortFunc(candidates, func(c, b slotLookup) int { // by number of constraints, descending
+		return cmp.Or(cmp.Compare(counts[b], counts[c]), cmp.Compare(c.slot, b.slot), cmp.Compare(c.lookup, b.lookup))
 	})
-	for _, v := range views[:min(len(views), maxDimensions)] {
-		d := dimension{slot: v.at, lookup: v.way, kind: t.Schema.Attributes[v.at].Type.Kind, routeCount: counts[v]}
-		if v.way == byRange {
+	for _, v := range candidates[:min(len(candidates), maxDimensions)] {
+		d := dimension{slot: v.slot, lookup: v.lookup, kind: t.Schema.Attributes[v.slot].Type.Kind, routeCount: counts[v]}
+		if v.lookup == byRange {
 			var bounds []float64
 			for i := range constraints {
-				for _, a := range constraints[i] {
-					if a.slot == v.at && a.lookup == byRange {
-						bounds = append(bounds, a.lo, a.hi)
+				for _, c := range constraints[i] {
+					if c.slot == v.slot && c.lookup == byRange {
+						bounds = append(bounds, c.lo, c.hi)
 					}
 				}
 			}
@@ -302,7 +306,7 @@
 				d.bounds = append(d.bounds, bounds[i])
 			}
 		}
-		unconstrained := make([]uint64, t.rowWords) // routes of which this dimension rules nothing out
+		unconstrained := make([]uint64, t.rowWords) // routes without a constraint in this dimension
 		rows := make([][]uint64, bucketCount)
 		for i := range rows {
 			rows[i] = make([]uint64, t.rowWords)
@@ -310,20 +314,20 @@
 		for i := range t.predicates {
 			w, bit := i/64, uint64(1)<<(i%64)
 			constrained, allowed := false, [bucketCount]bool{}
-			for _, a := range constraints[i] {
-				if a.slot != v.at || a.lookup != v.way {
+			for _, c := range constraints[i] {
+				if c.slot != v.slot || c.lookup != v.lookup {
 					continue
 				}
 				var matching [bucketCount]bool
-				switch a.lookup {
+				switch c.lookup {
 				case byRange:
-					lo, hi := d.bucket(d.valueOf(a.lo)), d.bucket(d.valueOf(a.hi))
+					lo, hi := d.bucket(d.valueOf(c.lo)), d.bucket(d.valueOf(c.hi))
 					for b := lo; b <= hi; b++ {
 						matching[b] = true
 					}
 				default:
-					for j := range a.values {
-						matching[d.bucket(&a.values[j])] = true
+					for j := range c.values {
+						matching[d.bucket(&c.values[j])] = true
 					}
 				}
 				for b := range allowed {
@@ -345,8 +349,8 @@
 	}
 }
 
-// value is a figure as a value of the dimension's kind. Whole numbers beyond what a figure holds exactly fall into the
-// same segment as their neighbours or the next, so bounds are taken a segment wider there.
+// valueOf returns a bound as a value of the dimension's kind. Beyond 2^53 several integers have the same float64, so the
+// buckets of a range can include more values than the range does there, never fewer.
 func (d *dimension) valueOf(x float64) *Value {
 	switch {
 	case d.kind == Measure:
@@ -359,27 +363,27 @@
 	return &Value{Present: true, Int: int64(x)}
 }
 
-// cover finds routes that an earlier one covers: each part of that one's conjunction follows from a part of theirs. It
-// finds no cover by several routes together.
+// findUnreachable finds routes that an earlier route covers: each conjunct of the earlier route follows from a conjunct of
+// the later one. It does not find routes that several earlier routes cover only together.
 func (t *Table) findUnreachable() {
-	type part struct {
-		n     *node
-		text  int // parts of one number mean the same
-		atoms []constraint
-	}
-	type value struct {
-		at   int
-		num  int64
-		text string
-	}
-	sourceIDs, parts, masks := map[string]int{}, make([][]part, len(t.predicates)), make([]uint64, len(t.predicates))
-	valueCounts := map[value]int{}
-	singleValue := func(p part) (value, bool) {
-		if len(p.atoms) == 0 || p.atoms[0].lookup != byEqual || len(p.atoms[0].values) != 1 {
-			return value{}, false
+	type conjunct struct {
+		node        *node
+		sourceID    int // equal for conjuncts with the same source
+		constraints []constraint
+	}
+	type attributeValue struct {
+		slot   int
+		number int64
+		text   string
+	}
+	sourceIDs, parts, masks := map[string]int{}, make([][]conjunct, len(t.predicates)), make([]uint64, len(t.predicates))
+	valueCounts := map[attributeValue]int{}
+	singleValue := func(p conjunct) (attributeValue, bool) { // the only value that a conjunct allows its attribute
+		if len(p.constraints) == 0 || p.constraints[0].lookup != byEqual || len(p.constraints[0].values) != 1 {
+			return attributeValue{}, false
 		}
-		v := &p.atoms[0].values[0]
-		return value{p.atoms[0].slot, v.Int, v.Text}, true
+		v := &p.constraints[0].values[0]
+		return attributeValue{p.constraints[0].slot, v.Int, v.Text}, true
 	}
 	for i := range t.predicates {
 		for _, n := range t.compiled[i].conjuncts {
@@ -387,24 +391,25 @@
 			if sourceIDs[source] == 0 {
 				sourceIDs[source] = len(sourceIDs) + 1
 			}
-			p := part{n, sourceIDs[source], constraintsOf(n)}
+			p := conjunct{n, sourceIDs[source], constraintsOf(n)}
 			parts[i], masks[i] = append(parts[i], p), masks[i]|n.attributeMask()
 			if v, ok := singleValue(p); ok {
 				valueCounts[v]++
 			}
 		}
 	}
-	// A route that wants one value can cover only routes that want the same: they are kept by their rarest value.
-	byRarestValue, withoutValue := map[value][]int{}, []int(nil)
+	// A route that requires an attribute to have one value covers only routes that require the same. Such routes are listed
+	// by the rarest value that they require, the others in withoutValue.
+	byRarestValue, withoutValue := map[attributeValue][]int{}, []int(nil)
 	covers := func(i, j int) bool {
 		if masks[i]&^masks[j] != 0 {
 			return false
 		}
 		for _, want := range parts[i] {
-			follows := isAlwaysTrue(want.n)
-			for b := 0; b < len(parts[j]) && !follows; b++ {
-				hasValue := &parts[j][b]
-				follows = hasValue.text == want.text || implies(hasValue.n, want.n, hasValue.atoms, want.atoms)
+			follows := isAlwaysTrue(want.node)
+			for k := 0; k < len(parts[j]) && !follows; k++ {
+				given := &parts[j][k]
+				follows = given.sourceID == want.sourceID || implies(given.node, want.node, given.constraints, want.constraints)
 			}
 			if !follows {
 				return false
@@ -422,7 +427,7 @@
 			}
 		}
 		tryCovering(withoutValue)
-		rarest, hasValue := value{}, false
+		rarest, hasValue := attributeValue{}, false
 		for _, p := range parts[j] {
 			if v, ok := singleValue(p); ok {
 				tryCovering(byRarestValue[v])
@@ -444,38 +449,38 @@
 
 func isAlwaysTrue(n *node) bool { return n.op == opConst && n.value.Int == 1 }
 
-// implies says that where the first holds the second does. False says nothing.
-func implies(first, second *node, firstConstraints, secondConstraints []constraint) bool {
-	if len(firstConstraints) == 0 || len(secondConstraints) == 0 || firstConstraints[0].slot != secondConstraints[0].slot || firstConstraints[0].lookup != secondConstraints[0].lookup {
-		if len(firstConstraints) == 2 && len(secondConstraints) == 1 && firstConstraints[1].slot == secondConstraints[0].slot && secondConstraints[0].lookup == byPrefix { // equal to what has the prefix
-			return strings.HasPrefix(firstConstraints[1].values[0].Text, secondConstraints[0].values[0].Text)
+// implies reports whether the second conjunct certainly holds where the first does.
+func implies(first, second *node, have, want []constraint) bool {
+	if len(have) == 0 || len(want) == 0 || have[0].slot != want[0].slot || have[0].lookup != want[0].lookup {
+		if len(have) == 2 && len(want) == 1 && have[1].slot == want[0].slot && want[0].lookup == byPrefix { // a text that begins with the prefix
+			return strings.HasPrefix(have[1].values[0].Text, want[0].values[0].Text)
 		}
 		return false
 	}
-	x, y := firstConstraints[0], secondConstraints[0]
-	switch x.lookup {
+	a, b := have[0], want[0]
+	switch a.lookup {
 	case byEqual:
-		for _, v := range x.values {
-			if !slices.ContainsFunc(y.values, func(w Value) bool { return w.Int == v.Int && w.Text == v.Text }) {
+		for _, v := range a.values {
+			if !slices.ContainsFunc(b.values, func(w Value) bool { return w.Int == v.Int && w.Text == v.Text }) {
 				return false
 			}
 		}
 		return true
 	case byPrefix:
-		return strings.HasPrefix(x.values[0].Text, y.values[0].Text)
+		return strings.HasPrefix(a.values[0].Text, b.values[0].Text)
 	}
-	for _, bound := range []float64{x.lo, x.hi, y.lo, y.hi} { // whole numbers that figures do not tell apart
+	for _, bound := range []float64{a.lo, a.hi, b.lo, b.hi} { // integers that may have the same float64 as others
 		if !math.IsInf(bound, 0) && math.Abs(bound) >= 1<<52 && first.args[0].valueType.Kind != Measure {
 			return false
 		}
 	}
 	isStrict := func(n *node) bool { return n.op == opLess }
-	inside := y.lo <= x.lo && x.hi <= y.hi
-	touches := x.lo == y.lo && !math.IsInf(x.lo, 0) || x.hi == y.hi && !math.IsInf(x.hi, 0)
+	inside := b.lo <= a.lo && a.hi <= b.hi
+	touches := a.lo == b.lo && !math.IsInf(a.lo, 0) || a.hi == b.hi && !math.IsInf(a.hi, 0)
 	return inside && (!touches || isStrict(first) || !isStrict(second))
 }
 
-// mask has a bit for each attribute that a node names, by its place modulo 64.
+// attributeMask returns a bitmap of the schema slots of the attributes in a node, modulo 64.
 func (n *node) attributeMask() (m uint64) {
 	if n.op == opAttribute {
 		m = 1 << (n.index % 64)
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -84,7 +84,7 @@
 		{`unit "kg" {}`, "unit \"kg\" {\n scale = 2\n}", 0, `figures are kept in the first unit`},
 		{`cost_limit = 600`, `cost_limit = 3`, 0, `found a cost of`}, {`cost_limit = 600`, `cost_limit = 0`, 0, `cost_limit: found 0`},
 		{`most           = 32`, `most = 2000`, 0, `found a key of up to 2000 bytes, expected at most 1024`},
-		{`let "cold" {`, `let "temp" {`, 0, `is: found a name that is taken`},
+		{`let "cold" {`, `let "temp" {`, 0, `is: found a name that is declared already`},
 		{`  is = "temp < celsius(8)"`, `  is = "!cold"`, 9, "is: found a cycle, cold -> cold"},
 		{`matching {`, `matchin {`, 1, `block matchin: unknown in the file`}, {`list           = 6`, `list = 0`, 0, `list: found 0`},
 		{`with  = { size = 1 }`, `with = { temp = { a = 1 } }`, 0, `with: found a object as temp`}, {`with  = { size = 1 }`, `with = 3`, 0, `with: found 3`},
