--- a/internal/hclread/guard.go
+++ b/internal/hclread/guard.go
@@ -15,7 +15,7 @@
 
 // tooDeep finds the line in which a source goes beyond the bounds, 0 if it does not. HCL's own scanner, which it asks,
 // goes down nowhere.
-func tooDeep(source []byte) (line int, what string) {
+func checkNesting(source []byte) (line int, message string) {
 	tokens, _ := hclsyntax.LexConfig(source, "", hcl.InitialPos)
 	type level struct {
 		open      hclsyntax.TokenType
@@ -23,9 +23,9 @@
 	}
 	levels, operators := []level{{open: hclsyntax.TokenOBrace}}, 0
 	for _, t := range tokens {
-		last := &levels[len(levels)-1]
+		current := &levels[len(levels)-1]
 		if t.Type == hclsyntax.TokenTemplateControl { // an if or for of a template, which goes on after its own braces
-			last.operators++
+			current.operators++
 			operators++
 		}
 		switch t.Type {
@@ -35,19 +35,19 @@
 		case hclsyntax.TokenCParen, hclsyntax.TokenCBrack, hclsyntax.TokenCBrace, hclsyntax.TokenCQuote, hclsyntax.TokenCHeredoc,
 			hclsyntax.TokenTemplateSeqEnd:
 			if len(levels) > 1 {
-				operators -= last.operators
+				operators -= current.operators
 				levels = levels[:len(levels)-1]
 			}
 		case hclsyntax.TokenComma, hclsyntax.TokenNewline: // an expression ends, but a line alone ends none within brackets
-			if t.Type == hclsyntax.TokenComma || last.open == hclsyntax.TokenOBrace {
-				operators -= last.operators
-				last.operators = 0
+			if t.Type == hclsyntax.TokenComma || current.open == hclsyntax.TokenOBrace {
+				operators -= current.operators
+				current.operators = 0
 			}
 		case hclsyntax.TokenBang, hclsyntax.TokenMinus, hclsyntax.TokenQuestion, hclsyntax.TokenPlus, hclsyntax.TokenStar,
 			hclsyntax.TokenSlash, hclsyntax.TokenPercent, hclsyntax.TokenLessThan, hclsyntax.TokenGreaterThan, hclsyntax.TokenLessThanEq,
 			hclsyntax.TokenGreaterThanEq, hclsyntax.TokenEqualOp, hclsyntax.TokenNotEqual, hclsyntax.TokenAnd, hclsyntax.TokenOr,
 			hclsyntax.TokenDot:
-			last.operators++
+			current.operators++
 			operators++
 		}
 		if len(levels) > maxNesting {
--- a/internal/hclread/read.go
+++ b/internal/hclread/read.go
@@ -52,7 +52,7 @@
 
 // Open reads and parses a file.
 func Open(name string) (*File, error) {
-	source, err := load(name)
+	source, err := readFile(name)
 	if err != nil {
 		return nil, err
 	}
@@ -60,7 +60,7 @@
 }
 
 // load reads a plain file of no more than may be.
-func load(name string) ([]byte, error) {
+func readFile(name string) ([]byte, error) {
 	info, err := os.Stat(name)
 	if err != nil {
 		return nil, err
@@ -80,18 +80,18 @@
 	if err != nil {
 		return nil, err
 	}
-	f.include()
+	f.readIncluded()
 	return f, nil
 }
 
 // parse books faults where they are told to be.
-func parse(name string, source []byte, faults *Issues) (*File, error) {
-	if line, what := tooDeep(source); line > 0 {
-		*faults = append(*faults, Issue{name, line, 1, what})
-		return nil, *faults
+func parse(name string, source []byte, issues *Issues) (*File, error) {
+	if line, what := checkNesting(source); line > 0 {
+		*issues = append(*issues, Issue{name, line, 1, what})
+		return nil, *issues
 	}
 	parsed, diags := hclsyntax.ParseConfig(source, name, hcl.InitialPos)
-	f := &File{Name: name, Source: source, issues: faults}
+	f := &File{Name: name, Source: source, issues: issues}
 	if diags.HasErrors() {
 		for _, d := range diags.Errs() {
 			d, ok := d.(*hcl.Diagnostic)
@@ -109,13 +109,13 @@
 }
 
 // include reads the files that a file names, relative to itself: their blocks count as its own. They name no others.
-func (f *File) include() {
+func (f *File) readIncluded() {
 	if !f.Root.Has("include") {
 		return
 	}
 	for _, name := range f.Root.Texts("include", true) {
 		path := filepath.Join(filepath.Dir(f.Name), name)
-		source, err := load(path)
+		source, err := readFile(path)
 		if err != nil {
 			f.Root.AttributeErrorf("include", "%v", err)
 			continue
@@ -158,45 +158,45 @@
 // Fault books a fault at the place of this block.
 func (b *Body) Errorf(format string, args ...any) { b.errorAt(b.defRange, format, args...) }
 
-func (b *Body) errorAt(at hcl.Range, format string, args ...any) {
+func (b *Body) errorAt(srcRange hcl.Range, format string, args ...any) {
 	*b.file.issues = append(*b.file.issues,
-		Issue{b.file.Name, max(1, at.Start.Line), max(1, at.Start.Column), fmt.Sprintf(format, args...)})
+		Issue{b.file.Name, max(1, srcRange.Start.Line), max(1, srcRange.Start.Column), fmt.Sprintf(format, args...)})
 }
 
 // FaultAt books a fault at one of the block's values.
 func (b *Body) AttributeErrorf(name, format string, args ...any) {
-	at := b.defRange
-	if a, ok := b.body.Attributes[name]; ok {
-		at = a.SrcRange
+	srcRange := b.defRange
+	if attribute, ok := b.body.Attributes[name]; ok {
+		srcRange = attribute.SrcRange
 	}
-	b.errorAt(at, name+": "+format, args...)
+	b.errorAt(srcRange, name+": "+format, args...)
 }
 
 // FaultIn books a fault at a place within one of the block's texts, by line and column from 1 as the text has them.
 func (b *Body) TextErrorf(name string, line, column int, format string, args ...any) {
-	a, ok := b.body.Attributes[name]
+	attribute, ok := b.body.Attributes[name]
 	if !ok {
 		b.AttributeErrorf(name, format, args...)
 		return
 	}
-	at := a.Expr.Range()
-	source := string(b.file.Source[at.Start.Byte:at.End.Byte])
-	text, _ := a.Expr.Value(nil)
+	srcRange := attribute.Expr.Range()
+	source := string(b.file.Source[srcRange.Start.Byte:srcRange.End.Byte])
+	text, _ := attribute.Expr.Value(nil)
 	switch {
 	case strings.HasPrefix(source, "<<") && text.Type() == cty.String: // what differs from the file is the indentation
-		lines, own := strings.Split(source, "\n"), strings.Split(text.AsString(), "\n")
-		if line < len(lines) && line <= len(own) {
-			at.Start.Line += line
-			at.Start.Column = column + max(0, len(lines[line])-len(own[line-1]))
+		lines, textLines := strings.Split(source, "\n"), strings.Split(text.AsString(), "\n")
+		if line < len(lines) && line <= len(textLines) {
+			srcRange.Start.Line += line
+			srcRange.Start.Column = column + max(0, len(lines[line])-len(textLines[line-1]))
 		}
 	case strings.HasPrefix(source, "\""):
-		at.Start.Column += 1 + len([]rune(source[1:][:escaped(source[1:], line, column)]))
+		srcRange.Start.Column += 1 + len([]rune(source[1:][:sourceOffset(source[1:], line, column)]))
 	}
-	b.errorAt(at, name+": "+format, args...)
+	b.errorAt(srcRange, name+": "+format, args...)
 }
 
 // escaped finds where a place of a quoted text is in its source.
-func escaped(source string, line, column int) (i int) {
+func sourceOffset(source string, line, column int) (i int) {
 	for l, c := 1, 1; i < len(source) && (l < line || l == line && c < column); c++ {
 		_, size := utf8.DecodeRuneInString(source[i:])
 		switch rest := source[i:]; {
@@ -221,33 +221,33 @@
 
 // Source is the block as it stands in the file.
 func (b *Body) Source() []byte {
-	r := b.body.Range()
-	return b.file.Source[b.defRange.Start.Byte:r.End.Byte]
+	bodyRange := b.body.Range()
+	return b.file.Source[b.defRange.Start.Byte:bodyRange.End.Byte]
 }
 
 // Blocks are those of a kind, with so many labels each.
-func (b *Body) Blocks(kind string, labels int) (found []*Body) {
+func (b *Body) Blocks(kind string, labels int) (blocks []*Body) {
 	b.known["block "+kind] = true
-	for _, x := range b.body.Blocks {
-		if x.Type != kind {
+	for _, block := range b.body.Blocks {
+		if block.Type != kind {
 			continue
 		}
-		if len(x.Labels) != labels {
-			b.errorAt(x.DefRange(), "block %s has %d labels, expected %d", kind, len(x.Labels), labels)
+		if len(block.Labels) != labels {
+			b.errorAt(block.DefRange(), "block %s has %d labels, expected %d", kind, len(block.Labels), labels)
 			continue
 		}
-		found = append(found, &Body{Kind: kind, Labels: x.Labels, file: b.file, body: x.Body, defRange: x.DefRange(),
+		blocks = append(blocks, &Body{Kind: kind, Labels: block.Labels, file: b.file, body: block.Body, defRange: block.DefRange(),
 			known: map[string]bool{}})
 	}
-	for _, m := range b.included {
-		found = append(found, m.Blocks(kind, labels)...)
+	for _, other := range b.included {
+		blocks = append(blocks, other.Blocks(kind, labels)...)
 	}
-	return found
+	return blocks
 }
 
 // Block is the only one of a kind. If it is missing and must be there, that is a fault; the body that comes back
 // then is empty.
-func (b *Body) Block(kind string, must bool) *Body {
+func (b *Body) Block(kind string, required bool) *Body {
 	all := b.Blocks(kind, 0)
 	if len(all) > 1 {
 		all[1].Errorf("block %s stands twice, expected once", kind)
@@ -255,7 +255,7 @@
 	if len(all) > 0 {
 		return all[0]
 	}
-	if must {
+	if required {
 		b.Errorf("no block %s, expected one", kind)
 	}
 	return &Body{Kind: kind, file: b.file, body: &hclsyntax.Body{}, defRange: b.defRange, known: map[string]bool{}}
@@ -264,31 +264,31 @@
 // Has says whether a value is given.
 func (b *Body) Has(name string) bool { return b.body.Attributes[name] != nil }
 
-func (b *Body) value(name string, must bool, want string) (cty.Value, hcl.Range, bool) {
+func (b *Body) value(name string, required bool, expected string) (cty.Value, hcl.Range, bool) {
 	b.known[name] = true
-	a, ok := b.body.Attributes[name]
+	attribute, ok := b.body.Attributes[name]
 	if !ok {
-		if must {
-			b.Errorf("%s has no %s, expected %s", b.title(), name, want)
+		if required {
+			b.Errorf("%s has no %s, expected %s", b.describe(), name, expected)
 		}
 		return cty.NilVal, b.defRange, false
 	}
-	v, diags := a.Expr.Value(nil)
+	v, diags := attribute.Expr.Value(nil)
 	if diags.HasErrors() || !v.IsWhollyKnown() || v.IsNull() {
-		b.errorAt(a.SrcRange, "%s: found no plain value, expected %s", name, want)
-		return cty.NilVal, a.SrcRange, false
+		b.errorAt(attribute.SrcRange, "%s: found no plain value, expected %s", name, expected)
+		return cty.NilVal, attribute.SrcRange, false
 	}
-	return v, a.SrcRange, true
+	return v, attribute.SrcRange, true
 }
 
-func (b *Body) title() string {
+func (b *Body) describe() string {
 	if b.Kind == "" {
 		return "the file"
 	}
 	return strings.TrimSpace("block " + b.Kind + " " + strings.Join(b.Labels, " "))
 }
 
-func show(v cty.Value) string {
+func formatValue(v cty.Value) string {
 	switch {
 	case v.Type() == cty.String:
 		return fmt.Sprintf("%q", v.AsString())
@@ -302,129 +302,129 @@
 }
 
 // Text is a string that is not empty.
-func (b *Body) Text(name string, must bool, otherwise string) string {
-	v, at, ok := b.value(name, must, "a text")
+func (b *Body) Text(name string, required bool, defaultValue string) string {
+	v, srcRange, ok := b.value(name, required, "a text")
 	if !ok {
-		return otherwise
+		return defaultValue
 	}
 	if v.Type() != cty.String || v.AsString() == "" {
-		b.errorAt(at, "%s: found %s, expected a text", name, show(v))
-		return otherwise
+		b.errorAt(srcRange, "%s: found %s, expected a text", name, formatValue(v))
+		return defaultValue
 	}
 	return v.AsString()
 }
 
 // Phrase is a string that may be empty.
 func (b *Body) TextOrEmpty(name string) string {
-	v, at, ok := b.value(name, true, "a text")
+	v, srcRange, ok := b.value(name, true, "a text")
 	if ok && v.Type() == cty.String {
 		return v.AsString()
 	}
 	if ok {
-		b.errorAt(at, "%s: found %s, expected a text", name, show(v))
+		b.errorAt(srcRange, "%s: found %s, expected a text", name, formatValue(v))
 	}
 	return ""
 }
 
 // Word is one of a few, given as its place among them.
-func (b *Body) Enum(name string, must bool, otherwise int, of ...string) int {
-	want := "one of " + strings.Join(of, ", ")
-	v, at, ok := b.value(name, must, want)
+func (b *Body) Enum(name string, required bool, defaultValue int, names ...string) int {
+	expected := "one of " + strings.Join(names, ", ")
+	v, srcRange, ok := b.value(name, required, expected)
 	if !ok {
-		return otherwise
+		return defaultValue
 	}
 	if v.Type() == cty.String {
-		if i := slices.Index(of, v.AsString()); i >= 0 {
+		if i := slices.Index(names, v.AsString()); i >= 0 {
 			return i
 		}
 	}
-	b.errorAt(at, "%s: found %s, expected %s", name, show(v), want)
-	return otherwise
+	b.errorAt(srcRange, "%s: found %s, expected %s", name, formatValue(v), expected)
+	return defaultValue
 }
 
 // Flag is true or false.
-func (b *Body) Bool(name string, otherwise bool) bool {
-	v, at, ok := b.value(name, false, "true or false")
+func (b *Body) Bool(name string, defaultValue bool) bool {
+	v, srcRange, ok := b.value(name, false, "true or false")
 	if !ok {
-		return otherwise
+		return defaultValue
 	}
 	if v.Type() != cty.Bool {
-		b.errorAt(at, "%s: found %s, expected true or false", name, show(v))
-		return otherwise
+		b.errorAt(srcRange, "%s: found %s, expected true or false", name, formatValue(v))
+		return defaultValue
 	}
 	return v.True()
 }
 
 // Figure is a number between two others, both allowed.
-func (b *Body) Float(name string, must bool, otherwise, least, most float64) float64 {
-	want := fmt.Sprintf("a number from %g to %g", least, most)
-	v, at, ok := b.value(name, must, want)
+func (b *Body) Float(name string, required bool, defaultValue, minValue, maxValue float64) float64 {
+	expected := fmt.Sprintf("a number from %g to %g", minValue, maxValue)
+	v, srcRange, ok := b.value(name, required, expected)
 	if !ok {
-		return otherwise
+		return defaultValue
 	}
-	return b.float(name, v, at, want, otherwise, least, most)
+	return b.checkFloat(name, v, srcRange, expected, defaultValue, minValue, maxValue)
 }
 
-func (b *Body) float(name string, v cty.Value, at hcl.Range, want string, otherwise, least, most float64) float64 {
+func (b *Body) checkFloat(name string, v cty.Value, srcRange hcl.Range, expected string, defaultValue, minValue, maxValue float64) float64 {
 	var x float64
-	if v.Type() != cty.Number || gocty.FromCtyValue(v, &x) != nil || !(x >= least && x <= most) {
-		b.errorAt(at, "%s: found %s, expected %s", name, show(v), want)
-		return otherwise
+	if v.Type() != cty.Number || gocty.FromCtyValue(v, &x) != nil || !(x >= minValue && x <= maxValue) {
+		b.errorAt(srcRange, "%s: found %s, expected %s", name, formatValue(v), expected)
+		return defaultValue
 	}
 	return x
 }
 
 // Whole is a whole number between two others, both allowed.
-func (b *Body) Int(name string, must bool, otherwise, least, most int) int {
-	want := fmt.Sprintf("a whole number from %d to %d", least, most)
-	v, at, ok := b.value(name, must, want)
+func (b *Body) Int(name string, required bool, defaultValue, minValue, maxValue int) int {
+	expected := fmt.Sprintf("a whole number from %d to %d", minValue, maxValue)
+	v, srcRange, ok := b.value(name, required, expected)
 	if !ok {
-		return otherwise
+		return defaultValue
 	}
-	x := b.float(name, v, at, want, float64(otherwise), float64(least), float64(most))
+	x := b.checkFloat(name, v, srcRange, expected, float64(defaultValue), float64(minValue), float64(maxValue))
 	if x != float64(int(x)) {
-		b.errorAt(at, "%s: found %s, expected %s", name, show(v), want)
-		return otherwise
+		b.errorAt(srcRange, "%s: found %s, expected %s", name, formatValue(v), expected)
+		return defaultValue
 	}
 	return int(x)
 }
 
 // Span is a time such as "250ms", between two others.
-func (b *Body) Duration(name string, must bool, otherwise, least, most time.Duration) logic.Micros {
-	want := fmt.Sprintf("a span from %v to %v", least, most)
-	v, at, ok := b.value(name, must, want)
+func (b *Body) Duration(name string, required bool, defaultValue, minValue, maxValue time.Duration) logic.Micros {
+	expected := fmt.Sprintf("a span from %v to %v", minValue, maxValue)
+	v, srcRange, ok := b.value(name, required, expected)
 	if !ok {
-		return logic.Micros(otherwise / time.Microsecond)
+		return logic.Micros(defaultValue / time.Microsecond)
 	}
 	if v.Type() == cty.String {
 		d, err := time.ParseDuration(v.AsString())
-		if err == nil && d >= least && d <= most && d%time.Microsecond == 0 {
+		if err == nil && d >= minValue && d <= maxValue && d%time.Microsecond == 0 {
 			return logic.Micros(d / time.Microsecond)
 		}
 	}
-	b.errorAt(at, "%s: found %s, expected %s in whole microseconds", name, show(v), want)
-	return logic.Micros(otherwise / time.Microsecond)
+	b.errorAt(srcRange, "%s: found %s, expected %s in whole microseconds", name, formatValue(v), expected)
+	return logic.Micros(defaultValue / time.Microsecond)
 }
 
 // Figures is a list of numbers, each between two others.
-func (b *Body) Floats(name string, must bool, least, most float64) (all []float64) {
-	want := fmt.Sprintf("a list of numbers from %g to %g", least, most)
-	for _, x := range b.list(name, must, want) {
-		all = append(all, b.float(name, x, b.body.Attributes[name].SrcRange, want, least, least, most))
+func (b *Body) Floats(name string, required bool, minValue, maxValue float64) (numbers []float64) {
+	expected := fmt.Sprintf("a list of numbers from %g to %g", minValue, maxValue)
+	for _, x := range b.elements(name, required, expected) {
+		numbers = append(numbers, b.checkFloat(name, x, b.body.Attributes[name].SrcRange, expected, minValue, minValue, maxValue))
 	}
-	return all
+	return numbers
 }
 
 // Texts is a list of strings.
-func (b *Body) Texts(name string, must bool) (all []string) {
-	for _, x := range b.list(name, must, "a list of texts") {
+func (b *Body) Texts(name string, required bool) (texts []string) {
+	for _, x := range b.elements(name, required, "a list of texts") {
 		if x.Type() != cty.String || x.AsString() == "" {
-			b.AttributeErrorf(name, "found %s in it, expected a text", show(x))
+			b.AttributeErrorf(name, "found %s in it, expected a text", formatValue(x))
 			continue
 		}
-		all = append(all, x.AsString())
+		texts = append(texts, x.AsString())
 	}
-	return all
+	return texts
 }
 
 // Pair is an entry of an object: a plain value as a person would write it, or several.
@@ -435,14 +435,14 @@
 }
 
 // Pairs is an object of plain values and lists of them, by their names.
-func (b *Body) Pairs(name string, must bool) (all []Pair) {
-	const want = "an object of texts, numbers, flags and lists of them"
-	v, at, ok := b.value(name, must, want)
+func (b *Body) Pairs(name string, required bool) (pairs []Pair) {
+	const expected = "an object of texts, numbers, flags and lists of them"
+	v, srcRange, ok := b.value(name, required, expected)
 	if !ok {
 		return nil
 	}
 	if !v.Type().IsObjectType() {
-		b.errorAt(at, "%s: found %s, expected %s", name, show(v), want)
+		b.errorAt(srcRange, "%s: found %s, expected %s", name, formatValue(v), expected)
 		return nil
 	}
 	for key, x := range v.AsValueMap() {
@@ -454,24 +454,24 @@
 		for _, part := range parts {
 			text, err := convert.Convert(part, cty.String)
 			if err != nil || text.IsNull() {
-				b.errorAt(at, "%s: found %s as %s, expected %s", name, show(part), key, want)
+				b.errorAt(srcRange, "%s: found %s as %s, expected %s", name, formatValue(part), key, expected)
 				continue
 			}
 			p.Values = append(p.Values, text.AsString())
 		}
-		all = append(all, p)
+		pairs = append(pairs, p)
 	}
-	slices.SortFunc(all, func(a, b Pair) int { return strings.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(pairs, func(a, b Pair) int { return strings.Compare(a.Name, b.Name) })
+	return pairs
 }
 
-func (b *Body) list(name string, must bool, want string) (all []cty.Value) {
-	v, at, ok := b.value(name, must, want)
+func (b *Body) elements(name string, required bool, expected string) (all []cty.Value) {
+	v, srcRange, ok := b.value(name, required, expected)
 	if !ok {
 		return nil
 	}
 	if !v.Type().IsTupleType() {
-		b.errorAt(at, "%s: found %s, expected %s", name, show(v), want)
+		b.errorAt(srcRange, "%s: found %s, expected %s", name, formatValue(v), expected)
 		return nil
 	}
 	return v.AsValueSlice()
@@ -485,17 +485,17 @@
 
 // Done books a fault for each name of the block that nobody asked for.
 func (b *Body) RejectUnknown() {
-	for _, m := range b.included {
-		m.RejectUnknown()
+	for _, other := range b.included {
+		other.RejectUnknown()
 	}
-	for name, a := range b.body.Attributes {
+	for name, attribute := range b.body.Attributes {
 		if !b.known[name] {
-			b.errorAt(a.SrcRange, "%s: unknown in %s, expected one of %s", name, b.title(), b.knownNames(""))
+			b.errorAt(attribute.SrcRange, "%s: unknown in %s, expected one of %s", name, b.describe(), b.knownNames(""))
 		}
 	}
-	for _, x := range b.body.Blocks {
-		if !b.known["block "+x.Type] {
-			b.errorAt(x.DefRange(), "block %s: unknown in %s, expected one of %s", x.Type, b.title(), b.knownNames("block "))
+	for _, block := range b.body.Blocks {
+		if !b.known["block "+block.Type] {
+			b.errorAt(block.DefRange(), "block %s: unknown in %s, expected one of %s", block.Type, b.describe(), b.knownNames("block "))
 		}
 	}
 }
--- a/internal/hclread/read_test.go
+++ b/internal/hclread/read_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-func bounded(err error) bool {
+func isLimitError(err error) bool {
 	return err != nil && (strings.Contains(err.Error(), "nesting deeper than 500") || strings.Contains(err.Error(), "more than 2000 operators"))
 }
 
 // Nesting without end in the file itself is refused before the parser goes down into it.
 func TestDeepFiles(t *testing.T) {
 	for _, open := range []string{"(", "[", "{a=", "!", "-", "${", "f(", "\"${", "x ? "} {
-		if _, err := Parse("deep.hcl", []byte("a = "+strings.Repeat(open, 10_000))); !bounded(err) {
+		if _, err := Parse("deep.hcl", []byte("a = "+strings.Repeat(open, 10_000))); !isLimitError(err) {
 			t.Errorf("10,000 of %q: %.200v", open, err)
 		}
 	}
@@ -22,7 +22,7 @@
 		"a = [" + strings.Repeat("(\n", 5_000), "b {\n}\n" + strings.Repeat("a \"x\" {\n b {\n", 10_000) + strings.Repeat("}\n", 20_000),
 		"a = " + strings.Repeat("f({\n}, ", 5_000), "a = (" + strings.Repeat("x ? 1 :\n", 5_000), "a = x" + strings.Repeat(".y", 5_000),
 		"a = \"" + strings.Repeat("%{ if x }", 5_000), "a = <<E\n" + strings.Repeat("%{ if x }\n", 5_000) + "E\n"} {
-		if _, err := Parse("deep.hcl", []byte(text)); !bounded(err) {
+		if _, err := Parse("deep.hcl", []byte(text)); !isLimitError(err) {
 			t.Errorf("%.20q: %.200v", text, err)
 		}
 	}
--- a/internal/match/check.go
+++ b/internal/match/check.go
@@ -341,7 +341,7 @@
 				for _, u := range t.Units {
 					units = append(units, u.Name+"(...)")
 				}
-				expected = fmt.Sprintf("%s; a figure of %s as %s", expected, name, joinFirst(units))
+				expected = fmt.Sprintf("%s; a value of %s is written as %s", expected, name, joinFirst(units))
 			}
 		}
 		return fmt.Sprintf("found no matching overload for '%s' applied to '%s', expected %s", name, operands, expected)
--- a/internal/match/define_test.go
+++ b/internal/match/define_test.go
@@ -6,44 +6,44 @@
 	"testing"
 )
 
-// Named expressions mean what they stand for, wherever they are used; a cycle, a taken name and a growth that doubles
-// are refused.
+// A definition means the same as its expression wherever it is used. Cycles, names that are declared already and
+// definitions whose cost grows exponentially are refused.
 func TestDefine(t *testing.T) {
 	s, c := testCompiler(t, 20_000)
-	if faults := c.Define([]Definition{{"cold_reefer", `reefer && cold`}, {"cold", `temp < celsius(4)`}, {"reefer", `class == truck.reefer`},
+	if errs := c.Define([]Definition{{"cold_reefer", `reefer && cold`}, {"cold", `temp < celsius(4)`}, {"reefer", `class == truck.reefer`},
 		{"warm_stop", `stops.exists(x, x == depot && temps.exists(y, y > temp))`}, {"label", `id + "/" + kind`},
-		{"tagged", `tags.exists(a1, a1 == "x")`}, {"twice", `tagged && tagged`}, {"three_deep", `temps.exists(a, temps.exists(b, tags.exists(d, a < b)))`}}); len(faults) > 0 {
-		t.Fatal(faults)
+		{"tagged", `tags.exists(a1, a1 == "x")`}, {"twice", `tagged && tagged`}, {"three_deep", `temps.exists(a, temps.exists(b, tags.exists(d, a < b)))`}}); len(errs) > 0 {
+		t.Fatal(errs)
 	}
 	r := s.NewRecord()
 	putValues(t, s, r, map[string]any{"depot": "kingston", "class": "reefer", "temp": 3.0, "id": "a", "kind": "b",
 		"stops": []any{"may_pen", "kingston"}, "temps": []any{2.0, 5.0}})
-	for text, want := range map[string]bool{`cold_reefer`: true, `cold_reefer && urgent`: false, `label == "a/b"`: true,
+	for source, want := range map[string]bool{`cold_reefer`: true, `cold_reefer && urgent`: false, `label == "a/b"`: true,
 		`tags.all(z, warm_stop)`: false, `stops.all(z, warm_stop)`: true, `stops.exists(z, z == site.kingston && warm_stop && z == depot)`: true} {
-		p, err := c.Predicate(text)
+		p, err := c.Predicate(source)
 		if err != nil {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: %v", source, err)
 			continue
 		}
 		if ref, steps := p.Interpret(r); p.Holds(r) != want || ref != want || steps > p.Cost {
-			t.Errorf("%s: %v, by the reference %v, expected %v, %d steps of %d", text, p.Holds(r), ref, want, steps, p.Cost)
+			t.Errorf("%s: %v, by the reference %v, expected %v, %d steps of %d", source, p.Holds(r), ref, want, steps, p.Cost)
 		}
 	}
 	if _, err := c.Predicate(`temps.exists(x, temps.exists(y, three_deep))`); err == nil || !strings.Contains(err.Error(), "three_deep: ") {
-		t.Errorf("a named loop goes deeper than loops may: %v", err)
+		t.Errorf("a definition exceeds the nesting limit of loops where it is used, error %v", err)
 	}
-	tab, faults := compileTable(c, []Route{{Name: "a", When: `cold && depot == site.kingston`}, {Name: "b", When: `depot == site.kingston && cold_reefer`},
+	routes, errs := compileTable(c, []Route{{Name: "a", When: `cold && depot == site.kingston`}, {Name: "b", When: `depot == site.kingston && cold_reefer`},
 		{Name: "c", When: `temp > celsius(8) || !(id == "b" && urgent)`}})
-	if len(faults) > 0 || len(tab.Unreachable) != 1 || tab.Unreachable[0] != (UnreachableRoute{1, 0}) {
-		t.Fatal(faults, tab)
+	if len(errs) > 0 || len(routes.Unreachable) != 1 || routes.Unreachable[0] != (UnreachableRoute{1, 0}) {
+		t.Fatal(errs, routes)
 	}
 	putValues(t, s, r, map[string]any{"temp": 6.0})
-	if got := fmt.Sprint(tab.Misses(r, tab.FirstMatch(r))); tab.FirstMatch(r) != 2 ||
+	if got := fmt.Sprint(routes.Misses(r, routes.FirstMatch(r))); routes.FirstMatch(r) != 2 ||
 		got != "[{0 cold temp is celsius(6)} {1 cold temp is celsius(6)}]" {
-		t.Errorf("route %d, misses %s", tab.FirstMatch(r), got)
+		t.Errorf("route %d, misses %s", routes.FirstMatch(r), got)
 	}
-	if text := tab.predicates[2].tree.source(true); text != `(celsius(8) < temp) || !((id == "b") && urgent)` {
-		t.Error(text)
+	if source := routes.predicates[2].tree.source(true); source != `(celsius(8) < temp) || !((id == "b") && urgent)` {
+		t.Error(source)
 	}
 
 	doubled := []Definition{{"d0", `id == "x" && kind == "y"`}}
--- a/internal/match/match_test.go
+++ b/internal/match/match_test.go
@@ -32,7 +32,7 @@
 	return s
 }
 
-// carried is a Go value as a sender gives it.
+// rawValue converts a Go value to the value that a client would send.
 func rawValue(v any) RawValue {
 	switch x := v.(type) {
 	case string:
@@ -57,11 +57,11 @@
 }
 
 func putValue(s *Schema, r *Record, attribute string, v any) error {
-	at, x := s.Slot([]byte(attribute)), rawValue(v)
-	if at < 0 {
+	slot, raw := s.Slot([]byte(attribute)), rawValue(v)
+	if slot < 0 {
 		return fmt.Errorf("%s is not declared", attribute)
 	}
-	return s.Put(r, at, &x)
+	return s.Put(r, slot, &raw)
 }
 
 func putValues(t testing.TB, s *Schema, r *Record, values map[string]any) {
@@ -73,9 +73,9 @@
 	}
 }
 
-func testCompiler(t testing.TB, limit int64) (*Schema, *Compiler) {
+func testCompiler(t testing.TB, costLimit int64) (*Schema, *Compiler) {
 	s := testSchema(t)
-	c, err := NewCompiler(s, limit)
+	c, err := NewCompiler(s, costLimit)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 	r := s.NewRecord()
 	putValues(t, s, r, map[string]any{"depot": "kingston", "class": "reefer", "temp": 8.0, "id": "drop-17", "size": int64(12),
 		"urgent": true, "age": 90 * time.Second, "temps": []any{2.0, 3.5, 9.0}, "stops": []any{"kingston", "may_pen"}, "tags": []any{"a", "b"}})
-	for text, want := range map[string]bool{
+	for source, want := range map[string]bool{
 		`depot == site.kingston`: true, `depot != site.kingston`: false, `depot == home`: false, `!(depot == home)`: true,
 		`home != site.kingston`: false, `given(home)`: false, `given(class)`: true,
 		`depot in [site.kingston, site.may_pen]`: true, `depot in [site.mandeville]`: false, `class == truck.van`: false,
@@ -100,15 +100,15 @@
 		`tags.exists(x, x == "b")`: true, `tags.all(x, x.startsWith("a"))`: false, `urgent ? size > 1 : size > 100`: true,
 		`(urgent ? id : kind) == "drop-17"`: true, `id + "!" == "drop-17!"`: true, `hash(id) == hash("drop-17")`: true, `true`: true,
 	} {
-		p, err := c.Predicate(text)
+		p, err := c.Predicate(source)
 		if err != nil {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: %v", source, err)
 			continue
 		}
 		got := p.Holds(r)
 		ref, steps := p.Interpret(r)
 		if got != want || ref != want || steps > p.Cost {
-			t.Errorf("%s: %v, by the reference %v, expected %v; %d steps of %d", text, got, ref, want, steps, p.Cost)
+			t.Errorf("%s: %v, by the reference %v, expected %v; %d steps of %d", source, got, ref, want, steps, p.Cost)
 		}
 	}
 	k, err := c.Key(`depot == site.kingston ? "k-" + id + kind + hash(id) : id`)
@@ -121,10 +121,10 @@
 	}
 }
 
-// What can't be meant fails when it is checked, with its place and what was found.
+// An invalid expression fails the check, with a position and a message that says what was found.
 func TestFaults(t *testing.T) {
 	_, c := testCompiler(t, 5_000)
-	deep := func(n int, open, close string) string {
+	nested := func(n int, open, close string) string {
 		return strings.Repeat(open, n) + "urgent" + strings.Repeat(close, n)
 	}
 	doubling := `id`
@@ -136,7 +136,7 @@
 		{`depot == truck.van`, "1:7: found no matching overload for '_==_' applied to '(site, truck)'"},
 		{`depot == site.moon`, "1:10: found a member that site does not have, expected one of kingston, mandeville, may_pen"},
 		{`urgent && temp > kelvin(3)`, "1:24: undeclared reference to 'kelvin', expected one of age, celsius, class, depot, fahrenheit"},
-		{`temp > 8`, "'(temperature, int)', expected operands of one type; a figure of temperature as celsius(...), fahrenheit(...)"},
+		{`temp > 8`, "'(temperature, int)', expected operands of one type; a value of temperature is written as celsius(...), fahrenheit(...)"},
 		{`temp > kg(8)`, "no matching overload for '_>_' applied to '(temperature, weight)'"}, {`size == "a"`, "no matching overload"},
 		{`depot < home`, "no matching overload"}, {`cargo == 1`, "undeclared reference to 'cargo'"}, {`size`, "found a whole number, expected true or false"},
 		{`size + 1 == 2`, "no matching overload"}, {`size / 0 == 1`, "undeclared reference to '_/_'"}, {`id.matches("a*")`, "undeclared reference to 'matches'"},
@@ -144,10 +144,10 @@
 		{`size in [size]`, "an expression in a list, expected constants"}, {`temp > celsius(1e999)`, "invalid double literal"}, {`temp > celsius(-1e308 )  && temp < fahrenheit(1e308) && size == 99999999999999999999`, "invalid int literal"},
 		{`given(hash(id))`, "given of something else than an attribute"}, {`age > span(id)`, "invalid span, expected a constant such as"}, {`age > span("1 day")`, "invalid span, expected a constant such as"},
 		{`age > span("1ns")`, "in whole microseconds"}, {`size == -(-9223372036854775808)`, "outside the range of 64-bit whole numbers"}, {`size == -9223372036854775808`, ""},
-		{`load > tonne(1e306)`, "expected a finite figure"}, {`load > tonne(1e305)`, ""},
+		{`load > tonne(1e306)`, "expected a finite number"}, {`load > tonne(1e305)`, ""},
 		{"urgent\x00", "found NUL"}, {"urgent && \xff", "invalid UTF-8"}, {`uгgent`, "Syntax error"}, {``, "Syntax error"},
-		{deep(100_000, "(", ")"), "1:1: expression code point size exceeds limit"}, {deep(100_000, "!", ""), "exceeds limit"},
-		{deep(10_000, "(", ")"), "recursion"}, {deep(10_000, "!(", ")"), "recursion"}, {deep(60, "!(", ")"), ""},
+		{nested(100_000, "(", ")"), "1:1: expression code point size exceeds limit"}, {nested(100_000, "!", ""), "exceeds limit"},
+		{nested(10_000, "(", ")"), "recursion"}, {nested(10_000, "!(", ")"), "recursion"}, {nested(60, "!(", ")"), ""},
 		{strings.Repeat("urgent || ", 110_000) + "urgent", "exceeds limit"}, {doubling + ` == "a"`, "found a text of up to"},
 		{`temps.exists(a, temps.exists(b, temps.exists(c, a > b && b > c)))`, "most of it in temps.exists(element1, temps.exists("},
 		{`stops.exists(a, stops.exists(b, stops.exists(c, stops.exists(d, stops.exists(e, a == b)))))`, "nested deeper than 4"},
@@ -166,12 +166,12 @@
 		{{"a", site, true}, {"b", &Type{Kind: Enum, Name: "site", Members: []string{"x"}}, true}},
 	} {
 		if _, err := NewSchema(bad); err == nil {
-			t.Errorf("taken: %+v", bad)
+			t.Errorf("accepted: %+v", bad)
 		}
 	}
 }
 
-// What does not fit is left missing and said; nothing else of the record is lost.
+// A value that does not fit its type is refused with a short error and left missing. The other values of the record stay.
 func TestHostileRecords(t *testing.T) {
 	s, c := testCompiler(t, 1000)
 	p, err := c.Predicate(`urgent && !(id == "x") && !(temp < celsius(1))`)
@@ -182,7 +182,7 @@
 	putValues(t, s, r, map[string]any{"urgent": true})
 	for i := range 10_000 {
 		if putValue(s, r, fmt.Sprint("a", i), "x") == nil {
-			t.Fatal("an attribute that nobody declared is taken")
+			t.Fatal("an undeclared attribute was accepted")
 		}
 	}
 	for name, v := range map[string]any{"id": strings.Repeat("x", 10<<20), "temp": math.NaN(), "load": math.Inf(1), "size": "12",
@@ -197,18 +197,18 @@
 	}{{"temp", RawValue{Kind: Measure, Float: 3, Unit: "kelvin"}}, {"load", RawValue{Kind: Measure, Float: 1e308, Unit: "tonne"}},
 		{"stops", RawValue{Kind: List, Items: []RawValue{{Kind: List}}}}} {
 		if err := s.Put(r, s.Slot([]byte(bad.attribute)), &bad.v); err == nil {
-			t.Errorf("taken: %+v", bad)
+			t.Errorf("accepted: %+v", bad)
 		}
 	}
 	if s.MissingRequired(r) != s.Slot([]byte("depot")) {
-		t.Error("an attribute that must be there is missing, and nothing says so")
+		t.Error("MissingRequired does not report the missing attribute")
 	}
 	if !p.Holds(r) {
-		t.Error("what was missing made a comparison true")
+		t.Error("a comparison with a missing attribute is true")
 	}
 }
 
-// texts draws expressions that mostly check.
+// drawExpression draws expressions, most of which are valid.
 func drawExpression(t *rapid.T, depth int, elements []string) string {
 	pick := func(of ...string) string { return rapid.SampledFrom(of).Draw(t, "atom") }
 	if depth <= 0 {
@@ -220,21 +220,21 @@
 			pick("id", "kind", `"drop"`, `id + kind`, `hash(id)`, `(urgent ? id : kind)`)+pick(" == ", " != ", " < ", " <= ")+pick("id", `"drop"`, "kind"),
 			`id.startsWith(kind)`, `id in ["drop", "a"]`, `age > span("1m")`, `temps.all(x, x < celsius(6))`, `tags.exists(x, x == kind)`)
 	}
-	sub := func() string { return drawExpression(t, depth-1, elements) }
+	subexpression := func() string { return drawExpression(t, depth-1, elements) }
 	switch rapid.IntRange(0, 5).Draw(t, "form") {
 	case 0:
-		return "(" + sub() + " && " + sub() + ")"
+		return "(" + subexpression() + " && " + subexpression() + ")"
 	case 1:
-		return "(" + sub() + " || " + sub() + ")"
+		return "(" + subexpression() + " || " + subexpression() + ")"
 	case 2:
-		return "!(" + sub() + ")"
+		return "!(" + subexpression() + ")"
 	case 3:
-		return "(" + sub() + " ? " + sub() + " : " + sub() + ")"
+		return "(" + subexpression() + " ? " + subexpression() + " : " + subexpression() + ")"
 	case 4:
 		x := fmt.Sprint("e", len(elements))
 		return "stops." + pick("exists", "all") + "(" + x + ", " + drawExpression(t, depth-1, append(elements[:len(elements):len(elements)], x)) + ")"
 	}
-	return sub()
+	return subexpression()
 }
 
 func drawRecord(t *rapid.T, s *Schema, r *Record) {
@@ -249,8 +249,8 @@
 	}
 }
 
-func drawValue(t *rapid.T, of *Type) any {
-	switch of.Kind {
+func drawValue(t *rapid.T, valueType *Type) any {
+	switch valueType.Kind {
 	case Text:
 		return rapid.SampledFrom([]string{"", "a", "drop", "drop-17", "dropdrop"}).Draw(t, "text")
 	case Int:
@@ -262,66 +262,67 @@
 	case Measure:
 		return float64(rapid.IntRange(0, 20).Draw(t, "figure")) / 2
 	case Enum:
-		return rapid.SampledFrom(of.Members).Draw(t, "member")
+		return rapid.SampledFrom(valueType.Members).Draw(t, "member")
 	}
 	var list []any
 	for range rapid.IntRange(0, 4).Draw(t, "n") {
-		list = append(list, drawValue(t, of.Element))
+		list = append(list, drawValue(t, valueType.Element))
 	}
 	return list
 }
 
-// Compiled and plainly interpreted, every expression says the same of every record, within its cost.
+// The compiled form and the reference interpreter give the same result for every expression and record, and the
+// interpreter takes no more steps than the worst-case cost.
 func TestCompiledIsTheReference(t *testing.T) {
 	s, c := testCompiler(t, math.MaxInt32)
 	r, checked := s.NewRecord(), 0
-	var tight []float64 // of each expression, the part of its bound that its dearest record took
+	var costRatios []float64 // of each expression: most steps taken by a record / worst-case cost
 	rapid.Check(t, func(t *rapid.T) {
-		text := drawExpression(t, rapid.IntRange(0, 3).Draw(t, "depth"), nil)
-		p, err := c.Predicate(text)
+		source := drawExpression(t, rapid.IntRange(0, 3).Draw(t, "depth"), nil)
+		p, err := c.Predicate(source)
 		if err != nil {
 			if strings.Contains(err.Error(), "nested deeper") {
 				t.Skip()
 			}
-			t.Fatalf("%s: %v", text, err)
+			t.Fatalf("%s: %v", source, err)
 		}
-		most := int64(0)
+		maxSteps := int64(0)
 		for range 5 {
 			drawRecord(t, s, r)
 			want, steps := p.Interpret(r)
-			most = max(most, steps)
+			maxSteps = max(maxSteps, steps)
 			if got := p.Holds(r); got != want || steps > p.Cost {
-				t.Fatalf("%s of %+v: %v, by the reference %v; %d steps, bound %d", text, r.values, got, want, steps, p.Cost)
+				t.Fatalf("%s of %+v: %v, by the reference %v; %d steps, bound %d", source, r.values, got, want, steps, p.Cost)
 			}
 			checked++
 		}
-		tight = append(tight, float64(most)/float64(p.Cost))
+		costRatios = append(costRatios, float64(maxSteps)/float64(p.Cost))
 	})
-	slices.Sort(tight)
-	if n := len(tight); n > 0 {
-		t.Logf("%d records of %d expressions; steps taken of the bound: median %.2f, least %.3f, most %.2f", checked, n, tight[n/2],
-			tight[0], tight[n-1])
+	slices.Sort(costRatios)
+	if n := len(costRatios); n > 0 {
+		t.Logf("%d records of %d expressions; steps as a share of the bound: median %.2f, min %.3f, max %.2f", checked, n, costRatios[n/2],
+			costRatios[0], costRatios[n-1])
 	}
 	if checked < 100 {
 		t.Errorf("only %d records were tried", checked)
 	}
 }
 
-// Cut into its conjuncts, a text means what it means whole, and costs as much.
+// An expression that is split into conjuncts has the same conjuncts, cost and error as when it is checked as a whole.
 func FuzzConjuncts(f *testing.F) {
 	_, c := testCompiler(f, 10_000)
-	for _, text := range []string{`urgent && size > 3 && (urgent || id == "a && b")`, `id == "a" && !urgent`, `urgent && kind == '"' && size in [1, 2]`,
+	for _, source := range []string{`urgent && size > 3 && (urgent || id == "a && b")`, `id == "a" && !urgent`, `urgent && kind == '"' && size in [1, 2]`,
 		`urgent &&`, `&& urgent`, `urgent && (urgent`, `urgent && "`, `urgent && id == r"\\" && urgent`, `urgent && urgent // && size`,
 		`urgent ? urgent : size > 3 && urgent`, `urgent && urgent ? urgent : urgent`, `urgent || urgent && urgent`, `urgent && """a""" == id`,
 		"urgent && id == 'a\n' && urgent", `urgent && id.startsWith("a") && tags.exists(x, x == id && urgent)`, `urgent && size`, `urgent) && (urgent`,
 		"id != \"0\" &&\vurgent", "urgent &&\u00a0urgent", "urgent &&\furgent\t&& size > 3\n"} {
-		f.Add(text)
+		f.Add(source)
 	}
-	f.Fuzz(func(t *testing.T, text string) {
-		cut, err := c.check(text)
-		whole, bad := c.checkWhole(text)
-		if (err == nil) != (bad == nil) || err != nil && err.Error() != bad.Error() {
-			t.Fatalf("%q: %v, whole %v", text, err, bad)
+	f.Fuzz(func(t *testing.T, source string) {
+		split, err := c.check(source)
+		whole, wholeErr := c.checkWhole(source)
+		if (err == nil) != (wholeErr == nil) || err != nil && err.Error() != wholeErr.Error() {
+			t.Fatalf("%q: %v, whole %v", source, err, wholeErr)
 		}
 		if err != nil {
 			return
@@ -332,8 +333,8 @@
 			}
 			return all
 		}
-		if parts(cut) != parts(whole) || cut.cost != whole.cost || cut.valueType.Kind != whole.valueType.Kind {
-			t.Errorf("%q: cut into %q, cost %d; whole %q, cost %d", text, parts(cut), cut.cost, parts(whole), whole.cost)
+		if parts(split) != parts(whole) || split.cost != whole.cost || split.valueType.Kind != whole.valueType.Kind {
+			t.Errorf("%q: split into %q, cost %d; whole %q, cost %d", source, parts(split), split.cost, parts(whole), whole.cost)
 		}
 	})
 }
@@ -341,16 +342,16 @@
 func FuzzPredicate(f *testing.F) {
 	s, c := testCompiler(f, 10_000)
 	r := s.NewRecord()
-	for _, text := range []string{`depot == site.kingston && temps.exists(x, x > celsius(8))`, `urgent ? size > 1 : id + kind < "a"`, `size in [1]`} {
-		f.Add(text)
+	for _, source := range []string{`depot == site.kingston && temps.exists(x, x > celsius(8))`, `urgent ? size > 1 : id + kind < "a"`, `size in [1]`} {
+		f.Add(source)
 	}
-	f.Fuzz(func(t *testing.T, text string) {
-		p, err := c.Predicate(text)
+	f.Fuzz(func(t *testing.T, source string) {
+		p, err := c.Predicate(source)
 		if err != nil {
 			return
 		}
 		if want, steps := p.Interpret(r); p.Holds(r) != want || steps > p.Cost {
-			t.Errorf("%q: %v, %d steps of %d", text, want, steps, p.Cost)
+			t.Errorf("%q: %v, %d steps of %d", source, want, steps, p.Cost)
 		}
 	})
 }
--- a/internal/match/reference_test.go
+++ b/internal/match/reference_test.go
@@ -8,14 +8,14 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Interpret is the plain reference that the compiled form is held against: slow, and counting its steps.
+// Interpret evaluates the predicate by walking its tree and counts the steps. Tests compare the compiled form with it.
 func (p *Predicate) Interpret(r *Record) (holds bool, steps int64) {
 	i := &interpreter{record: r}
 	v := i.value(p.tree)
 	return v.Present && v.Int != 0, i.steps
 }
 
-// Interpret is the plain reference.
+// Interpret evaluates the key by walking its tree and counts the steps.
 func (k *Key) Interpret(r *Record) (text string, steps int64) {
 	i := &interpreter{record: r}
 	return i.value(k.tree).Text, i.steps
@@ -28,14 +28,14 @@
 
 func (i *interpreter) value(n *node) Value {
 	i.steps++
-	flag := func(b bool) Value {
+	boolValue := func(b bool) Value {
 		if b {
 			return trueValue
 		}
 		return falseValue
 	}
-	is := func(n *node) bool { v := i.value(n); return v.Present && v.Int != 0 }
-	words := func(a, b Value) { i.steps += int64(min(len(a.Text), len(b.Text)) / 8) }
+	isTrue := func(n *node) bool { v := i.value(n); return v.Present && v.Int != 0 }
+	addComparisonSteps := func(a, b Value) { i.steps += int64(min(len(a.Text), len(b.Text)) / 8) }
 	switch n.op {
 	case opAttribute:
 		if v := i.record.values[n.index]; v.Present {
@@ -45,33 +45,33 @@
 	case opElement:
 		return i.record.elements[n.index]
 	case opAnd:
-		return flag(is(n.args[0]) && is(n.args[1]))
+		return boolValue(isTrue(n.args[0]) && isTrue(n.args[1]))
 	case opOr:
-		return flag(is(n.args[0]) || is(n.args[1]))
+		return boolValue(isTrue(n.args[0]) || isTrue(n.args[1]))
 	case opNot:
-		return flag(!is(n.args[0]))
+		return boolValue(!isTrue(n.args[0]))
 	case opConditional:
-		if is(n.args[0]) {
+		if isTrue(n.args[0]) {
 			return i.value(n.args[1])
 		}
 		return i.value(n.args[2])
 	case opEqual, opNotEqual, opLess, opLessEqual:
 		a, b := i.value(n.args[0]), i.value(n.args[1])
-		words(a, b)
-		return flag(a.Present && b.Present && compare(n.args[0].valueType.Kind, n.op, &a, &b))
+		addComparisonSteps(a, b)
+		return boolValue(a.Present && b.Present && compare(n.args[0].valueType.Kind, n.op, &a, &b))
 	case opIn:
 		a := i.value(n.args[0])
 		found := false
 		for _, v := range n.constants {
 			i.steps++
-			words(a, v)
+			addComparisonSteps(a, v)
 			found = found || a.Present && compare(n.args[0].valueType.Kind, opEqual, &a, &v)
 		}
-		return flag(found)
+		return boolValue(found)
 	case opHasPrefix:
 		a, b := i.value(n.args[0]), i.value(n.args[1])
-		words(a, b)
-		return flag(a.Present && b.Present && strings.HasPrefix(a.Text, b.Text))
+		addComparisonSteps(a, b)
+		return boolValue(a.Present && b.Present && strings.HasPrefix(a.Text, b.Text))
 	case opConcat:
 		text := i.value(n.args[0]).Text + i.value(n.args[1]).Text
 		i.steps += int64(len(text) / 8)
@@ -81,20 +81,20 @@
 		i.steps += int64(len(text) / 8)
 		return Value{Present: true, Text: fmt.Sprintf("%016s", strconv.FormatUint(xxh3.HashString(text), 16))}
 	case opGiven:
-		return flag(i.value(n.args[0]).Present)
+		return boolValue(i.value(n.args[0]).Present)
 	case opExists, opAll:
 		list := i.value(n.args[0])
 		result := n.op == opAll && list.Present
 		for _, e := range list.List {
 			i.record.elements[n.index] = e
-			holds := is(n.args[1])
+			holds := isTrue(n.args[1])
 			if n.op == opExists {
 				result = result || holds
 			} else {
 				result = result && holds
 			}
 		}
-		return flag(result)
+		return boolValue(result)
 	}
 	return n.value
 }
--- a/internal/match/schema.go
+++ b/internal/match/schema.go
@@ -1,11 +1,14 @@
-// Package match is a small typed language with which an operator matches transactions and makes keys: checked against
-// the types of the operator's own words and compiled once, at load. It does no I/O, has no clock and starts nothing.
+// Package match implements the language of routes: a small typed language of conditions on the attributes of a
+// transaction and of expressions that make its key. A Schema declares the attributes and their types, a Compiler checks
+// and compiles expressions over it, a Record holds the attributes of one transaction, and a Table finds the first route
+// that matches a record. The package does no I/O, reads no clock and starts no goroutine.
 //
-// The text is parsed and checked by cel-go, with no function but those declared here; a compiler of its own makes
-// closures of it. Every expression has a worst-case cost by the bounds of its types, which evaluation cannot exceed.
+// Expressions are parsed and type-checked by cel-go in an environment that has only the operators and functions declared
+// by NewCompiler, and are then compiled to closures by this package. Every expression has a worst-case cost, which follows
+// from the maximum lengths of its types and which no evaluation exceeds.
 //
-// A missing attribute makes every comparison, membership or prefix it takes part in false, is false as a flag, an
-// empty text in a key, and neither any nor all of a list. given(x) says whether it is there.
+// A comparison, membership or startsWith with a missing attribute is false. A missing flag is false, a missing text in a
+// key is empty, and both exists and all of a missing list are false. given(x) is true if the attribute x is present.
 package match
 
 import (
@@ -17,7 +20,7 @@
 	"time"
 )
 
-// Kind is a type's family.
+// Kind is a kind of types. In routes files the kinds Int, Bool, Duration and Enum are called whole, flag, span and set.
 type Kind int
 
 const (
@@ -25,53 +28,53 @@
 	Int
 	Bool
 	Duration
-	Measure // a figure with a unit
-	Enum    // one of a few names
+	Measure // a number with a unit
+	Enum    // one of a set of names
 	List
 )
 
-// Type is one of the operator's types. Types with different names never compare.
+// Type is the type of an attribute or of an expression. Values of types with different names cannot be compared.
 type Type struct {
 	Kind      Kind
-	Name      string   // of a measure or a set
-	Members   []string // of a set's members
-	Units     []Unit   // of a measure, the first is what values are kept in
-	MaxLength int      // greatest length: bytes of a text, elements of a list
-	Element   *Type    // elements of a list; no list itself
+	Name      string   // Measure and Enum
+	Members   []string // Enum
+	Units     []Unit   // Measure; values are stored in the first unit
+	MaxLength int      // Text: bytes; List: elements
+	Element   *Type    // List; not a List itself
 
-	memberIndex map[string]int64 // of a set's members
+	memberIndex map[string]int64 // Enum: indexes of Members
 }
 
-// Unit is a word for a figure: value x scale + offset is in the first unit.
+// Unit is a unit of a measure. A number in this unit is number*Scale + Offset in the first unit of the measure.
 type Unit struct {
 	Name          string
 	Scale, Offset float64
 }
 
-// kept is a figure of this unit in the first one.
+// toFirstUnit converts a number in this unit to the first unit of the measure.
 func (u *Unit) toFirstUnit(number float64) (float64, error) {
 	number = number*u.Scale + u.Offset
 	if math.IsNaN(number) || math.IsInf(number, 0) {
-		return 0, fmt.Errorf("found %g, expected a finite figure", number)
+		return 0, fmt.Errorf("found %g, expected a finite number", number)
 	}
 	return number, nil
 }
 
-// Attribute is what a transaction may carry.
+// Attribute is the declaration of an attribute that transactions may carry.
 type Attribute struct {
 	Name     string
 	Type     *Type
-	Optional bool // if not, a transaction without it is not judged
+	Optional bool // a transaction without an attribute that is not optional has no route
 }
 
-// Schema is the attributes that expressions may name, by their place.
+// Schema holds the attributes that expressions may use. An attribute's index in Attributes is its slot.
 type Schema struct {
 	Attributes []Attribute
 	slots      map[string]int
-	required   []int // those that may not be missing
+	required   []int // slots of the attributes that are not optional
 }
 
-// Bounds on schemas.
+// Limits of a schema.
 const (
 	maxAttributes   = 256
 	maxTextBytes    = 64 << 10
@@ -79,7 +82,7 @@
 	maxEnumMembers  = 1 << 16
 )
 
-// NewSchema checks attributes.
+// NewSchema checks the declarations of attributes and returns their schema.
 func NewSchema(attributes []Attribute) (*Schema, error) {
 	s := &Schema{Attributes: attributes, slots: map[string]int{}}
 	if len(attributes) > maxAttributes {
@@ -91,7 +94,7 @@
 			return nil, fmt.Errorf("attribute %q: expected a name of letters, digits and _", a.Name)
 		}
 		if _, isDuplicate := s.slots[a.Name]; isDuplicate {
-			return nil, fmt.Errorf("attribute %s stands twice", a.Name)
+			return nil, fmt.Errorf("attribute %s is declared twice", a.Name)
 		}
 		s.slots[a.Name] = i
 		if !a.Optional {
@@ -104,6 +107,7 @@
 	return s, nil
 }
 
+// check checks a type. types holds the measures and sets seen so far, by name.
 func (t *Type) check(types map[string]*Type, allowList bool) error {
 	if t.Kind == Measure || t.Kind == Enum {
 		if !isName(t.Name) {
@@ -148,6 +152,7 @@
 	return nil
 }
 
+// isName reports whether s can be the name of an attribute, a type, a unit, a member or a definition.
 func isName(s string) bool {
 	for i, r := range s {
 		if !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r == '_' || i > 0 && r >= '0' && r <= '9') {
@@ -157,42 +162,43 @@
 	return s != "" && len(s) <= 64
 }
 
-// Value is an attribute's, or an element's of a list. If it is not given its text is empty and nothing else counts.
+// Value is the value of an attribute or of an element of a list. If Present is false, Text is empty and the other fields
+// are invalid.
 type Value struct {
 	Present bool
-	Int     int64 // Whole; Flag: 0 or 1; Span: microseconds; Set: place of the member
-	Float   float64
+	Int     int64   // Int; Bool: 0 or 1; Duration: microseconds; Enum: index of the member
+	Float   float64 // Measure: number in the first unit
 	Text    string
 	List    []Value
 }
 
-// Record is what one transaction carries.
+// Record holds the attributes of one transaction. It is not safe for concurrent use, evaluation included.
 type Record struct {
-	values   []Value
-	elements [maxNestedLoops]Value
+	values   []Value               // by schema slot
+	elements [maxNestedLoops]Value // current elements of the loops under evaluation, by nesting depth
 }
 
-// NewRecord makes an empty one.
+// NewRecord returns a record without values.
 func (s *Schema) NewRecord() *Record { return &Record{values: make([]Value, len(s.Attributes))} }
 
-// Clear forgets all values. Lists keep their room.
+// Clear removes all values. The capacity of lists is kept for reuse.
 func (r *Record) Clear() {
 	for i := range r.values {
 		r.values[i].Present, r.values[i].Text = false, ""
 	}
 }
 
-// Carried is a value as it comes from outside, in whatever form its sender gave it.
+// RawValue is a value as a client sends it, not yet checked against the type of its attribute.
 type RawValue struct {
-	Kind  Kind       // Text, Whole, Flag, Span, Measure or List
-	Int   int64      // Whole; Flag: 0 or 1; Span: microseconds
+	Kind  Kind       // not Enum: a member of a set is sent as Text
+	Int   int64      // Int; Bool: 0 or 1; Duration: microseconds
 	Float float64    // Measure
-	Text  string     // Text; a set's member comes as one
-	Unit  string     // of a Measure, empty: the first
+	Text  string     // Text
+	Unit  string     // Measure; empty for the first unit
 	Items []RawValue // List
 }
 
-// At is an attribute's place, -1 if it is not declared.
+// Slot returns the slot of an attribute, -1 if it is not declared.
 func (s *Schema) Slot(name []byte) int {
 	if slot, ok := s.slots[string(name)]; ok {
 		return slot
@@ -200,8 +206,8 @@
 	return -1
 }
 
-// Put gives a record a value. What does not fit its type is left missing, and an error says why. The record keeps the
-// texts as they are, without a copy.
+// Put sets the value of an attribute in a record. If the value does not fit the type of the attribute, Put returns an error
+// and leaves the attribute missing. The record refers to the texts of raw and does not copy them.
 func (s *Schema) Put(r *Record, slot int, raw *RawValue) error {
 	t, value := s.Attributes[slot].Type, &r.values[slot]
 	value.Present, value.Text = false, ""
@@ -224,7 +230,7 @@
 	return nil
 }
 
-// Absent is the first attribute that must be there and is not, -1 if there is none.
+// MissingRequired returns the slot of the first required attribute that a record does not have, -1 if it has all.
 func (s *Schema) MissingRequired(r *Record) int {
 	for _, slot := range s.required {
 		if !r.values[slot].Present {
@@ -234,7 +240,8 @@
 	return -1
 }
 
-// take puts into a value what fits its type, or leaves it missing. What other kinds keep in it is not touched.
+// store sets a value from a raw value that fits the type, or marks it as missing and returns an error. It does not change
+// the fields that other kinds use.
 func (t *Type) store(value *Value, raw *RawValue) error {
 	value.Present, value.Text = false, ""
 	switch {
@@ -277,11 +284,12 @@
 	return nil
 }
 
+// kindNames holds the names of the kinds in error messages.
 var kindNames = [...]string{Text: "a text", Int: "a whole number", Bool: "a flag", Duration: "a span", Measure: "a figure",
 	Enum: "a member", List: "a list"}
 
-// Parse reads a value as a person writes it: 12, true, 250ms, 8 celsius, a member's name, a text as it is, the elements
-// of a list with commas between.
+// Parse parses a value of the type: 12, true, 250ms, 8 celsius, the name of a member, a text without quotes, or the
+// elements of a list separated by commas.
 func (t *Type) Parse(text string) (raw RawValue, err error) {
 	switch t.Kind {
 	case Text, Enum:
@@ -322,7 +330,7 @@
 	return raw, nil
 }
 
-// show writes a value as the language does.
+// format returns a value as the language writes it.
 func (t *Type) format(v *Value) string {
 	switch t.Kind {
 	case Text:
@@ -349,7 +357,7 @@
 	return strconv.FormatInt(v.Int, 10)
 }
 
-// String is how an operator would say it.
+// String describes the type in messages.
 func (t *Type) String() string {
 	switch t.Kind {
 	case Text:
--- a/internal/match/table_test.go
+++ b/internal/match/table_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the routes, the index answers as trying each in turn by the reference does; a covered route is never it.
+// For any routes, the index finds the same route as trying them in order with the reference interpreter, and never one
+// that is listed as unreachable.
 func TestFirstIsTheFirst(t *testing.T) {
 	s, c := testCompiler(t, math.MaxInt32)
 	r := s.NewRecord()
@@ -23,58 +24,58 @@
 			}
 			routes = append(routes, Route{Name: fmt.Sprint(i), When: strings.Join(parts, " && "), Key: "id"})
 		}
-		tab, faults := compileTable(c, routes)
-		if len(faults) > 0 {
-			t.Fatal(faults)
+		table, errs := compileTable(c, routes)
+		if len(errs) > 0 {
+			t.Fatal(errs)
 		}
-		covered := map[int]bool{}
-		for _, x := range tab.Unreachable {
-			if covered[x.Route] = true; x.CoveredBy >= x.Route {
+		unreachable := map[int]bool{}
+		for _, x := range table.Unreachable {
+			if unreachable[x.Route] = true; x.CoveredBy >= x.Route {
 				t.Fatalf("%+v", x)
 			}
 		}
 		for range 8 {
 			drawRecord(t, s, r)
 			want := -1
-			for i, p := range tab.predicates {
+			for i, p := range table.predicates {
 				if holds, _ := p.Interpret(r); holds {
 					want = i
 					break
 				}
 			}
-			if got := tab.FirstMatch(r); got != want || covered[got] {
-				t.Fatalf("route %d, by the reference %d, covered %v, of %+v\n%v", got, want, covered[got], r.values, routes)
+			if got := table.FirstMatch(r); got != want || unreachable[got] {
+				t.Fatalf("route %d, by the reference %d, unreachable %v, of %+v\n%v", got, want, unreachable[got], r.values, routes)
 			}
 			var key []byte
 			if want >= 0 {
-				key = tab.AppendKey(want, nil, r)
+				key = table.AppendKey(want, nil, r)
 			}
-			for at, needed := range tab.Needs { // without what it says it does not need, it answers the same
+			for slot, needed := range table.Needs { // attributes that are not needed do not change the result
 				if !needed {
-					r.values[at] = Value{}
+					r.values[slot] = Value{}
 				}
 			}
-			if got := tab.FirstMatch(r); got != want || got >= 0 && !bytes.Equal(key, tab.AppendKey(got, nil, r)) {
-				t.Fatalf("route %d without what is not needed, %d with it\n%v", got, want, routes)
+			if got := table.FirstMatch(r); got != want || got >= 0 && !bytes.Equal(key, table.AppendKey(got, nil, r)) {
+				t.Fatalf("route %d without the attributes that are not needed, %d with them\n%v", got, want, routes)
 			}
 		}
 	})
 }
 
 func compileTable(c *Compiler, routes []Route) (*Table, []error) {
-	var all []*CompiledRoute
-	var faults []error
+	var compiled []*CompiledRoute
+	var errs []error
 	for _, r := range routes {
 		x, err := c.CompileRoute(r)
 		if err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 		}
-		all = append(all, x)
+		compiled = append(compiled, x)
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(errs) > 0 {
+		return nil, errs
 	}
-	return NewTable(c, all), nil
+	return NewTable(c, compiled), nil
 }
 
 func TestCovers(t *testing.T) {
@@ -91,14 +92,14 @@
 		{`home == site.kingston`, `depot == site.kingston`, false}, {`age < span("1m")`, `age < span("10s")`, true}, {`!urgent`, `urgent`, false},
 		{`size > 9007199254740993`, `size > 9007199254740992`, false},
 	} {
-		tab, faults := compileTable(c, []Route{{Name: "a", When: x.first}, {Name: "b", When: x.second}})
-		if len(faults) > 0 || (len(tab.Unreachable) == 1) != x.covers {
-			t.Errorf("%s, then %s: covered %v, expected %v %v", x.first, x.second, tab.Unreachable, x.covers, faults)
+		table, errs := compileTable(c, []Route{{Name: "a", When: x.first}, {Name: "b", When: x.second}})
+		if len(errs) > 0 || (len(table.Unreachable) == 1) != x.covers {
+			t.Errorf("%s, then %s: covered %v, expected %v %v", x.first, x.second, table.Unreachable, x.covers, errs)
 		}
 	}
-	_, faults := compileTable(c, []Route{{Name: "a", When: "urgnt"}, {Name: "b", When: "urgent", Key: "size"}, {Name: "c", When: "urgent"}})
-	if len(faults) != 2 || !strings.Contains(faults[0].Error(), "route a, when: 1:1: undeclared reference to 'urgnt'") ||
-		!strings.Contains(faults[1].Error(), "route b, key: 1:1: found a whole number, expected a text") {
-		t.Errorf("%v", faults)
+	_, errs := compileTable(c, []Route{{Name: "a", When: "urgnt"}, {Name: "b", When: "urgent", Key: "size"}, {Name: "c", When: "urgent"}})
+	if len(errs) != 2 || !strings.Contains(errs[0].Error(), "route a, when: 1:1: undeclared reference to 'urgnt'") ||
+		!strings.Contains(errs[1].Error(), "route b, key: 1:1: found a whole number, expected a text") {
+		t.Errorf("%v", errs)
 	}
 }
