--- a/internal/hclread/guard.go
+++ b/internal/hclread/guard.go
@@ -5,16 +5,16 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Bounds of a file. HCL's parser goes down a level for each bracket and each operator, and a stack that overflows ends
-// the process: a sentry that reads a hostile file anew must live.
+// Limits of a file. HCL's parser recurses for each bracket and each operator, and a stack overflow ends the process. A
+// sentry must survive a reload of a malicious file.
 const (
 	maxFileBytes = 64 << 20
 	maxNesting   = 500
-	maxOperators = 2_000 // of one expression, with those that it stands in
+	maxOperators = 2_000 // of one expression and the expressions around it
 )
 
-// tooDeep finds the line in which a source goes beyond the bounds, 0 if it does not. HCL's own scanner, which it asks,
-// goes down nowhere.
+// checkNesting returns the first line at which a source exceeds maxNesting or maxOperators, with a message, or line 0. It
+// uses HCL's scanner, which does not recurse.
 func checkNesting(source []byte) (line int, message string) {
 	tokens, _ := hclsyntax.LexConfig(source, "", hcl.InitialPos)
 	type level struct {
@@ -24,7 +24,7 @@
 	levels, operators := []level{{open: hclsyntax.TokenOBrace}}, 0
 	for _, t := range tokens {
 		current := &levels[len(levels)-1]
-		if t.Type == hclsyntax.TokenTemplateControl { // an if or for of a template, which goes on after its own braces
+		if t.Type == hclsyntax.TokenTemplateControl { // if or for of a template: the nesting goes on after its braces
 			current.operators++
 			operators++
 		}
@@ -38,7 +38,7 @@
 				operators -= current.operators
 				levels = levels[:len(levels)-1]
 			}
-		case hclsyntax.TokenComma, hclsyntax.TokenNewline: // an expression ends, but a line alone ends none within brackets
+		case hclsyntax.TokenComma, hclsyntax.TokenNewline: // an expression ends, except at a newline within brackets
 			if t.Type == hclsyntax.TokenComma || current.open == hclsyntax.TokenOBrace {
 				operators -= current.operators
 				current.operators = 0
--- a/internal/hclread/read.go
+++ b/internal/hclread/read.go
@@ -1,5 +1,6 @@
-// Package hclread reads HCL files whose every figure is checked: each fault is one line with file, line, what was
-// found and what was expected, and a name that nobody asked for is a fault.
+// Package hclread reads HCL files and checks every value in them. A caller takes the values that it knows from the Body of
+// the file and of its blocks, and then calls RejectUnknown for the rest. Errors are collected as issues: one line each,
+// with file, line, column, what was found and what was expected. File.Err returns all of them.
 package hclread
 
 import (
@@ -21,32 +22,32 @@
 	"scalechute/logic"
 )
 
-// Faults are all that is wrong with a file, in the order of its lines.
+// Issues is an error that holds all errors of a file, in the order of their lines.
 type Issues []Issue
 
-// Fault is one line for a person.
+// Issue is an error at a position of a file.
 type Issue struct {
 	File         string
 	Line, Column int
 	Msg          string
 }
 
-func (f Issue) String() string { return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Msg) }
+func (i Issue) String() string { return fmt.Sprintf("%s:%d:%d: %s", i.File, i.Line, i.Column, i.Msg) }
 
-func (f Issues) Error() string {
-	lines := make([]string, len(f))
-	for i := range f {
-		lines[i] = f[i].String()
+func (issues Issues) Error() string {
+	lines := make([]string, len(issues))
+	for i := range issues {
+		lines[i] = issues[i].String()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// File is one file as read.
+// File is a parsed file, with the blocks of the files that it includes.
 type File struct {
 	Name          string
 	Source        []byte
 	Root          *Body
-	IncludedFiles []string // that it includes
+	IncludedFiles []string
 	issues        *Issues
 }
 
@@ -59,14 +60,14 @@
 	return Parse(name, source)
 }
 
-// load reads a plain file of no more than may be.
+// readFile reads a regular file of at most maxFileBytes.
 func readFile(name string) ([]byte, error) {
 	info, err := os.Stat(name)
 	if err != nil {
 		return nil, err
 	}
 	if !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%s: found no plain file, expected one", name)
+		return nil, fmt.Errorf("%s: found a directory or special file, expected a regular file", name)
 	}
 	if info.Size() > maxFileBytes {
 		return nil, fmt.Errorf("%s: found %d bytes, expected at most %d", name, info.Size(), maxFileBytes)
@@ -74,7 +75,7 @@
 	return os.ReadFile(name)
 }
 
-// Parse is Open for what was read already.
+// Parse is Open for the content of a file.
 func Parse(name string, source []byte) (*File, error) {
 	f, err := parse(name, source, &Issues{})
 	if err != nil {
@@ -84,10 +85,10 @@
 	return f, nil
 }
 
-// parse books faults where they are told to be.
+// parse parses a file without its includes and adds errors to issues.
 func parse(name string, source []byte, issues *Issues) (*File, error) {
-	if line, what := checkNesting(source); line > 0 {
-		*issues = append(*issues, Issue{name, line, 1, what})
+	if line, message := checkNesting(source); line > 0 {
+		*issues = append(*issues, Issue{name, line, 1, message})
 		return nil, *issues
 	}
 	parsed, diags := hclsyntax.ParseConfig(source, name, hcl.InitialPos)
@@ -96,11 +97,11 @@
 		for _, d := range diags.Errs() {
 			d, ok := d.(*hcl.Diagnostic)
 			if !ok || d.Subject == nil {
-				*f.issues = append(*f.issues, Issue{name, 1, 1, "not HCL"})
+				*f.issues = append(*f.issues, Issue{name, 1, 1, "found a file that is not HCL"})
 				continue
 			}
-			text := strings.ReplaceAll(d.Summary+": "+d.Detail, "\n", " ")
-			*f.issues = append(*f.issues, Issue{name, d.Subject.Start.Line, d.Subject.Start.Column, text})
+			message := strings.ReplaceAll(d.Summary+": "+d.Detail, "\n", " ")
+			*f.issues = append(*f.issues, Issue{name, d.Subject.Start.Line, d.Subject.Start.Column, message})
 		}
 		return nil, *f.issues
 	}
@@ -108,7 +109,8 @@
 	return f, nil
 }
 
-// include reads the files that a file names, relative to itself: their blocks count as its own. They name no others.
+// readIncluded parses the files listed in include, with paths relative to the including file, and adds their blocks to
+// those of the file. An included file cannot include others.
 func (f *File) readIncluded() {
 	if !f.Root.Has("include") {
 		return
@@ -125,7 +127,7 @@
 			continue
 		}
 		if other.Root.Has("include") {
-			other.Root.AttributeErrorf("include", "found in a file that is included itself, expected none")
+			other.Root.AttributeErrorf("include", "found in an included file, expected none")
 		}
 		f.IncludedFiles = append(f.IncludedFiles, path)
 		f.Root.included = append(f.Root.included, other.Root)
@@ -133,7 +135,7 @@
 	}
 }
 
-// Err is nil if no fault was found.
+// Err returns the Issues found so far, nil if there are none.
 func (f *File) Err() error {
 	if len(*f.issues) == 0 {
 		return nil
@@ -144,18 +146,20 @@
 	return *f.issues
 }
 
-// Body is the file itself or one block of it.
+// Body is the content of a file or of one of its blocks. The methods that read an attribute record an error if its value
+// is invalid, or if it is absent and required. Methods with a defaultValue return it then. Callers check File.Err in the
+// end, not each value.
 type Body struct {
-	Kind     string
+	Kind     string // type of the block, empty for a file
 	Labels   []string
 	file     *File
 	body     *hclsyntax.Body
 	defRange hcl.Range
 	known    map[string]bool
-	included []*Body // included files
+	included []*Body // bodies of the included files
 }
 
-// Fault books a fault at the place of this block.
+// Errorf records an error at the position of the block.
 func (b *Body) Errorf(format string, args ...any) { b.errorAt(b.defRange, format, args...) }
 
 func (b *Body) errorAt(srcRange hcl.Range, format string, args ...any) {
@@ -163,7 +167,7 @@
 		Issue{b.file.Name, max(1, srcRange.Start.Line), max(1, srcRange.Start.Column), fmt.Sprintf(format, args...)})
 }
 
-// FaultAt books a fault at one of the block's values.
+// AttributeErrorf records an error at an attribute of the block.
 func (b *Body) AttributeErrorf(name, format string, args ...any) {
 	srcRange := b.defRange
 	if attribute, ok := b.body.Attributes[name]; ok {
@@ -172,7 +176,8 @@
 	b.errorAt(srcRange, name+": "+format, args...)
 }
 
-// FaultIn books a fault at a place within one of the block's texts, by line and column from 1 as the text has them.
+// TextErrorf records an error at a position within the text of an attribute. line and column are 1-based in the text; the
+// column counts code points.
 func (b *Body) TextErrorf(name string, line, column int, format string, args ...any) {
 	attribute, ok := b.body.Attributes[name]
 	if !ok {
@@ -183,7 +188,7 @@
 	source := string(b.file.Source[srcRange.Start.Byte:srcRange.End.Byte])
 	text, _ := attribute.Expr.Value(nil)
 	switch {
-	case strings.HasPrefix(source, "<<") && text.Type() == cty.String: // what differs from the file is the indentation
+	case strings.HasPrefix(source, "<<") && text.Type() == cty.String: // lines differ from the file only in the indentation
 		lines, textLines := strings.Split(source, "\n"), strings.Split(text.AsString(), "\n")
 		if line < len(lines) && line <= len(textLines) {
 			srcRange.Start.Line += line
@@ -195,7 +200,7 @@
 	b.errorAt(srcRange, name+": "+format, args...)
 }
 
-// escaped finds where a place of a quoted text is in its source.
+// sourceOffset returns the byte offset of a position of a quoted text in its source.
 func sourceOffset(source string, line, column int) (i int) {
 	for l, c := 1, 1; i < len(source) && (l < line || l == line && c < column); c++ {
 		_, size := utf8.DecodeRuneInString(source[i:])
@@ -216,16 +221,16 @@
 	return min(i, len(source))
 }
 
-// Place is where the block stands.
+// Location returns the file and line of the block.
 func (b *Body) Location() string { return fmt.Sprintf("%s:%d", b.file.Name, b.defRange.Start.Line) }
 
-// Source is the block as it stands in the file.
+// Source returns the source of the block.
 func (b *Body) Source() []byte {
 	bodyRange := b.body.Range()
 	return b.file.Source[b.defRange.Start.Byte:bodyRange.End.Byte]
 }
 
-// Blocks are those of a kind, with so many labels each.
+// Blocks returns the blocks of a kind, also those of included files. A block with another number of labels is an error.
 func (b *Body) Blocks(kind string, labels int) (blocks []*Body) {
 	b.known["block "+kind] = true
 	for _, block := range b.body.Blocks {
@@ -245,15 +250,15 @@
 	return blocks
 }
 
-// Block is the only one of a kind. If it is missing and must be there, that is a fault; the body that comes back
-// then is empty.
+// Block returns the only block of a kind, which has no labels. If there is none, Block returns an empty body, and records
+// an error if the block is required.
 func (b *Body) Block(kind string, required bool) *Body {
-	all := b.Blocks(kind, 0)
-	if len(all) > 1 {
-		all[1].Errorf("block %s stands twice, expected once", kind)
+	blocks := b.Blocks(kind, 0)
+	if len(blocks) > 1 {
+		blocks[1].Errorf("block %s is declared twice, expected once", kind)
 	}
-	if len(all) > 0 {
-		return all[0]
+	if len(blocks) > 0 {
+		return blocks[0]
 	}
 	if required {
 		b.Errorf("no block %s, expected one", kind)
@@ -261,9 +266,11 @@
 	return &Body{Kind: kind, file: b.file, body: &hclsyntax.Body{}, defRange: b.defRange, known: map[string]bool{}}
 }
 
-// Has says whether a value is given.
+// Has reports whether the body has an attribute.
 func (b *Body) Has(name string) bool { return b.body.Attributes[name] != nil }
 
+// value evaluates an attribute and returns its value and range. The last result is false if the attribute is absent or is
+// not constant. expected describes valid values in error messages.
 func (b *Body) value(name string, required bool, expected string) (cty.Value, hcl.Range, bool) {
 	b.known[name] = true
 	attribute, ok := b.body.Attributes[name]
@@ -275,12 +282,13 @@
 	}
 	v, diags := attribute.Expr.Value(nil)
 	if diags.HasErrors() || !v.IsWhollyKnown() || v.IsNull() {
-		b.errorAt(attribute.SrcRange, "%s: found no plain value, expected %s", name, expected)
+		b.errorAt(attribute.SrcRange, "%s: found no constant value, expected %s", name, expected)
 		return cty.NilVal, attribute.SrcRange, false
 	}
 	return v, attribute.SrcRange, true
 }
 
+// describe names the body in error messages.
 func (b *Body) describe() string {
 	if b.Kind == "" {
 		return "the file"
@@ -288,6 +296,7 @@
 	return strings.TrimSpace("block " + b.Kind + " " + strings.Join(b.Labels, " "))
 }
 
+// formatValue returns a value for error messages.
 func formatValue(v cty.Value) string {
 	switch {
 	case v.Type() == cty.String:
@@ -297,11 +306,11 @@
 	case v.Type() == cty.Bool:
 		return fmt.Sprint(v.True())
 	default:
-		return "a " + v.Type().FriendlyName()
+		return "a value of type " + v.Type().FriendlyName()
 	}
 }
 
-// Text is a string that is not empty.
+// Text returns the value of an attribute that is a string and not empty.
 func (b *Body) Text(name string, required bool, defaultValue string) string {
 	v, srcRange, ok := b.value(name, required, "a text")
 	if !ok {
@@ -314,7 +323,7 @@
 	return v.AsString()
 }
 
-// Phrase is a string that may be empty.
+// TextOrEmpty returns the value of a required attribute that is a string and may be empty.
 func (b *Body) TextOrEmpty(name string) string {
 	v, srcRange, ok := b.value(name, true, "a text")
 	if ok && v.Type() == cty.String {
@@ -326,7 +335,7 @@
 	return ""
 }
 
-// Word is one of a few, given as its place among them.
+// Enum returns the index in names of the value of an attribute.
 func (b *Body) Enum(name string, required bool, defaultValue int, names ...string) int {
 	expected := "one of " + strings.Join(names, ", ")
 	v, srcRange, ok := b.value(name, required, expected)
@@ -342,7 +351,7 @@
 	return defaultValue
 }
 
-// Flag is true or false.
+// Bool returns the value of an optional attribute that is true or false.
 func (b *Body) Bool(name string, defaultValue bool) bool {
 	v, srcRange, ok := b.value(name, false, "true or false")
 	if !ok {
@@ -355,7 +364,7 @@
 	return v.True()
 }
 
-// Figure is a number between two others, both allowed.
+// Float returns the value of an attribute that is a number between minValue and maxValue, inclusive.
 func (b *Body) Float(name string, required bool, defaultValue, minValue, maxValue float64) float64 {
 	expected := fmt.Sprintf("a number from %g to %g", minValue, maxValue)
 	v, srcRange, ok := b.value(name, required, expected)
@@ -365,31 +374,33 @@
 	return b.checkFloat(name, v, srcRange, expected, defaultValue, minValue, maxValue)
 }
 
+// checkFloat returns v as a float64, or defaultValue and records an error if v is not a number in the range.
 func (b *Body) checkFloat(name string, v cty.Value, srcRange hcl.Range, expected string, defaultValue, minValue, maxValue float64) float64 {
-	var x float64
-	if v.Type() != cty.Number || gocty.FromCtyValue(v, &x) != nil || !(x >= minValue && x <= maxValue) {
+	var number float64
+	if v.Type() != cty.Number || gocty.FromCtyValue(v, &number) != nil || !(number >= minValue && number <= maxValue) {
 		b.errorAt(srcRange, "%s: found %s, expected %s", name, formatValue(v), expected)
 		return defaultValue
 	}
-	return x
+	return number
 }
 
-// Whole is a whole number between two others, both allowed.
+// Int returns the value of an attribute that is a whole number between minValue and maxValue, inclusive.
 func (b *Body) Int(name string, required bool, defaultValue, minValue, maxValue int) int {
 	expected := fmt.Sprintf("a whole number from %d to %d", minValue, maxValue)
 	v, srcRange, ok := b.value(name, required, expected)
 	if !ok {
 		return defaultValue
 	}
-	x := b.checkFloat(name, v, srcRange, expected, float64(defaultValue), float64(minValue), float64(maxValue))
-	if x != float64(int(x)) {
+	number := b.checkFloat(name, v, srcRange, expected, float64(defaultValue), float64(minValue), float64(maxValue))
+	if number != float64(int(number)) {
 		b.errorAt(srcRange, "%s: found %s, expected %s", name, formatValue(v), expected)
 		return defaultValue
 	}
-	return int(x)
+	return int(number)
 }
 
-// Span is a time such as "250ms", between two others.
+// Duration returns the value of an attribute that is a duration such as "250ms" between minValue and maxValue, inclusive,
+// in whole microseconds.
 func (b *Body) Duration(name string, required bool, defaultValue, minValue, maxValue time.Duration) logic.Micros {
 	expected := fmt.Sprintf("a span from %v to %v", minValue, maxValue)
 	v, srcRange, ok := b.value(name, required, expected)
@@ -406,7 +417,7 @@
 	return logic.Micros(defaultValue / time.Microsecond)
 }
 
-// Figures is a list of numbers, each between two others.
+// Floats returns the elements of an attribute that is a list of numbers, each between minValue and maxValue, inclusive.
 func (b *Body) Floats(name string, required bool, minValue, maxValue float64) (numbers []float64) {
 	expected := fmt.Sprintf("a list of numbers from %g to %g", minValue, maxValue)
 	for _, x := range b.elements(name, required, expected) {
@@ -415,7 +426,7 @@
 	return numbers
 }
 
-// Texts is a list of strings.
+// Texts returns the elements of an attribute that is a list of strings, none of them empty.
 func (b *Body) Texts(name string, required bool) (texts []string) {
 	for _, x := range b.elements(name, required, "a list of texts") {
 		if x.Type() != cty.String || x.AsString() == "" {
@@ -427,14 +438,14 @@
 	return texts
 }
 
-// Pair is an entry of an object: a plain value as a person would write it, or several.
+// Pair is an entry of an object. Numbers and flags are converted to strings.
 type Pair struct {
 	Name   string
 	Values []string
-	IsList bool
+	IsList bool // false if the entry is a single value
 }
 
-// Pairs is an object of plain values and lists of them, by their names.
+// Pairs returns the entries of an attribute that is an object, sorted by name.
 func (b *Body) Pairs(name string, required bool) (pairs []Pair) {
 	const expected = "an object of texts, numbers, flags and lists of them"
 	v, srcRange, ok := b.value(name, required, expected)
@@ -447,11 +458,11 @@
 	}
 	for key, x := range v.AsValueMap() {
 		p := Pair{Name: key, IsList: x.Type().IsTupleType()}
-		parts := []cty.Value{x}
+		values := []cty.Value{x}
 		if p.IsList {
-			parts = x.AsValueSlice()
+			values = x.AsValueSlice()
 		}
-		for _, part := range parts {
+		for _, part := range values {
 			text, err := convert.Convert(part, cty.String)
 			if err != nil || text.IsNull() {
 				b.errorAt(srcRange, "%s: found %s as %s, expected %s", name, formatValue(part), key, expected)
@@ -465,6 +476,7 @@
 	return pairs
 }
 
+// elements returns the elements of an attribute that is a list.
 func (b *Body) elements(name string, required bool, expected string) (all []cty.Value) {
 	v, srcRange, ok := b.value(name, required, expected)
 	if !ok {
@@ -477,13 +489,13 @@
 	return v.AsValueSlice()
 }
 
-// Pass has blocks of a kind count as known, whatever is in them.
+// IgnoreBlocks makes RejectUnknown accept blocks of a kind without looking into them.
 func (b *Body) IgnoreBlocks(kind string) { b.known["block "+kind] = true }
 
-// Faults counts those of the file so far.
+// ErrorCount returns the number of errors recorded in the file so far.
 func (b *Body) ErrorCount() int { return len(*b.file.issues) }
 
-// Done books a fault for each name of the block that nobody asked for.
+// RejectUnknown records an error for each attribute and block of the body that has not been read.
 func (b *Body) RejectUnknown() {
 	for _, other := range b.included {
 		other.RejectUnknown()
@@ -500,10 +512,11 @@
 	}
 }
 
+// knownNames lists the attributes or blocks that have been read, for error messages.
 func (b *Body) knownNames(prefix string) string {
 	var names []string
 	for name := range b.known {
-		if rest, is := strings.CutPrefix(name, "block "); is == (prefix != "") {
+		if rest, isBlock := strings.CutPrefix(name, "block "); isBlock == (prefix != "") {
 			names = append(names, rest)
 		}
 	}
--- a/internal/hclread/read_test.go
+++ b/internal/hclread/read_test.go
@@ -11,7 +11,7 @@
 	return err != nil && (strings.Contains(err.Error(), "nesting deeper than 500") || strings.Contains(err.Error(), "more than 2000 operators"))
 }
 
-// Nesting without end in the file itself is refused before the parser goes down into it.
+// Deeply nested sources are refused before HCL's parser, which recurses, can overflow the stack.
 func TestDeepFiles(t *testing.T) {
 	for _, open := range []string{"(", "[", "{a=", "!", "-", "${", "f(", "\"${", "x ? "} {
 		if _, err := Parse("deep.hcl", []byte("a = "+strings.Repeat(open, 10_000))); !isLimitError(err) {
@@ -26,7 +26,7 @@
 			t.Errorf("%.20q: %.200v", text, err)
 		}
 	}
-	// Just within the bounds, whatever is nested can be parsed and evaluated.
+	// Just below the limits, every kind of nesting can be parsed and evaluated.
 	for _, text := range []string{"a = " + strings.Repeat("(", 490) + "1" + strings.Repeat(")", 490), "a = 1" + strings.Repeat("+1", 1_990),
 		"a = " + strings.Repeat("-", 1_990) + "1", "a = " + strings.Repeat("true ? 1 : ", 1_990) + "1", "a = " + strings.Repeat("!", 1_990) + "true"} {
 		f, err := Parse("deep.hcl", []byte(text))
@@ -44,7 +44,7 @@
 	}
 }
 
-// Blocks of included files count as the file's own, and their faults are told where they stand.
+// Blocks of included files are read like the file's own, and their errors have the name and line of the included file.
 func TestInclude(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{"more.hcl": "b \"two\" {\n  x = 2\n}\n", "bad.hcl": "b \"three\" {\n  x = \n}\n",
@@ -55,8 +55,8 @@
 	}
 	for _, x := range []struct{ include, want string }{
 		{`"more.hcl"`, ""}, {`"bad.hcl"`, "bad.hcl:2:"}, {`"odd.hcl"`, "odd.hcl:2:1: block c: unknown in the file, expected one of b"},
-		{`"again.hcl"`, "again.hcl:1:1: include: found in a file that is included itself"}, {`"main.hcl"`, "main.hcl:1:1: include: found in a file"},
-		{`"none.hcl"`, "main.hcl:1:1: include: "}, {`"../../../../../../../../dev/zero"`, "found no plain file, expected one"}, {`3`, "expected a text"},
+		{`"again.hcl"`, "again.hcl:1:1: include: found in an included file, expected none"}, {`"main.hcl"`, "main.hcl:1:1: include: found in an included file, expected none"},
+		{`"none.hcl"`, "main.hcl:1:1: include: "}, {`"../../../../../../../../dev/zero"`, "found a directory or special file, expected a regular file"}, {`3`, "expected a text"},
 	} {
 		name := filepath.Join(dir, "main.hcl")
 		text := []byte("include = [" + x.include + "]\nb \"one\" {\n  x = 1\n}\n")
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -67,8 +67,8 @@
 		{`bake         = "3s"`, "bake = \"3s\"\n counts_every = \"1s\"\n counts_share = 2", `counts_share: found 2, expected a number from 0 to 1`},
 		{`repeat      = "redoable"`, "repeat = \"redoable\"\n place = 1", `place: found 1, expected one that profile reading does not have`},
 		{`rules {`, `rule {`, `block rule: unknown in the file`},
-		{`trial {`, "trial {}\ntrial {", `block trial stands twice`},
-		{`control      = "any"`, `control = any`, `control: found no plain value`},
+		{`trial {`, "trial {}\ntrial {", `block trial is declared twice`},
+		{`control      = "any"`, `control = any`, `control: found no constant value`},
 		{`sentry {`, `sentry`, `Argument or block definition required`},
 	}
 	for _, c := range cases {
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -87,7 +87,7 @@
 		{`let "cold" {`, `let "temp" {`, 0, `is: found a name that is declared already`},
 		{`  is = "temp < celsius(8)"`, `  is = "!cold"`, 9, "is: found a cycle, cold -> cold"},
 		{`matching {`, `matchin {`, 1, `block matchin: unknown in the file`}, {`list           = 6`, `list = 0`, 0, `list: found 0`},
-		{`with  = { size = 1 }`, `with = { temp = { a = 1 } }`, 0, `with: found a object as temp`}, {`with  = { size = 1 }`, `with = 3`, 0, `with: found 3`},
+		{`with  = { size = 1 }`, `with = { temp = { a = 1 } }`, 0, `with: found a value of type object as temp`}, {`with  = { size = 1 }`, `with = 3`, 0, `with: found 3`},
 	} {
 		_, line, err := parse(t, x.old, x.new)
 		want := x.want
