--- a/internal/routes/read.go
+++ b/internal/routes/read.go
@@ -1,5 +1,6 @@
-// Package routes reads an operator's matching blocks: the words of the operator's trade, named expressions, the routes
-// and the cases that show what they do. docs/match.md says how the language came about, docs/routes.md how it is used.
+// Package routes reads the matching blocks of a settings file: types and attributes, named expressions, routes and test
+// cases. It also implements the `scalechute match` commands on them. Package match implements the language itself.
+// docs/routes.md describes its use, docs/match.md its design.
 package routes
 
 import (
@@ -14,129 +15,130 @@
 	"scalechute/internal/match"
 )
 
-// Book is all that a file says of matching.
+// RouteSet is the content of the matching blocks of a file.
 type RouteSet struct {
 	Table           *match.Table
 	Schema          *match.Schema
 	Definitions     []match.Definition
-	DefinitionCosts []int64 // of the definitions, in steps
-	CostLimit       int64   // of an expression, in steps
+	DefinitionCosts []int64 // worst case of each definition, in steps
+	CostLimit       int64   // worst case of an expression, in steps
 	Cases           []Case
 	Profiles        []string
 	Accounts        []string
-	Warnings        []string // what is no fault but hardly meant
-	locations       []string // of the routes in the file
+	Warnings        []string // valid but probably not intended, such as routes that never apply
+	locations       []string // file and line of each route
 }
 
-// Case is a transaction with what the operator expects of it.
+// Case is a test case: the attributes of a transaction with the expected route and key.
 type Case struct {
 	Name           string
-	Location       string
+	Location       string // file and line
 	Attributes     []hclread.Pair
-	Route          string // empty: none
+	Route          string // "none" if no route must match
 	Key            string
-	HasKey         bool
-	TypeMismatches []string // attributes whose values must not fit
+	HasKey         bool     // whether Key is checked
+	TypeMismatches []string // attributes whose values must not fit their types
 }
 
-// Bounds of a file.
+// Limits of a file.
 const (
 	maxRoutes   = 100_000
-	maxKeyBytes = 1024 // bytes
+	maxKeyBytes = 1024
 )
 
-// Load reads only the matching blocks of a file, and of its profiles and accounts the names. Blocks that belong to
-// others are passed over.
-func Load(name string, others ...string) (*RouteSet, error) {
+// Load reads the matching blocks of a file, and the names of its profiles and accounts. It does not look into blocks of the
+// kinds in ignoredBlocks.
+func Load(name string, ignoredBlocks ...string) (*RouteSet, error) {
 	f, err := hclread.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	return read(f, others)
+	return read(f, ignoredBlocks)
 }
 
-// Parse is Load for what was read already.
-func Parse(name string, source []byte, others ...string) (*RouteSet, error) {
+// Parse is Load for the content of a file.
+func Parse(name string, source []byte, ignoredBlocks ...string) (*RouteSet, error) {
 	f, err := hclread.Parse(name, source)
 	if err != nil {
 		return nil, err
 	}
-	return read(f, others)
+	return read(f, ignoredBlocks)
 }
 
-func read(f *hclread.File, others []string) (*RouteSet, error) {
-	names := func(kind string) (all []string) {
-		for _, b := range f.Root.Blocks(kind, 1) {
-			all = append(all, b.Labels[0])
+func read(f *hclread.File, ignoredBlocks []string) (*RouteSet, error) {
+	names := func(kind string) (names []string) {
+		for _, block := range f.Root.Blocks(kind, 1) {
+			names = append(names, block.Labels[0])
 		}
-		return all
+		return names
 	}
-	b := Read(f.Root, names("profile"), names("account"))
-	for _, kind := range others {
+	routeSet := Read(f.Root, names("profile"), names("account"))
+	for _, kind := range ignoredBlocks {
 		f.Root.IgnoreBlocks(kind)
 	}
 	f.Root.RejectUnknown()
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
-	if b == nil {
-		return nil, fmt.Errorf("%s: no attribute and no route, expected some", f.Name)
+	if routeSet == nil {
+		return nil, fmt.Errorf("%s: found no attribute and no route, expected some", f.Name)
 	}
-	return b, nil
+	return routeSet, nil
 }
 
-// Read reads the matching blocks of a file whose other blocks somebody else reads. Faults are booked with the file; the
-// book is nil if there are no such blocks or they have faults.
+// Read reads the matching blocks of a file whose other blocks the caller reads. Errors are recorded in the file. The result
+// is nil if there are no matching blocks or if they have errors.
 func Read(root *hclread.Body, profiles, accounts []string) *RouteSet {
-	r := &reader{book: &RouteSet{Profiles: profiles, Accounts: accounts}, types: map[string]*match.Type{}}
-	before := root.ErrorCount()
-	m := root.Block("matching", false)
-	r.book.CostLimit = int64(m.Int("cost_limit", false, 2_000, 1, 1_000_000))
-	m.RejectUnknown()
-	r.words(root)
-	lets, routes := root.Blocks("let", 1), root.Blocks("route", 1)
-	r.cases(root)
-	if len(r.attributes) == 0 && len(lets)+len(routes)+len(r.book.Cases) == 0 {
+	r := &reader{routeSet: &RouteSet{Profiles: profiles, Accounts: accounts}, types: map[string]*match.Type{}}
+	errorsBefore := root.ErrorCount()
+	matching := root.Block("matching", false)
+	r.routeSet.CostLimit = int64(matching.Int("cost_limit", false, 2_000, 1, 1_000_000))
+	matching.RejectUnknown()
+	r.readTypes(root)
+	definitions, routes := root.Blocks("let", 1), root.Blocks("route", 1)
+	r.readCases(root)
+	if len(r.attributes) == 0 && len(definitions)+len(routes)+len(r.routeSet.Cases) == 0 {
 		return nil
 	}
 	var err error
-	if r.book.Schema, err = match.NewSchema(r.attributes); err != nil {
+	if r.routeSet.Schema, err = match.NewSchema(r.attributes); err != nil {
 		root.Errorf("attributes: %v", err)
 		return nil
 	}
-	if r.checker, err = match.NewCompiler(r.book.Schema, r.book.CostLimit); err != nil {
+	if r.compiler, err = match.NewCompiler(r.routeSet.Schema, r.routeSet.CostLimit); err != nil {
 		root.Errorf("attributes: %v", err)
 		return nil
 	}
-	r.lets(lets)
-	r.routes(routes)
-	if root.ErrorCount() > before {
+	r.readDefinitions(definitions)
+	r.readRoutes(routes)
+	if root.ErrorCount() > errorsBefore {
 		return nil
 	}
 	if len(routes) == 0 {
-		r.book.Warnings = append(r.book.Warnings, "no route: no transaction that carries attributes is taken")
+		r.routeSet.Warnings = append(r.routeSet.Warnings, "found no route: transactions with attributes are not taken")
 	}
-	return r.book
+	return r.routeSet
 }
 
+// reader holds the state of one Read.
 type reader struct {
-	book       *RouteSet
-	types      map[string]*match.Type
-	attributes []match.Attribute
-	checker    *match.Compiler
-	faulty     []string // named expressions that nobody can use
+	routeSet           *RouteSet
+	types              map[string]*match.Type
+	attributes         []match.Attribute
+	compiler           *match.Compiler
+	invalidDefinitions []string // names of the definitions with errors
 }
 
-// words reads sets, measures and attributes.
-func (r *reader) words(root *hclread.Body) {
-	take := func(b *hclread.Body, t *match.Type) {
-		if slices.Contains(plain, t.Name) || r.types[t.Name] != nil {
+// readTypes reads sets, measures and attributes.
+func (r *reader) readTypes(root *hclread.Body) {
+	addType := func(b *hclread.Body, t *match.Type) {
+		if slices.Contains(builtinTypes, t.Name) || r.types[t.Name] != nil {
 			b.Errorf("%s %s, expected a name that no other type has", b.Kind, t.Name)
 		}
 		r.types[t.Name] = t
 	}
 	for _, b := range root.Blocks("set", 1) {
-		take(b, &match.Type{Kind: match.Enum, Name: b.Labels[0], Members: b.Texts("members", true)})
+		addType(b, &match.Type{Kind: match.Enum, Name: b.Labels[0], Members: b.Texts("members", true)})
 		b.RejectUnknown()
 	}
 	for _, b := range root.Blocks("measure", 1) {
@@ -147,20 +149,20 @@
 			u.RejectUnknown()
 		}
 		if len(t.Units) > 0 && (t.Units[0].Scale != 1 || t.Units[0].Offset != 0) {
-			b.Errorf("measure %s: figures are kept in the first unit, expected it without scale and offset", t.Name)
+			b.Errorf("measure %s: values are stored in the first unit, expected it without scale and offset", t.Name)
 		}
-		take(b, t)
+		addType(b, t)
 		b.RejectUnknown()
 	}
-	known := append([]string(nil), plain...)
+	typeNames := append([]string(nil), builtinTypes...)
 	for name := range r.types {
-		known = append(known, name)
+		typeNames = append(typeNames, name)
 	}
-	slices.Sort(known[len(plain):])
+	slices.Sort(typeNames[len(builtinTypes):])
 	for _, b := range root.Blocks("attribute", 1) {
-		a := match.Attribute{Name: b.Labels[0], Optional: b.Bool("may_be_missing", false)}
+		attribute := match.Attribute{Name: b.Labels[0], Optional: b.Bool("may_be_missing", false)}
 		var t *match.Type
-		switch name := known[b.Enum("type", true, 0, known...)]; name {
+		switch name := typeNames[b.Enum("type", true, 0, typeNames...)]; name {
 		case "text":
 			t = &match.Type{Kind: match.Text, MaxLength: b.Int("most", true, 1, 1, 64<<10)}
 		case "whole":
@@ -175,103 +177,107 @@
 		if b.Has("list") {
 			t = &match.Type{Kind: match.List, Element: t, MaxLength: b.Int("list", true, 1, 1, 1024)}
 		}
-		a.Type = t
-		r.attributes = append(r.attributes, a)
+		attribute.Type = t
+		r.attributes = append(r.attributes, attribute)
 		b.RejectUnknown()
 	}
 }
 
-var plain = []string{"text", "whole", "flag", "span"}
+// builtinTypes lists the types that need no declaration.
+var builtinTypes = []string{"text", "whole", "flag", "span"}
 
-func (r *reader) lets(blocks []*hclread.Body) {
-	at := map[string]*hclread.Body{}
+// readDefinitions reads and checks the let blocks.
+func (r *reader) readDefinitions(blocks []*hclread.Body) {
+	blocksByName := map[string]*hclread.Body{}
 	for _, b := range blocks {
-		d := match.Definition{Name: b.Labels[0], Source: b.Text("is", true, "")}
+		definition := match.Definition{Name: b.Labels[0], Source: b.Text("is", true, "")}
 		b.RejectUnknown()
-		if at[d.Name] == nil {
-			at[d.Name] = b
+		if blocksByName[definition.Name] == nil {
+			blocksByName[definition.Name] = b
 		}
-		r.book.Definitions = append(r.book.Definitions, d)
+		r.routeSet.Definitions = append(r.routeSet.Definitions, definition)
 	}
-	for _, err := range r.checker.Define(r.book.Definitions) {
-		f := err.(*match.DefinitionError)
-		r.faulty = append(r.faulty, f.Name)
-		at[f.Name].TextErrorf("is", f.Err.Line, f.Err.Column, "%s", f.Err.Msg)
+	for _, err := range r.compiler.Define(r.routeSet.Definitions) {
+		definitionErr := err.(*match.DefinitionError)
+		r.invalidDefinitions = append(r.invalidDefinitions, definitionErr.Name)
+		blocksByName[definitionErr.Name].TextErrorf("is", definitionErr.Err.Line, definitionErr.Err.Column, "%s", definitionErr.Err.Msg)
 	}
-	for _, d := range r.book.Definitions {
-		r.book.DefinitionCosts = append(r.book.DefinitionCosts, r.checker.Cost(d.Name))
+	for _, definition := range r.routeSet.Definitions {
+		r.routeSet.DefinitionCosts = append(r.routeSet.DefinitionCosts, r.compiler.Cost(definition.Name))
 	}
 }
 
-// routes checks the routes on all cores: cel-go's parser and checker take most of a load's time.
-func (r *reader) routes(blocks []*hclread.Body) {
+// readRoutes reads the routes and compiles them on all cores: cel-go's parser and type checker take most of the time of a
+// load.
+func (r *reader) readRoutes(blocks []*hclread.Body) {
 	if len(blocks) > maxRoutes {
 		blocks[maxRoutes].Errorf("found %d routes, expected at most %d", len(blocks), maxRoutes)
 		return
 	}
-	seen := map[string]bool{}
-	all := make([]match.Route, len(blocks))
+	names := map[string]bool{}
+	routes := make([]match.Route, len(blocks))
 	for i, b := range blocks {
-		x := match.Route{Name: b.Labels[0], When: b.Text("when", true, ""), Key: b.Text("key", true, "")}
-		if len(r.book.Profiles) == 0 {
-			b.Errorf("route %s: the file has no profile, expected one for it", x.Name)
+		route := match.Route{Name: b.Labels[0], When: b.Text("when", true, ""), Key: b.Text("key", true, "")}
+		if len(r.routeSet.Profiles) == 0 {
+			b.Errorf("route %s: the file has no profile, expected one for it", route.Name)
 		} else {
-			x.Profile = b.Enum("profile", true, 0, r.book.Profiles...)
-			if r.book.Profiles[x.Profile] == "" && b.Has("profile") { // a place that none has
-				b.AttributeErrorf("profile", "found \"\", expected the name of one")
+			route.Profile = b.Enum("profile", true, 0, r.routeSet.Profiles...)
+			if r.routeSet.Profiles[route.Profile] == "" && b.Has("profile") { // a slot without a profile
+				b.AttributeErrorf("profile", "found \"\", expected the name of a profile")
 			}
 		}
-		if b.Has("account") && len(r.book.Accounts) == 0 {
-			b.AttributeErrorf("account", "found one, expected none in a file without accounts")
+		if b.Has("account") && len(r.routeSet.Accounts) == 0 {
+			b.AttributeErrorf("account", "found an account, expected none in a file without accounts")
 		} else if b.Has("account") {
-			x.Account = b.Enum("account", true, 0, r.book.Accounts...) + 1
+			route.Account = b.Enum("account", true, 0, r.routeSet.Accounts...) + 1
 		}
-		if seen[x.Name] || x.Name == "none" {
-			b.Errorf("route %s, expected a name that no other route has and that is not none", x.Name)
+		if names[route.Name] || route.Name == "none" {
+			b.Errorf("route %s, expected a name that no other route has and that is not none", route.Name)
 		}
-		seen[x.Name] = true
+		names[route.Name] = true
 		b.RejectUnknown()
-		all[i] = x
-		r.book.locations = append(r.book.locations, b.Location())
+		routes[i] = route
+		r.routeSet.locations = append(r.routeSet.locations, b.Location())
 	}
-	compiled, faults := make([]*match.CompiledRoute, len(all)), make([]error, len(all))
+	compiled, errs := make([]*match.CompiledRoute, len(routes)), make([]error, len(routes))
 	var next atomic.Int64
 	var done sync.WaitGroup
-	for range min(runtime.GOMAXPROCS(0), len(all)) {
+	for range min(runtime.GOMAXPROCS(0), len(routes)) {
 		done.Go(func() {
-			for i := int(next.Add(1)) - 1; i < len(all); i = int(next.Add(1)) - 1 {
-				compiled[i], faults[i] = r.checker.CompileRoute(all[i])
+			for i := int(next.Add(1)) - 1; i < len(routes); i = int(next.Add(1)) - 1 {
+				compiled[i], errs[i] = r.compiler.CompileRoute(routes[i])
 			}
 		})
 	}
 	done.Wait()
-	bad := false
-	for i, err := range faults {
+	failed := false
+	for i, err := range errs {
 		if err != nil {
-			f := err.(*match.RouteError)
-			bad = true
-			if slices.ContainsFunc(r.faulty, func(name string) bool { // its own fault is told
-				return strings.HasPrefix(f.Err.Msg, match.UndeclaredPrefix(name))
+			routeErr := err.(*match.RouteError)
+			failed = true
+			if slices.ContainsFunc(r.invalidDefinitions, func(name string) bool { // the error of the definition is recorded already
+				return strings.HasPrefix(routeErr.Err.Msg, match.UndeclaredPrefix(name))
 			}) {
 				continue
 			}
-			blocks[i].TextErrorf(f.Field, f.Err.Line, f.Err.Column, "%s", f.Err.Msg)
-		} else if _, _, most := compiled[i].Cost(); most > maxKeyBytes {
-			blocks[i].AttributeErrorf("key", "found a key of up to %d bytes, expected at most %d; hash() makes 16 of any", most, maxKeyBytes)
-			bad = true
+			blocks[i].TextErrorf(routeErr.Field, routeErr.Err.Line, routeErr.Err.Column, "%s", routeErr.Err.Msg)
+		} else if _, _, maxBytes := compiled[i].Cost(); maxBytes > maxKeyBytes {
+			blocks[i].AttributeErrorf("key", "found a key of up to %d bytes, expected at most %d; hash() returns 16 bytes for any text", maxBytes, maxKeyBytes)
+			failed = true
 		}
 	}
-	if bad {
+	if failed {
 		return
 	}
-	r.book.Table = match.NewTable(r.checker, compiled)
-	for _, x := range r.book.Table.Unreachable {
-		r.book.Warnings = append(r.book.Warnings, fmt.Sprintf("%s: route %s is never reached: all that it matches goes to route %s (%s)",
-			r.book.locations[x.Route], all[x.Route].Name, all[x.CoveredBy].Name, r.book.locations[x.CoveredBy]))
+	r.routeSet.Table = match.NewTable(r.compiler, compiled)
+	for _, route := range r.routeSet.Table.Unreachable {
+		r.routeSet.Warnings = append(r.routeSet.Warnings, fmt.Sprintf("%s: route %s is never reached: all that it matches goes to route %s (%s)",
+			r.routeSet.locations[route.Route], routes[route.Route].Name, routes[route.CoveredBy].Name, r.routeSet.locations[route.CoveredBy]))
 	}
 }
 
-func (r *reader) cases(root *hclread.Body) {
+// readCases reads the case blocks.
+func (r *reader) readCases(root *hclread.Body) {
 	for _, b := range root.Blocks("case", 1) {
 		c := Case{Name: b.Labels[0], Location: b.Location(), Attributes: b.Pairs("with", true), Route: b.Text("route", true, "none"),
 			HasKey: b.Has("key")}
@@ -282,17 +288,17 @@
 			c.TypeMismatches = b.Texts("misfits", true)
 		}
 		b.RejectUnknown()
-		r.book.Cases = append(r.book.Cases, c)
+		r.routeSet.Cases = append(r.routeSet.Cases, c)
 	}
 }
 
-// Summary says in a few words what a book holds; it may be nil.
-func (b *RouteSet) Summary() string {
-	if b == nil {
+// Summary returns the numbers of routes and attributes for a log line. The RouteSet may be nil.
+func (s *RouteSet) Summary() string {
+	if s == nil {
 		return "no routes"
 	}
-	return fmt.Sprintf("%d routes over %d attributes", len(b.Table.Routes), len(b.Schema.Attributes))
+	return fmt.Sprintf("%d routes over %d attributes", len(s.Table.Routes), len(s.Schema.Attributes))
 }
 
-// Place is where a route stands in its file.
-func (b *RouteSet) Location(route int) string { return b.locations[route] }
+// Location returns the file and line of a route.
+func (s *RouteSet) Location(route int) string { return s.locations[route] }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -11,8 +11,8 @@
 	"scalechute/internal/hclread"
 )
 
-// language is the reference of the language, which the tests change to see what is said of it.
-func language(t testing.TB) string {
+// languageFile returns the reference file of the language. The tests change it to produce errors.
+func languageFile(t testing.TB) string {
 	data, err := os.ReadFile("../../docs/language.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -20,32 +20,32 @@
 	return string(data)
 }
 
-// parse reads it with one thing changed, and says in which line.
-func parse(t *testing.T, old, new string) (*RouteSet, int, error) {
+// parseChanged parses the reference file with one text replaced and returns the line of the change.
+func parseChanged(t *testing.T, old, new string) (*RouteSet, int, error) {
 	t.Helper()
-	before, after, is := strings.Cut(language(t), old)
-	if !is {
+	before, after, found := strings.Cut(languageFile(t), old)
+	if !found {
 		t.Fatalf("%q is not in the file", old)
 	}
 	b, err := Parse("r.hcl", []byte(before+new+after))
 	return b, strings.Count(before, "\n") + 1, err
 }
 
-// The reference is good, and each way in which a case can fail is told.
+// The cases of the reference file pass, and each way in which a case can fail is reported.
 func TestCases(t *testing.T) {
-	b, _, err := parse(t, "", "")
+	b, _, err := parseChanged(t, "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if failed := b.RunCases(); len(failed) > 0 || len(b.Warnings) > 0 {
-		t.Error(failed, b.Warnings)
+	if failures := b.RunCases(); len(failures) > 0 || len(b.Warnings) > 0 {
+		t.Error(failures, b.Warnings)
 	}
 	nowhere := "with  = { depot = \"kingston\", urgent = true }\n  route = \"none\""
 	for _, x := range [][3]string{
 		{`key   = "u/t"`, `key = "u"`, `case "urgent": found key "u/t", expected "u"`},
 		{`temp = "5 celsius"`, `temp = "4 celsius"`, `found route missing, expected units: celsius(5) <= temp does not hold: temp is celsius(4)`},
 		{`misfits = ["id", "temp", "stops"]`, `misfits = ["id", "stops"]`, `temp: found a figure in "kelvin", expected a unit of temperature`},
-		{`misfits = ["id", "temp", "stops"]`, `misfits = ["id", "temp", "stops", "size"]`, `size fits, expected that it does not`},
+		{`misfits = ["id", "temp", "stops"]`, `misfits = ["id", "temp", "stops", "size"]`, `the value of size fits its type, expected a mismatch`},
 		{nowhere, "with = { depot = \"moon\" }\n route = \"none\"", `depot: found "moon", expected a member of depot`},
 		{nowhere, "with = { depot = \"kingston\", age = \"long\" }\n route = \"missing\"", `age: found "long", expected a span`},
 		{nowhere, "with = { depot = \"kingston\", colour = 1 }\n route = \"missing\"", `found attribute "colour"`},
@@ -54,7 +54,7 @@
 			`found route comparison, expected membership, which matches too but comes later`},
 		{nowhere, "with = { depot = \"kingston\", urgent = true }\n route = \"nine\"", `found route none, expected nine`},
 	} {
-		b, _, err := parse(t, x[0], x[1])
+		b, _, err := parseChanged(t, x[0], x[1])
 		if err != nil {
 			t.Fatalf("%s: %v", x[1], err)
 		}
@@ -64,11 +64,11 @@
 	}
 }
 
-// Faults of expressions are told at their place in the file, whatever form of text they stand in, all of them at once.
+// Errors in expressions are reported with their position in the file, for every form of HCL string, and all at once.
 func TestFaults(t *testing.T) {
 	for _, x := range []struct {
 		old, new string
-		column   int // 0: not asked
+		column   int // 0: not checked
 		want     string
 	}{
 		{`  is = "temp < celsius(8)"`, `  is = "temp < depot"`, 14, "is: found no matching overload"},
@@ -81,7 +81,7 @@
 		{`type = "depot"`, `type = "dept"`, 0, `type: found "dept", expected one of text, whole, flag, span, depot, temperature, weight`},
 		{`set "depot"`, `set "span"`, 1, `set span, expected a name that no other type has`},
 		{`"mandeville", "may_pen"]`, `"mandeville", "kingston"]`, 0, `attributes: attribute depot: set depot: member "kingston"`},
-		{`unit "kg" {}`, "unit \"kg\" {\n scale = 2\n}", 0, `figures are kept in the first unit`},
+		{`unit "kg" {}`, "unit \"kg\" {\n scale = 2\n}", 0, `values are stored in the first unit`},
 		{`cost_limit = 600`, `cost_limit = 3`, 0, `found a cost of`}, {`cost_limit = 600`, `cost_limit = 0`, 0, `cost_limit: found 0`},
 		{`most           = 32`, `most = 2000`, 0, `found a key of up to 2000 bytes, expected at most 1024`},
 		{`let "cold" {`, `let "temp" {`, 0, `is: found a name that is declared already`},
@@ -89,7 +89,7 @@
 		{`matching {`, `matchin {`, 1, `block matchin: unknown in the file`}, {`list           = 6`, `list = 0`, 0, `list: found 0`},
 		{`with  = { size = 1 }`, `with = { temp = { a = 1 } }`, 0, `with: found a value of type object as temp`}, {`with  = { size = 1 }`, `with = 3`, 0, `with: found 3`},
 	} {
-		_, line, err := parse(t, x.old, x.new)
+		_, line, err := parseChanged(t, x.old, x.new)
 		want := x.want
 		if x.column > 0 {
 			want = fmt.Sprintf("r.hcl:%d:%d: %s", line, x.column, x.want)
@@ -98,9 +98,9 @@
 			t.Errorf("%s: %v\nexpected %s", x.new, err, want)
 		}
 	}
-	two := strings.NewReplacer("size == 1", "sise == 1", "age > span", "agee > span").Replace(language(t))
+	two := strings.NewReplacer("size == 1", "sise == 1", "age > span", "agee > span").Replace(languageFile(t))
 	if _, err := Parse("r.hcl", []byte(two)); err == nil || strings.Count(err.Error(), "\n") != 1 {
-		t.Errorf("two faults, told as %v", err)
+		t.Errorf("two errors, reported as %v", err)
 	}
 	for _, text := range []string{"", "profile \"a\" {}\n", "case \"a\" {\n with = {}\n route = \"none\"\n}", "route \"a\" {\n when = \"true\"\n key = \"'a'\"\n profile = \"p\"\n}"} {
 		if b, err := Parse("r.hcl", []byte(text)); (err == nil) != strings.HasPrefix(text, "case") {
@@ -109,21 +109,22 @@
 	}
 }
 
-func TestTold(t *testing.T) {
-	covered := "route \"older\" {\n  when    = \"urgent && age > span('2m')\"\n  key     = \"id\"\n  profile = \"reading\"\n}\n"
-	b, line, err := parse(t, `route "loops"`, covered+`route "loops"`)
+// Warnings, the explanation of a match and the explanation of costs have the expected lines.
+func TestOutput(t *testing.T) {
+	unreachable := "route \"older\" {\n  when    = \"urgent && age > span('2m')\"\n  key     = \"id\"\n  profile = \"reading\"\n}\n"
+	b, line, err := parseChanged(t, `route "loops"`, unreachable+`route "loops"`)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(b.Warnings) != 1 || !strings.HasPrefix(b.Warnings[0], fmt.Sprintf("r.hcl:%d: route older is never reached: all that it matches goes to route spans (r.hcl:", line)) {
-		t.Errorf("the cover is told as %q", b.Warnings)
+		t.Errorf("the unreachable route is reported as %q", b.Warnings)
 	}
 	var out bytes.Buffer
-	r, misfits := b.ParseRecord([]hclread.Pair{{Name: "depot", Values: []string{"may_pen"}}, {Name: "age", Values: []string{"2m"}}, {Name: "id", Values: []string{"x"}}})
+	r, mismatches := b.ParseRecord([]hclread.Pair{{Name: "depot", Values: []string{"may_pen"}}, {Name: "age", Values: []string{"2m"}}, {Name: "id", Values: []string{"x"}}})
 	b.WriteMatch(&out, r, 1)
 	for _, want := range []string{"route spans (r.hcl:", "): profile reading, account none, key \"x\"\n  4 earlier", "the last 1:\n  not units (r.hcl:", "does not hold: load is missing\n"} {
-		if !strings.Contains(out.String(), want) || len(misfits) > 0 {
-			t.Errorf("%v %s\nexpected in it: %s", misfits, out.String(), want)
+		if !strings.Contains(out.String(), want) || len(mismatches) > 0 {
+			t.Errorf("%v %s\nexpected in it: %s", mismatches, out.String(), want)
 		}
 	}
 	out.Reset()
@@ -135,9 +136,9 @@
 	}
 }
 
-// Whatever is in the file, it is read to the end.
+// No file makes reading, running its cases or explaining it panic.
 func FuzzParse(f *testing.F) {
-	f.Add(language(f))
+	f.Add(languageFile(f))
 	f.Add("let \"a\" {\n is = <<-EOT\n  b\n EOT\n}")
 	f.Fuzz(func(t *testing.T, text string) {
 		b, err := Parse("f.hcl", []byte(text))
--- a/internal/routes/try.go
+++ b/internal/routes/try.go
@@ -11,192 +11,196 @@
 	"scalechute/internal/match"
 )
 
-// Record makes a record of what a person wrote. What does not fit is left missing and comes back, by its attribute.
-func (b *RouteSet) ParseRecord(with []hclread.Pair) (*match.Record, []TypeMismatch) {
-	r := b.Schema.NewRecord()
-	var misfits []TypeMismatch
-	for _, p := range with {
-		if err := b.putPair(r, &p); err != nil {
-			misfits = append(misfits, TypeMismatch{p.Name, err})
+// ParseRecord returns a record of attributes that are given as text. Attributes that are not declared or whose values do
+// not fit are left out and returned as mismatches.
+func (s *RouteSet) ParseRecord(pairs []hclread.Pair) (*match.Record, []TypeMismatch) {
+	r := s.Schema.NewRecord()
+	var mismatches []TypeMismatch
+	for _, p := range pairs {
+		if err := s.putPair(r, &p); err != nil {
+			mismatches = append(mismatches, TypeMismatch{p.Name, err})
 		}
 	}
-	return r, misfits
+	return r, mismatches
 }
 
-// Misfit is an attribute whose value does not fit.
+// TypeMismatch is an attribute whose value does not fit its type, or which is not declared.
 type TypeMismatch struct {
 	Attribute string
 	Err       error
 }
 
-func (b *RouteSet) putPair(r *match.Record, p *hclread.Pair) error {
-	at := b.Schema.Slot([]byte(p.Name))
-	if at < 0 {
+// putPair parses the value of one attribute and sets it in a record.
+func (s *RouteSet) putPair(r *match.Record, p *hclread.Pair) error {
+	slot := s.Schema.Slot([]byte(p.Name))
+	if slot < 0 {
 		return fmt.Errorf("found attribute %.64q, expected one that is declared", p.Name)
 	}
-	t := b.Schema.Attributes[at].Type
-	var v match.RawValue
+	t := s.Schema.Attributes[slot].Type
+	var raw match.RawValue
 	var err error
 	if p.IsList && t.Kind == match.List {
-		v.Kind = match.List
+		raw.Kind = match.List
 		for _, x := range p.Values {
-			item, bad := t.Element.Parse(x)
-			if bad != nil {
-				err = bad
+			item, itemErr := t.Element.Parse(x)
+			if itemErr != nil {
+				err = itemErr
 				break
 			}
-			v.Items = append(v.Items, item)
+			raw.Items = append(raw.Items, item)
 		}
 	} else {
-		v, err = t.Parse(strings.Join(p.Values, ","))
+		raw, err = t.Parse(strings.Join(p.Values, ","))
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
-	return b.Schema.Put(r, at, &v)
+	return s.Schema.Put(r, slot, &raw)
 }
 
-// Verdict is what becomes of a record.
+// Result is the result of matching a record.
 type Result struct {
-	Route   int // -1: none
+	Route   int // index in Table.Routes, -1 for none
 	Key     string
-	Missing string // the attribute that must be there and is not, empty if none
+	Missing string // first required attribute that the record does not have, empty if it has all
 }
 
-// Judge finds the route of a record. Without an attribute that must be there it has none.
-func (b *RouteSet) Match(r *match.Record) Result {
-	if at := b.Schema.MissingRequired(r); at >= 0 {
-		return Result{Route: -1, Missing: b.Schema.Attributes[at].Name}
+// Match finds the route of a record. A record without a required attribute has none.
+func (s *RouteSet) Match(r *match.Record) Result {
+	if slot := s.Schema.MissingRequired(r); slot >= 0 {
+		return Result{Route: -1, Missing: s.Schema.Attributes[slot].Name}
 	}
-	v := Result{Route: b.Table.FirstMatch(r)}
-	if v.Route >= 0 {
-		v.Key = string(b.Table.AppendKey(v.Route, nil, r))
+	result := Result{Route: s.Table.FirstMatch(r)}
+	if result.Route >= 0 {
+		result.Key = string(s.Table.AppendKey(result.Route, nil, r))
 	}
-	return v
+	return result
 }
 
-// RouteName is a route's, none for -1.
-func (b *RouteSet) RouteName(route int) string {
+// RouteName returns the name of a route, "none" for -1.
+func (s *RouteSet) RouteName(route int) string {
 	if route < 0 {
 		return "none"
 	}
-	return b.Table.Routes[route].Name
+	return s.Table.Routes[route].Name
 }
 
-// Test tries the file's cases and gives a line for each that fails.
-func (b *RouteSet) RunCases() (failed []string) {
-	for i := range b.Cases {
-		c := &b.Cases[i]
-		r, misfits := b.ParseRecord(c.Attributes)
-		say := func(format string, args ...any) {
-			failed = append(failed, fmt.Sprintf("%s: case %q: %s", c.Location, c.Name, fmt.Sprintf(format, args...)))
+// RunCases runs the test cases of the file and returns a line for each failure.
+func (s *RouteSet) RunCases() (failures []string) {
+	for i := range s.Cases {
+		c := &s.Cases[i]
+		r, mismatches := s.ParseRecord(c.Attributes)
+		fail := func(format string, args ...any) {
+			failures = append(failures, fmt.Sprintf("%s: case %q: %s", c.Location, c.Name, fmt.Sprintf(format, args...)))
 		}
-		for _, m := range misfits {
+		for _, m := range mismatches {
 			if !slices.Contains(c.TypeMismatches, m.Attribute) {
-				say("%v", m.Err)
+				fail("%v", m.Err)
 			}
 		}
 		for _, name := range c.TypeMismatches {
-			if !slices.ContainsFunc(misfits, func(m TypeMismatch) bool { return m.Attribute == name }) {
-				say("%s fits, expected that it does not", name)
+			if !slices.ContainsFunc(mismatches, func(m TypeMismatch) bool { return m.Attribute == name }) {
+				fail("the value of %s fits its type, expected a mismatch", name)
 			}
 		}
-		v := b.Match(r)
-		if got := b.RouteName(v.Route); got != c.Route {
-			say("found route %s, expected %s%s", got, c.Route, b.mismatchReason(r, v, c.Route))
-		} else if c.HasKey && v.Key != c.Key {
-			say("found key %q, expected %q", v.Key, c.Key)
+		result := s.Match(r)
+		if got := s.RouteName(result.Route); got != c.Route {
+			fail("found route %s, expected %s%s", got, c.Route, s.mismatchReason(r, result, c.Route))
+		} else if c.HasKey && result.Key != c.Key {
+			fail("found key %q, expected %q", result.Key, c.Key)
 		}
 	}
-	return failed
+	return failures
 }
 
-// why says what keeps a record from a route, if there is such a one.
-func (b *RouteSet) mismatchReason(r *match.Record, v Result, route string) string {
-	if v.Missing != "" {
-		return ": " + v.Missing + " must be there and is missing"
+// mismatchReason returns why a record does not have the named route, empty if there is no such route.
+func (s *RouteSet) mismatchReason(r *match.Record, result Result, route string) string {
+	if result.Missing != "" {
+		return ": " + result.Missing + " must be there and is missing"
 	}
-	at := slices.IndexFunc(b.Table.Routes, func(x match.Route) bool { return x.Name == route })
-	if at < 0 {
+	index := slices.IndexFunc(s.Table.Routes, func(x match.Route) bool { return x.Name == route })
+	if index < 0 {
 		return ""
 	}
-	for _, m := range b.Table.Misses(r, at+1) {
-		if m.Route == at {
+	for _, m := range s.Table.Misses(r, index+1) {
+		if m.Route == index {
 			return fmt.Sprintf(": %s does not hold: %s", m.Conjunct, m.Values)
 		}
 	}
 	return ", which matches too but comes later"
 }
 
-func (b *RouteSet) misses(r *match.Record, v Result) []match.Miss {
-	if v.Missing != "" {
+// misses returns the routes before the result's that do not match, none if a required attribute is missing.
+func (s *RouteSet) misses(r *match.Record, result Result) []match.Miss {
+	if result.Missing != "" {
 		return nil
 	}
-	return b.Table.Misses(r, v.Route)
+	return s.Table.Misses(r, result.Route)
 }
 
-// Tell says which route takes a record, and which earlier ones do not and why; of these only the last few, unless all
-// are wanted.
-func (b *RouteSet) WriteMatch(w io.Writer, r *match.Record, few int) {
-	v := b.Match(r)
+// WriteMatch writes the route of a record, and which earlier routes do not match and why: the last maxMisses of them, or all
+// if maxMisses is negative.
+func (s *RouteSet) WriteMatch(w io.Writer, r *match.Record, maxMisses int) {
+	result := s.Match(r)
 	switch {
-	case v.Missing != "":
-		fmt.Fprintf(w, "not taken: %s must be there and is missing\n", v.Missing)
-	case v.Route < 0:
+	case result.Missing != "":
+		fmt.Fprintf(w, "not taken: %s must be there and is missing\n", result.Missing)
+	case result.Route < 0:
 		fmt.Fprintln(w, "not taken: no route matches")
 	default:
-		x := &b.Table.Routes[v.Route]
+		route := &s.Table.Routes[result.Route]
 		account := "none"
-		if x.Account > 0 {
-			account = b.Accounts[x.Account-1]
+		if route.Account > 0 {
+			account = s.Accounts[route.Account-1]
 		}
-		fmt.Fprintf(w, "route %s (%s): profile %s, account %s, key %q\n", x.Name, b.locations[v.Route], b.Profiles[x.Profile],
-			account, v.Key)
+		fmt.Fprintf(w, "route %s (%s): profile %s, account %s, key %q\n", route.Name, s.locations[result.Route], s.Profiles[route.Profile],
+			account, result.Key)
 	}
-	misses := b.misses(r, v)
-	if few >= 0 && len(misses) > few {
-		fmt.Fprintf(w, "  %d earlier routes do not match; the last %d:\n", len(misses), few)
-		misses = misses[len(misses)-few:]
+	misses := s.misses(r, result)
+	if maxMisses >= 0 && len(misses) > maxMisses {
+		fmt.Fprintf(w, "  %d earlier routes do not match; the last %d:\n", len(misses), maxMisses)
+		misses = misses[len(misses)-maxMisses:]
 	}
 	for _, m := range misses {
-		fmt.Fprintf(w, "  not %s (%s): %s does not hold: %s\n", b.RouteName(m.Route), b.locations[m.Route], m.Conjunct, m.Values)
+		fmt.Fprintf(w, "  not %s (%s): %s does not hold: %s\n", s.RouteName(m.Route), s.locations[m.Route], m.Conjunct, m.Values)
 	}
 }
 
-// Explain says what the routes can cost and how they are found.
-func (b *RouteSet) WriteExplanation(w io.Writer, few int) {
-	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
-	fmt.Fprintf(t, "%d attributes, %d named expressions, cost limit of an expression %d steps\n", len(b.Schema.Attributes),
-		len(b.Definitions), b.CostLimit)
-	for i, d := range b.Definitions {
-		fmt.Fprintf(t, "  let %s\t%d steps\n", d.Name, b.DefinitionCosts[i])
+// WriteExplanation writes the worst-case costs of definitions and routes and the dimensions of the index. It lists the
+// maxLines routes with the highest costs, or all if maxLines is negative.
+func (s *RouteSet) WriteExplanation(w io.Writer, maxLines int) {
+	out := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
+	fmt.Fprintf(out, "%d attributes, %d named expressions, cost limit of an expression %d steps\n", len(s.Schema.Attributes),
+		len(s.Definitions), s.CostLimit)
+	for i, d := range s.Definitions {
+		fmt.Fprintf(out, "  let %s\t%d steps\n", d.Name, s.DefinitionCosts[i])
 	}
 	type line struct {
-		at, key int
-		cost    int64
+		route, keyBytes int
+		cost            int64
 	}
 	var lines []line
-	sum := int64(0)
-	for i := range b.Table.Routes {
-		when, key, most := b.Table.Cost(i)
-		lines = append(lines, line{i, most, when + key})
-		sum += when
-	}
-	slices.SortStableFunc(lines, func(a, b line) int { return int(b.cost - a.cost) })
-	fmt.Fprintf(t, "%d routes; were all of them tried, a transaction would cost at most %d steps\n", len(lines), sum)
-	if few >= 0 && len(lines) > few {
-		fmt.Fprintf(t, "  those that cost most:\n")
-		lines = lines[:few]
+	totalCost := int64(0)
+	for i := range s.Table.Routes {
+		when, key, keyBytes := s.Table.Cost(i)
+		lines = append(lines, line{i, keyBytes, when + key})
+		totalCost += when
+	}
+	slices.SortStableFunc(lines, func(a, s line) int { return int(s.cost - a.cost) })
+	fmt.Fprintf(out, "%d routes; were all of them tried, a transaction would cost at most %d steps\n", len(lines), totalCost)
+	if maxLines >= 0 && len(lines) > maxLines {
+		fmt.Fprintf(out, "  those that cost most:\n")
+		lines = lines[:maxLines]
 	}
 	for _, l := range lines {
-		fmt.Fprintf(t, "  route %s\t%d steps\tkey of at most %d bytes\t%s\n", b.RouteName(l.at), l.cost, l.key, b.locations[l.at])
+		fmt.Fprintf(out, "  route %s\t%d steps\tkey of at most %d bytes\t%s\n", s.RouteName(l.route), l.cost, l.keyBytes, s.locations[l.route])
 	}
-	fmt.Fprintln(t, "index:")
-	for _, s := range b.Table.Dimensions() {
-		fmt.Fprintf(t, "  %s\tby %s\tin %d routes\t%d rows\t%d bytes\n", s.Attribute, s.Lookup, s.Routes, s.Rows, s.Bytes)
+	fmt.Fprintln(out, "index:")
+	for _, dimension := range s.Table.Dimensions() {
+		fmt.Fprintf(out, "  %s\tby %s\tin %d routes\t%d rows\t%d bytes\n", dimension.Attribute, dimension.Lookup, dimension.Routes, dimension.Rows, dimension.Bytes)
 	}
-	for _, n := range b.Warnings {
-		fmt.Fprintln(t, n)
+	for _, warning := range s.Warnings {
+		fmt.Fprintln(out, warning)
 	}
-	t.Flush()
+	out.Flush()
 }
