--- a/internal/match/explain.go
+++ b/internal/match/explain.go
@@ -109,10 +109,10 @@
 // DimensionInfo describes one dimension of a table's index.
 type DimensionInfo struct {
 	Attribute string
-	Lookup    string
-	Routes    int // that the dimension can rule out
+	Lookup    string // equal, range or prefix
+	Routes    int    // constraints on the attribute, about one per route
 	Rows      int
-	Bytes     int
+	Bytes     int // memory of the rows
 }
 
 // Dimensions describes the dimensions of the index.
--- a/internal/match/table.go
+++ b/internal/match/table.go
@@ -11,13 +11,13 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Route gives the transactions that match its condition a profile, an account and a key.
+// Route gives a profile, an account and a key to the transactions that match its condition and no earlier route.
 type Route struct {
 	Name    string
 	When    string // source of the condition
 	Key     string // source of the key, empty for no key
-	Profile int
-	Account int
+	Profile int    // index of the profile
+	Account int    // index of the account plus 1, 0 for no account
 }
 
 // Table is a list of compiled routes with an index. The first route that matches a record applies.
@@ -285,8 +285,8 @@
 			candidates = append(candidates, v)
 		}
 	}
-	slices.SortFunc(candidates, func(c, b slotLookup) int { // by number of constraints, descending
-		return cmp.Or(cmp.Compare(counts[b], counts[c]), cmp.Compare(c.slot, b.slot), cmp.Compare(c.lookup, b.lookup))
+	slices.SortFunc(candidates, func(a, b slotLookup) int { // by number of constraints, descending
+		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a.slot, b.slot), cmp.Compare(a.lookup, b.lookup))
 	})
 	for _, v := range candidates[:min(len(candidates), maxDimensions)] {
 		d := dimension{slot: v.slot, lookup: v.lookup, kind: t.Schema.Attributes[v.slot].Type.Kind, routeCount: counts[v]}
