--- a/cmd/scalechute/discovery_outage_test.go
+++ b/cmd/scalechute/discovery_outage_test.go
@@ -17,20 +17,20 @@
 // What the operators' pages state: a change of the list counts as told so long after discovery had it, whether or not it
 // arrived, and requests to the server must have ceased this much later.
 const (
-	noticeWithin = 6 * time.Second
-	drainGrace   = 2 * time.Second // as platformSettings has it
+	maxNoticeDelay = 6 * time.Second
+	drainGrace     = 2 * time.Second // as platformSettings has it
 )
 
 // standInDiscovery serves one list on a watch until it breaks off. From then on it is crowded: each call ends with 503,
 // after a wait for its turn.
-type standInDiscovery struct {
-	address string
-	calls   atomic.Int64
-	broken  chan struct{}
+type fakeDiscovery struct {
+	address    string
+	calls      atomic.Int64
+	disconnect chan struct{}
 }
 
-func newStandInDiscovery(t *testing.T, list string) *standInDiscovery {
-	d := &standInDiscovery{broken: make(chan struct{})}
+func newFakeDiscovery(t *testing.T, list string) *fakeDiscovery {
+	d := &fakeDiscovery{disconnect: make(chan struct{})}
 	d.address = serveConnections(t, "127.0.0.1:0", func(c net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			return
@@ -43,7 +43,7 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+list+"\n")
 		for open := true; open; { // an empty line is a sign of life
 			select {
-			case <-d.broken:
+			case <-d.disconnect:
 				open = false
 			case <-time.After(50 * time.Millisecond):
 				io.WriteString(c, "\n")
@@ -55,27 +55,27 @@
 }
 
 // standInServer answers each request with its id, and counts those of which the id has a mark.
-type standInServer struct {
-	address string
-	marked  atomic.Int64
-	stop    func()
+type fakeServer struct {
+	address      string
+	lateRequests atomic.Int64
+	stop         func()
 }
 
-const lateMark = "late"
+const latePrefix = "late"
 
-func newStandInServer(t *testing.T, address string) *standInServer {
-	s := &standInServer{}
+func newFakeServer(t *testing.T, address string) *fakeServer {
+	s := &fakeServer{}
 	l := serveConnections(t, address, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		for {
-			words, err := readWords(in)
+			arguments, err := readCommand(in)
 			if err != nil {
 				return
 			}
-			if strings.HasPrefix(words[2], lateMark) {
-				s.marked.Add(1)
+			if strings.HasPrefix(arguments[2], latePrefix) {
+				s.lateRequests.Add(1)
 			}
-			fmt.Fprintf(c, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(words[2]), words[2])
+			fmt.Fprintf(c, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(arguments[2]), arguments[2])
 		}
 	})
 	s.address, s.stop = l.address, l.stop
@@ -122,21 +122,21 @@
 	return listener{l.Addr().String(), stop}
 }
 
-func readWords(in *bufio.Reader) (words []string, err error) {
+func readCommand(in *bufio.Reader) (arguments []string, err error) {
 	var n, size int
 	_, err = fmt.Fscanf(in, "*%d\r\n", &n)
 	for ; n > 0 && err == nil; n-- {
 		if _, err = fmt.Fscanf(in, "$%d\r\n", &size); err == nil {
 			b := make([]byte, size+2)
 			_, err = io.ReadFull(in, b)
-			words = append(words, string(b[:size]))
+			arguments = append(arguments, string(b[:size]))
 		}
 	}
-	return words, err
+	return arguments, err
 }
 
 // ask sends one request and gives its answer's first line, empty if there is none.
-func ask(c net.Conn, in *bufio.Reader, id string) string {
+func sendRequest(c net.Conn, in *bufio.Reader, id string) string {
 	fmt.Fprintf(c, "*5\r\n$5\r\nQ.ASK\r\n$5\r\nkey-1\r\n$%d\r\n%s\r\n$12\r\nc=read,d=800\r\n$4\r\nbody\r\n", len(id), id)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	line, _ := in.ReadString('\n')
@@ -146,48 +146,48 @@
 	return line
 }
 
-func listOf(address string, rev, build int) string {
+func listJSON(address string, revision, build int) string {
 	return fmt.Sprintf(`{"rev":%d,"all":true,"targets":[{"uid":"s-1","endpoint":%q,"az":"here","pod_group":1,"state":"active",`+
-		`"capacity_hint":1,"boot_ms":0,"release":%d}]}`, rev, address, build)
+		`"capacity_hint":1,"boot_ms":0,"release":%d}]}`, revision, address, build)
 }
 
 // outage is one process beside a discovery that breaks off, and what a client sees of it.
-type outage struct {
-	t         *testing.T
-	discovery *standInDiscovery
-	conn      net.Conn
-	in        *bufio.Reader
-	sent      int
-	answers   map[string]int // by their first character
+type outageTest struct {
+	t             *testing.T
+	discovery     *fakeDiscovery
+	conn          net.Conn
+	in            *bufio.Reader
+	sentRequests  int
+	answersByType map[string]int // by their first character
 }
 
-func newOutage(t *testing.T, list, known string) *outage {
+func newOutageTest(t *testing.T, watchedList, cachedList string) *outageTest {
 	listen := freeAddress(t)
-	d := newStandInDiscovery(t, list)
-	p, configure := platformed(t, listen)
-	t.Cleanup(func() { p.Process.Signal(syscall.SIGKILL); p.Wait() })
+	discovery := newFakeDiscovery(t, watchedList)
+	process, configure := startPlatformSentry(t, listen)
+	t.Cleanup(func() { process.Process.Signal(syscall.SIGKILL); process.Wait() })
 	configure(0, fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,
-	 "sockets":256},"release_api":{"address":"127.0.0.1:1"},"known":%s,"settings":%s}`, listen, d.address, known, platformSettings))
-	if !ping(listen) {
+	 "sockets":256},"release_api":{"address":"127.0.0.1:1"},"known":%s,"settings":%s}`, listen, discovery.address, cachedList, platformSettings))
+	if !waitForPong(listen) {
 		t.Fatal("the process does not answer")
 	}
-	c, err := net.Dial("tcp", listen)
+	conn, err := net.Dial("tcp", listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	return &outage{t: t, discovery: d, conn: c, in: bufio.NewReader(c), answers: map[string]int{}}
+	t.Cleanup(func() { conn.Close() })
+	return &outageTest{t: t, discovery: discovery, conn: conn, in: bufio.NewReader(conn), answersByType: map[string]int{}}
 }
 
 // askUntil sends requests one after another, 50 ms apart.
-func (o *outage) askUntil(end time.Time, mark string) {
+func (o *outageTest) sendRequestsUntil(end time.Time, idPrefix string) {
 	for time.Now().Before(end) {
-		o.sent++
-		answer := ask(o.conn, o.in, fmt.Sprintf("%s-%d", mark, o.sent))
+		o.sentRequests++
+		answer := sendRequest(o.conn, o.in, fmt.Sprintf("%s-%d", idPrefix, o.sentRequests))
 		if answer == "" {
-			o.t.Fatalf("request %d got no answer", o.sent)
+			o.t.Fatalf("request %d got no answer", o.sentRequests)
 		}
-		o.answers[answer[:1]]++
+		o.answersByType[answer[:1]]++
 		time.Sleep(50 * time.Millisecond)
 	}
 }
@@ -196,22 +196,22 @@
 // under its id and address. Once the change counts as told and the drain grace is over, no request may go there.
 func TestRemovedServerAfterDiscoveryIsLost(t *testing.T) {
 	t.Parallel()
-	old := newStandInServer(t, "127.0.0.1:0")
-	o := newOutage(t, listOf(old.address, 50, 7), "null")
-	o.askUntil(time.Now().Add(500*time.Millisecond), "early")
-	if o.answers["$"] == 0 {
-		t.Fatalf("answers %v, expected some from the server", o.answers)
+	removed := newFakeServer(t, "127.0.0.1:0")
+	o := newOutageTest(t, listJSON(removed.address, 50, 7), "null")
+	o.sendRequestsUntil(time.Now().Add(500*time.Millisecond), "early")
+	if o.answersByType["$"] == 0 {
+		t.Fatalf("answers %v, expected some from the server", o.answersByType)
 	}
-	close(o.discovery.broken)
+	close(o.discovery.disconnect)
 	time.Sleep(200 * time.Millisecond)
-	old.stop()
-	removed := time.Now()
-	next := newStandInServer(t, old.address)
-	o.askUntil(removed.Add(noticeWithin+drainGrace), "early")
-	o.askUntil(removed.Add(noticeWithin+drainGrace+1500*time.Millisecond), lateMark)
-	if n := next.marked.Load(); n > 0 {
-		t.Errorf("%d requests went to a server that had left %v before, expected none after %v", n, time.Since(removed),
-			noticeWithin+drainGrace)
+	removed.stop()
+	removedAt := time.Now()
+	successor := newFakeServer(t, removed.address)
+	o.sendRequestsUntil(removedAt.Add(maxNoticeDelay+drainGrace), "early")
+	o.sendRequestsUntil(removedAt.Add(maxNoticeDelay+drainGrace+1500*time.Millisecond), latePrefix)
+	if n := successor.lateRequests.Load(); n > 0 {
+		t.Errorf("%d requests went to a server that had left %v before, expected none after %v", n, time.Since(removedAt),
+			maxNoticeDelay+drainGrace)
 	}
 	if o.discovery.calls.Load() < 3 {
 		t.Errorf("%d calls to discovery, expected further ones", o.discovery.calls.Load())
@@ -221,13 +221,13 @@
 // The same for a process that starts with a remembered list and never reaches discovery.
 func TestRemovedServerAfterRestart(t *testing.T) {
 	t.Parallel()
-	next := newStandInServer(t, "127.0.0.1:0")
-	o := newOutage(t, "", listOf(next.address, 41, 7))
-	started := time.Now()
-	o.askUntil(started.Add(noticeWithin+drainGrace), "early")
-	o.askUntil(started.Add(noticeWithin+drainGrace+1500*time.Millisecond), lateMark)
-	if n := next.marked.Load(); n > 0 {
-		t.Errorf("%d requests went by a remembered list that nothing has confirmed, expected none after %v", n, noticeWithin+drainGrace)
+	successor := newFakeServer(t, "127.0.0.1:0")
+	o := newOutageTest(t, "", listJSON(successor.address, 41, 7))
+	startedAt := time.Now()
+	o.sendRequestsUntil(startedAt.Add(maxNoticeDelay+drainGrace), "early")
+	o.sendRequestsUntil(startedAt.Add(maxNoticeDelay+drainGrace+1500*time.Millisecond), latePrefix)
+	if n := successor.lateRequests.Load(); n > 0 {
+		t.Errorf("%d requests went by a remembered list that nothing has confirmed, expected none after %v", n, maxNoticeDelay+drainGrace)
 	}
 }
 
@@ -235,14 +235,14 @@
 // long discovery is away.
 func TestServerThatAnswersOutlivesDiscovery(t *testing.T) {
 	t.Parallel()
-	server := newStandInServer(t, "127.0.0.1:0")
-	o := newOutage(t, listOf(server.address, 50, 7), "null")
-	o.askUntil(time.Now().Add(500*time.Millisecond), "early")
-	close(o.discovery.broken)
-	lost := time.Now()
-	o.askUntil(lost.Add(noticeWithin+drainGrace), "early")
-	o.askUntil(lost.Add(noticeWithin+drainGrace+1500*time.Millisecond), lateMark)
-	if server.marked.Load() == 0 {
-		t.Errorf("answers %v, expected requests to go on to a server that answers", o.answers)
+	server := newFakeServer(t, "127.0.0.1:0")
+	o := newOutageTest(t, listJSON(server.address, 50, 7), "null")
+	o.sendRequestsUntil(time.Now().Add(500*time.Millisecond), "early")
+	close(o.discovery.disconnect)
+	outageStart := time.Now()
+	o.sendRequestsUntil(outageStart.Add(maxNoticeDelay+drainGrace), "early")
+	o.sendRequestsUntil(outageStart.Add(maxNoticeDelay+drainGrace+1500*time.Millisecond), latePrefix)
+	if server.lateRequests.Load() == 0 {
+		t.Errorf("answers %v, expected requests to go on to a server that answers", o.answersByType)
 	}
 }
--- a/cmd/scalechute/drill.go
+++ b/cmd/scalechute/drill.go
@@ -13,54 +13,54 @@
 )
 
 func drillCommand() *cobra.Command {
-	var out, breach, fromDay string
+	var outDir, faultName, dayFile string
 	var noBaseline bool
 	c := &cobra.Command{
 		Use:   "drill FILE [--out DIR] [--break RULE] [--from-day DAY]",
 		Short: "Play a scripted day of troubles on loopback and audit the five rules; exit 0 only if they hold",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if _, err := sentry.ParseBreach(breach); err != nil {
+			if _, err := sentry.ParseBreach(faultName); err != nil {
 				return err
 			}
 			day, err := drill.Load(args[0])
 			if err != nil {
 				return err
 			}
-			if fromDay != "" {
-				data, err := os.ReadFile(fromDay)
+			if dayFile != "" {
+				data, err := os.ReadFile(dayFile)
 				if err != nil {
 					return err
 				}
 				if err := day.Take(data); err != nil {
-					return fmt.Errorf("%s: %w", fromDay, err)
+					return fmt.Errorf("%s: %w", dayFile, err)
 				}
 			}
-			self, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			if out == "" {
-				if out, err = os.MkdirTemp("", "drill-"); err != nil {
+			if outDir == "" {
+				if outDir, err = os.MkdirTemp("", "drill-"); err != nil {
 					return err
 				}
-				defer os.RemoveAll(out)
+				defer os.RemoveAll(outDir)
 			}
-			plan := drill.Plan{Program: program(self), Dir: filepath.Join(out, "module"), Break: breach,
+			options := drill.Plan{Program: selfCommand(executable), Dir: filepath.Join(outDir, "module"), Break: faultName,
 				Say: func(format string, a ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", a...) }}
-			result, err := drill.Run(day, plan)
+			result, err := drill.Run(day, options)
 			if err != nil {
 				return err
 			}
 			results := []*drill.Result{result}
-			if day.Baseline && !noBaseline && breach == "" {
-				plan.Random, plan.Dir = true, filepath.Join(out, "random")
-				plan.Say("the same day with workers chosen at random:")
-				random, err := drill.Run(day, plan)
+			if day.Baseline && !noBaseline && faultName == "" {
+				options.Random, options.Dir = true, filepath.Join(outDir, "random")
+				options.Say("the same day with workers chosen at random:")
+				baseline, err := drill.Run(day, options)
 				if err != nil {
 					return err
 				}
-				results = append(results, random)
+				results = append(results, baseline)
 			}
 			drill.Print(c.OutOrStdout(), results...)
 			if !result.Good() {
@@ -69,12 +69,12 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&out, "out", "", "directory for reports, the sentries' orders and logs")
-	c.Flags().StringVar(&breach, "break", "", "have the first sentry break a rule: answer, effect, drain, cold or exposure")
-	c.Flags().StringVar(&fromDay, "from-day", "", "take the troubles of a day file of the bench, at this drill's size")
+	c.Flags().StringVar(&outDir, "out", "", "directory for reports, the sentries' orders and logs")
+	c.Flags().StringVar(&faultName, "break", "", "have the first sentry break a rule: answer, effect, drain, cold or exposure")
+	c.Flags().StringVar(&dayFile, "from-day", "", "take the troubles of a day file of the bench, at this drill's size")
 	c.Flags().BoolVar(&noBaseline, "no-baseline", false, "leave out the baseline, whatever the file says")
 	return c
 }
 
 // program is what runs this program again; a test puts itself there.
-var program = func(self string) []string { return []string{self} }
+var selfCommand = func(self string) []string { return []string{self} }
--- a/cmd/scalechute/main.go
+++ b/cmd/scalechute/main.go
@@ -38,40 +38,40 @@
 }
 
 func sentryCommand() *cobra.Command {
-	var config, level, breach, profile string
-	var random, platformed bool
-	var every time.Duration
+	var configFile, levelName, faultName, profileFile string
+	var random, onPlatform bool
+	var pollInterval time.Duration
 	c := &cobra.Command{
 		Use:   "sentry --config FILE | --platform",
 		Short: "Run one sentry until SIGTERM; it then takes nothing new and answers all it holds",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if platformed {
-				return servePlatform(level, breach)
+			if onPlatform {
+				return servePlatform(levelName, faultName)
 			}
-			if config == "" {
+			if configFile == "" {
 				return errors.New("found neither --config nor --platform, expected one")
 			}
-			sheet, err := orders.Load(config)
+			settings, err := orders.Load(configFile)
 			if err != nil {
 				return err
 			}
-			at, err := zerolog.ParseLevel(level)
+			level, err := zerolog.ParseLevel(levelName)
 			if err != nil {
-				return fmt.Errorf("level: found %q, expected debug, info, warn or error", level)
+				return fmt.Errorf("level: found %q, expected debug, info, warn or error", levelName)
 			}
-			broken, err := sentry.ParseBreach(breach)
+			breach, err := sentry.ParseBreach(faultName)
 			if err != nil {
 				return err
 			}
 			zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
-			log := zerolog.New(os.Stderr).Level(at).With().Timestamp().
-				Int("sentry", int(sheet.Policy.Position)).Logger()
-			if broken != sentry.NoBreach {
-				log.Warn().Str("rule", breach).Msg("this sentry breaks a rule on purpose")
+			log := zerolog.New(os.Stderr).Level(level).With().Timestamp().
+				Int("sentry", int(settings.Policy.Position)).Logger()
+			if breach != sentry.NoBreach {
+				log.Warn().Str("rule", faultName).Msg("this sentry breaks a rule on purpose")
 			}
-			if profile != "" {
-				f, err := os.Create(profile)
+			if profileFile != "" {
+				f, err := os.Create(profileFile)
 				if err != nil {
 					return err
 				}
@@ -84,12 +84,12 @@
 			signals, hangups := make(chan os.Signal, 1), make(chan os.Signal, 1)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 			signal.Notify(hangups, syscall.SIGHUP)
-			opts := sentry.Options{Log: log, Breach: broken}
+			options := sentry.Options{Log: log, Breach: breach}
 			if random {
 				log.Warn().Msg("workers are chosen at random, as a baseline")
-				opts.Decide = baseline.NewRandom(sheet.Policy, sheet.Endpoints.Seed).Apply
+				options.Decide = baseline.NewRandom(settings.Policy, settings.Endpoints.Seed).Apply
 			}
-			s, err := sentry.Start(sheet, opts)
+			s, err := sentry.Start(settings, options)
 			if err != nil {
 				return err
 			}
@@ -98,23 +98,23 @@
 					s.Stop()
 				}
 			}()
-			watch(append([]string{config}, sheet.IncludedFiles...), every, hangups, s.Done(), func() []string {
-				now, err := orders.LoadUpdate(config, s.Settings())
+			watchFiles(append([]string{configFile}, settings.IncludedFiles...), pollInterval, hangups, s.Done(), func() []string {
+				updated, err := orders.LoadUpdate(configFile, s.Settings())
 				if err == nil {
-					err = s.Reload(now)
+					err = s.Reload(updated)
 				}
-				s.RecordReload(now, err)
-				return append([]string{config}, s.Settings().IncludedFiles...)
+				s.RecordReload(updated, err)
+				return append([]string{configFile}, s.Settings().IncludedFiles...)
 			})
 			return nil
 		},
 	}
-	c.Flags().StringVar(&config, "config", "", "the sentry's orders (HCL)")
-	c.Flags().StringVar(&level, "level", "info", "least level of what is logged")
-	c.Flags().StringVar(&breach, "break", "", "break a rule on purpose: answer, effect, drain, cold or exposure; with --platform close, skip or swap")
-	c.Flags().StringVar(&profile, "profile", "", "write a processor profile to this file until the end")
-	c.Flags().DurationVar(&every, "watch", time.Second, "how often the file is looked at for new orders; 0: at SIGHUP only")
-	c.Flags().BoolVar(&platformed, "platform", false, "serve on the operators' platform, as its environment says")
+	c.Flags().StringVar(&configFile, "config", "", "the sentry's orders (HCL)")
+	c.Flags().StringVar(&levelName, "level", "info", "least level of what is logged")
+	c.Flags().StringVar(&faultName, "break", "", "break a rule on purpose: answer, effect, drain, cold or exposure; with --platform close, skip or swap")
+	c.Flags().StringVar(&profileFile, "profile", "", "write a processor profile to this file until the end")
+	c.Flags().DurationVar(&pollInterval, "watch", time.Second, "how often the file is looked at for new orders; 0: at SIGHUP only")
+	c.Flags().BoolVar(&onPlatform, "platform", false, "serve on the operators' platform, as its environment says")
 	c.Flags().BoolVar(&random, "random", false, "choose workers at random, as a baseline for drills")
 	_ = c.Flags().MarkHidden("break")
 	_ = c.Flags().MarkHidden("random")
@@ -124,79 +124,79 @@
 // watch calls back at each hangup and when one of some files is another one or has changed, until done; what it gets is the
 // files to watch from then on. A file that is away for the moment, as between two steps of its replacement, counts as
 // unchanged.
-func watch(files []string, every time.Duration, hangups <-chan os.Signal, done <-chan struct{}, changed func() []string) {
-	var tick <-chan time.Time
-	if every > 0 {
-		t := time.NewTicker(every)
-		defer t.Stop()
-		tick = t.C
+func watchFiles(files []string, interval time.Duration, hangups <-chan os.Signal, done <-chan struct{}, onChange func() []string) {
+	var ticks <-chan time.Time
+	if interval > 0 {
+		ticker := time.NewTicker(interval)
+		defer ticker.Stop()
+		ticks = ticker.C
 	}
 	last := map[string]os.FileInfo{}
-	look := func() (other bool) {
+	detectChange := func() (changed bool) {
 		for _, file := range files {
-			now, err := os.Stat(file)
+			current, err := os.Stat(file)
 			if err != nil {
 				continue
 			}
-			was := last[file]
-			other = other || was != nil && !(os.SameFile(was, now) && now.ModTime().Equal(was.ModTime()) && now.Size() == was.Size())
-			last[file] = now
+			previous := last[file]
+			changed = changed || previous != nil && !(os.SameFile(previous, current) && current.ModTime().Equal(previous.ModTime()) && current.Size() == previous.Size())
+			last[file] = current
 		}
-		return other
+		return changed
 	}
-	look()
+	detectChange()
 	for {
 		select {
 		case <-done:
 			return
 		case <-hangups:
-			look()
-		case <-tick:
-			if !look() {
+			detectChange()
+		case <-ticks:
+			if !detectChange() {
 				continue
 			}
 		}
-		files = changed()
+		files = onChange()
 	}
 }
 
 func checkCommand() *cobra.Command {
-	beside := ""
+	runningFile := ""
 	c := &cobra.Command{
 		Use:   "check FILE...",
 		Short: "Check sentries' orders; each fault is a line with file, line and what was expected",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			bad := 0
+			faultyFiles := 0
 			var running *orders.Settings
-			if beside != "" {
+			if runningFile != "" {
 				var err error
-				if running, err = orders.Load(beside); err != nil {
+				if running, err = orders.Load(runningFile); err != nil {
 					return err
 				}
 			}
 			for _, name := range files {
-				sheet, err := orders.LoadUpdate(name, running)
+				settings, err := orders.LoadUpdate(name, running)
 				if err != nil {
-					bad++
+					faultyFiles++
 					fmt.Fprintln(c.ErrOrStderr(), err)
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: good; sentry %d of %d, %d profiles, %d accounts, %d zones, %s\n", name,
-					sheet.Policy.Position, sheet.Policy.Sentries, len(sheet.ProfileNames), len(sheet.AccountNames),
-					len(sheet.Zones), sheet.Routes.Summary())
-				if sheet.Routes != nil {
-					for _, n := range sheet.Routes.Notes {
-						fmt.Fprintln(c.OutOrStdout(), n)
+					settings.Policy.Position, settings.Policy.Sentries, len(settings.ProfileNames), len(settings.AccountNames),
+					len(settings.Zones), settings.Routes.Summary())
+				if settings.Routes != nil {
+					for _, note := range settings.Routes.Notes {
+						fmt.Fprintln(c.OutOrStdout(), note)
 					}
 				}
 			}
-			if bad > 0 {
-				return fmt.Errorf("%d of %d files have faults", bad, len(files))
+			if faultyFiles > 0 {
+				return fmt.Errorf("%d of %d files have faults", faultyFiles, len(files))
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&beside, "beside", "", "the orders that a sentry runs with: what it can't change over to is a fault too")
+	c.Flags().StringVar(&runningFile, "beside", "", "the orders that a sentry runs with: what it can't change over to is a fault too")
 	return c
 }
--- a/cmd/scalechute/match.go
+++ b/cmd/scalechute/match.go
@@ -22,68 +22,68 @@
 		Use: "check FILE...", Short: "Check routes; each fault is a line with file, line, column, what was found and what fits",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			bad := 0
+			failures := 0
 			for _, name := range files {
-				b, err := load(name)
+				routeSet, err := load(name)
 				if err != nil {
-					bad++
+					failures++
 					fmt.Fprintln(c.ErrOrStderr(), err)
 					continue
 				}
-				for _, n := range b.Notes {
-					fmt.Fprintln(c.OutOrStdout(), n)
+				for _, note := range routeSet.Notes {
+					fmt.Fprintln(c.OutOrStdout(), note)
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: good; %d attributes, %d named expressions, %d routes, %d cases\n", name,
-					len(b.Schema.Attributes), len(b.Definitions), len(b.Table.Routes), len(b.Cases))
+					len(routeSet.Schema.Attributes), len(routeSet.Definitions), len(routeSet.Table.Routes), len(routeSet.Cases))
 			}
-			if bad > 0 {
-				return fmt.Errorf("%d of %d files have faults", bad, len(files))
+			if failures > 0 {
+				return fmt.Errorf("%d of %d files have faults", failures, len(files))
 			}
 			return nil
 		},
 	}
-	var with []string
+	var assignments []string
 	var all bool
-	few := func(n int) int {
+	limitUnlessAll := func(note int) int {
 		if all {
 			return -1
 		}
-		return n
+		return note
 	}
 	eval := &cobra.Command{
 		Use: "eval FILE --with NAME=VALUE...", Short: "Say which route takes a transaction, and why earlier ones do not",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			b, err := load(args[0])
+			routeSet, err := load(args[0])
 			if err != nil {
 				return err
 			}
 			var pairs []hclread.Pair
-			for _, w := range with {
-				name, value, ok := strings.Cut(w, "=")
+			for _, assignment := range assignments {
+				name, value, ok := strings.Cut(assignment, "=")
 				if !ok {
-					return fmt.Errorf("with: found %q, expected name=value", w)
+					return fmt.Errorf("with: found %q, expected name=value", assignment)
 				}
 				pairs = append(pairs, hclread.Pair{Name: name, Values: []string{value}})
 			}
-			r, misfits := b.Record(pairs)
-			for _, m := range misfits {
-				fmt.Fprintf(c.OutOrStdout(), "left missing: %v\n", m.Err)
+			record, mismatches := routeSet.Record(pairs)
+			for _, mismatch := range mismatches {
+				fmt.Fprintf(c.OutOrStdout(), "left missing: %v\n", mismatch.Err)
 			}
-			b.Tell(c.OutOrStdout(), r, few(20))
+			routeSet.Tell(c.OutOrStdout(), record, limitUnlessAll(20))
 			return nil
 		},
 	}
-	eval.Flags().StringArrayVar(&with, "with", nil, "an attribute, as temp='8 celsius'; elements of a list with commas between")
+	eval.Flags().StringArrayVar(&assignments, "with", nil, "an attribute, as temp='8 celsius'; elements of a list with commas between")
 	eval.Flags().BoolVar(&all, "all", false, "tell of all earlier routes")
 	explain := &cobra.Command{
 		Use: "explain FILE", Short: "Say what routes cost at the most and how the index finds them", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			b, err := load(args[0])
+			routeSet, err := load(args[0])
 			if err != nil {
 				return err
 			}
-			b.Explain(c.OutOrStdout(), few(20))
+			routeSet.Explain(c.OutOrStdout(), limitUnlessAll(20))
 			return nil
 		},
 	}
@@ -91,23 +91,23 @@
 	test := &cobra.Command{
 		Use: "test FILE...", Short: "Try the cases that are kept in the files", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			cases, bad := 0, 0
+			cases, failures := 0, 0
 			for _, name := range files {
-				b, err := load(name)
+				routeSet, err := load(name)
 				if err != nil {
 					return err
 				}
-				if len(b.Cases) == 0 {
+				if len(routeSet.Cases) == 0 {
 					return fmt.Errorf("%s: found no case, expected one at least", name)
 				}
-				failed := b.Test()
+				failed := routeSet.Test()
 				for _, f := range failed {
 					fmt.Fprintln(c.OutOrStdout(), f)
 				}
-				cases, bad = cases+len(b.Cases), bad+len(failed)
+				cases, failures = cases+len(routeSet.Cases), failures+len(failed)
 			}
-			if bad > 0 {
-				return fmt.Errorf("%d faults in %d cases", bad, cases)
+			if failures > 0 {
+				return fmt.Errorf("%d faults in %d cases", failures, cases)
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d cases hold\n", cases)
 			return nil
--- a/cmd/scalechute/measure.go
+++ b/cmd/scalechute/measure.go
@@ -15,125 +15,125 @@
 // measureCommand compares a sentry with a bare relay. docs/sentry.md has the figures and says how they were taken.
 func measureCommand() *cobra.Command {
 	c := &cobra.Command{Use: "measure", Short: "Measure a sentry beside a bare relay on this machine"}
-	plan := measure.Options{Workers: 32}
+	options := measure.Options{Workers: 32}
 	// prepared gives a measurement the program to run and a directory of its own.
-	prepared := func(measure func(io.Writer) error) func(*cobra.Command, []string) error {
+	withEnvironment := func(run func(io.Writer) error) func(*cobra.Command, []string) error {
 		return func(c *cobra.Command, _ []string) error {
-			self, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			plan.Program = program(self)
-			if plan.Dir, err = os.MkdirTemp("", "measure-"); err != nil {
+			options.Program = selfCommand(executable)
+			if options.Dir, err = os.MkdirTemp("", "measure-"); err != nil {
 				return err
 			}
-			defer os.RemoveAll(plan.Dir)
-			return measure(c.OutOrStdout())
+			defer os.RemoveAll(options.Dir)
+			return run(c.OutOrStdout())
 		}
 	}
 	rounds := 3
 	relay := &cobra.Command{
 		Use: "relay", Short: "Throughput, allocations and added latency, beside the relay, turn about", Args: cobra.NoArgs,
-		RunE: prepared(func(w io.Writer) error {
-			plan.Connections, plan.InFlightPerConnection = 16, 4
-			ratio, most := 0.0, 0.0
+		RunE: withEnvironment(func(w io.Writer) error {
+			options.Connections, options.InFlightPerConnection = 16, 4
+			ratio, maxThroughput := 0.0, 0.0
 			for range rounds {
-				plan.Rate = 0
-				r, err := measure.RunRelay(plan)
+				options.Rate = 0
+				relayResult, err := measure.RunRelay(options)
 				if err != nil {
 					return err
 				}
-				s, err := measure.RunSentry(plan)
+				sentryResult, err := measure.RunSentry(options)
 				if err != nil {
 					return err
 				}
-				plan.CPUProfile = ""
-				measure.PrintResults(w, r, s)
-				ratio, most = ratio+s.PerSecond/r.PerSecond/float64(rounds), max(most, s.PerSecond)
+				options.CPUProfile = ""
+				measure.PrintResults(w, relayResult, sentryResult)
+				ratio, maxThroughput = ratio+sentryResult.PerSecond/relayResult.PerSecond/float64(rounds), max(maxThroughput, sentryResult.PerSecond)
 			}
 			fmt.Fprintf(w, "sentry to relay, as many as possible: %.2f\n", ratio)
 			for range rounds {
-				plan.Rate = most / 2
-				r, err := measure.RunRelay(plan)
+				options.Rate = maxThroughput / 2
+				relayResult, err := measure.RunRelay(options)
 				if err != nil {
 					return err
 				}
-				s, err := measure.RunSentry(plan)
+				sentryResult, err := measure.RunSentry(options)
 				if err != nil {
 					return err
 				}
-				measure.PrintResults(w, r, s)
-				fmt.Fprintf(w, "added at half load: p50 %v, p99 %v\n", s.P50-r.P50, s.P99-r.P99)
+				measure.PrintResults(w, relayResult, sentryResult)
+				fmt.Fprintf(w, "added at half load: p50 %v, p99 %v\n", sentryResult.P50-relayResult.P50, sentryResult.P99-relayResult.P99)
 			}
 			return nil
 		}),
 	}
 	relay.Flags().IntVar(&rounds, "rounds", 3, "how often each is measured")
-	relay.Flags().StringVar(&plan.CPUProfile, "profile", "", "file for a processor profile of the first sentry")
-	var many int
-	routed := &cobra.Command{
+	relay.Flags().StringVar(&options.CPUProfile, "profile", "", "file for a processor profile of the first sentry")
+	var routeCount int
+	routes := &cobra.Command{
 		Use: "routes", Short: "What judging by routes costs a sentry, beside transactions that say what they are, turn about",
 		Args: cobra.NoArgs,
-		RunE: prepared(func(w io.Writer) error {
-			plan.Connections, plan.InFlightPerConnection, plan.Rate = 16, 4, 0
+		RunE: withEnvironment(func(w io.Writer) error {
+			options.Connections, options.InFlightPerConnection, options.Rate = 16, 4, 0
 			// beside is one measurement without routes and one with, the second in parts of the first.
-			beside := func() (throughput, core, most float64, err error) {
-				plan.RouteCount = 0
-				plain, err := measure.RunSentry(plan)
+			comparePair := func() (throughput, perCPUSecond, maxThroughput float64, err error) {
+				options.RouteCount = 0
+				unrouted, err := measure.RunSentry(options)
 				if err != nil {
 					return 0, 0, 0, err
 				}
-				plan.RouteCount = many
-				by, err := measure.RunSentry(plan)
+				options.RouteCount = routeCount
+				routed, err := measure.RunSentry(options)
 				if err != nil {
 					return 0, 0, 0, err
 				}
-				measure.PrintResults(w, plain, by)
-				return by.PerSecond / plain.PerSecond, by.PerCPUSecond / plain.PerCPUSecond, plain.PerSecond, nil
+				measure.PrintResults(w, unrouted, routed)
+				return routed.PerSecond / unrouted.PerSecond, routed.PerCPUSecond / unrouted.PerCPUSecond, unrouted.PerSecond, nil
 			}
-			series := func(what string) (most float64, err error) {
-				var ratios, cores []float64
+			compareSeries := func(load string) (maxThroughput float64, err error) {
+				var throughputs, perCPUSeconds []float64
 				for range rounds {
-					throughput, core, each, err := beside()
+					throughput, perCPUSecond, throughputOfPair, err := comparePair()
 					if err != nil {
 						return 0, err
 					}
-					ratios, cores, most = append(ratios, throughput), append(cores, core), max(most, each)
+					throughputs, perCPUSeconds, maxThroughput = append(throughputs, throughput), append(perCPUSeconds, perCPUSecond), max(maxThroughput, throughputOfPair)
 				}
-				slices.Sort(ratios)
-				slices.Sort(cores)
-				n := len(ratios)
+				slices.Sort(throughputs)
+				slices.Sort(perCPUSeconds)
+				n := len(throughputs)
 				fmt.Fprintf(w, "%s, %d routes to none: throughput %.3f (%.3f to %.3f), for a second of one core %.3f (%.3f to %.3f); median and range\n",
-					what, many, ratios[n/2], ratios[0], ratios[n-1], cores[n/2], cores[0], cores[n-1])
-				return most, nil
+					load, routeCount, throughputs[n/2], throughputs[0], throughputs[n-1], perCPUSeconds[n/2], perCPUSeconds[0], perCPUSeconds[n-1])
+				return maxThroughput, nil
 			}
-			most, err := series("as many as possible")
+			maxThroughput, err := compareSeries("as many as possible")
 			if err != nil {
 				return err
 			}
-			plan.Rate = most / 2 // what frames cost then does not depend on how many are written at once
-			_, err = series("half of that")
+			options.Rate = maxThroughput / 2 // what frames cost then does not depend on how many are written at once
+			_, err = compareSeries("half of that")
 			return err
 		}),
 	}
-	routed.Flags().IntVar(&rounds, "rounds", 5, "how often each is measured")
-	routed.Flags().IntVar(&many, "routes", 100, "routes")
-	routed.Flags().StringVar(&plan.CPUProfile, "profile", "", "file for a processor profile of the last sentry")
+	routes.Flags().IntVar(&rounds, "rounds", 5, "how often each is measured")
+	routes.Flags().IntVar(&routeCount, "routes", 100, "routes")
+	routes.Flags().StringVar(&options.CPUProfile, "profile", "", "file for a processor profile of the last sentry")
 	crowd := &cobra.Command{
 		Use: "crowd", Short: "One sentry with many client connections", Args: cobra.NoArgs,
-		RunE: prepared(func(w io.Writer) error {
-			s, err := measure.RunSentry(plan)
+		RunE: withEnvironment(func(w io.Writer) error {
+			sentryResult, err := measure.RunSentry(options)
 			if err != nil {
 				return err
 			}
-			measure.PrintResults(w, s)
+			measure.PrintResults(w, sentryResult)
 			return nil
 		}),
 	}
-	crowd.Flags().IntVar(&plan.Connections, "clients", 10_000, "client connections")
-	crowd.Flags().Float64Var(&plan.Rate, "rate", 2_000, "transactions a second")
-	c.PersistentFlags().DurationVar(&plan.Duration, "for", 4*time.Second, "length of each measurement")
-	c.PersistentFlags().IntVar(&plan.MaxProcs, "procs", 2, "GOMAXPROCS of what is measured")
+	crowd.Flags().IntVar(&options.Connections, "clients", 10_000, "client connections")
+	crowd.Flags().Float64Var(&options.Rate, "rate", 2_000, "transactions a second")
+	c.PersistentFlags().DurationVar(&options.Duration, "for", 4*time.Second, "length of each measurement")
+	c.PersistentFlags().IntVar(&options.MaxProcs, "procs", 2, "GOMAXPROCS of what is measured")
 	var listen, metrics string
 	var workers []string
 	bare := &cobra.Command{
@@ -143,26 +143,26 @@
 	bare.Flags().StringVar(&listen, "listen", "", "address")
 	bare.Flags().StringVar(&metrics, "metrics", "", "address")
 	bare.Flags().StringArrayVar(&workers, "worker", nil, "address of a worker")
-	var svg string
-	matching := &cobra.Command{
+	var plotFile string
+	match := &cobra.Command{
 		Use: "match", Short: "Finding a transaction's route, beside trying each and beside cel-go's evaluation", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var all []*measure.MatchResult
+			var results []*measure.MatchResult
 			for _, n := range []int{1, 3, 10, 30, 100, 300, 1000, 3000, 10_000} {
-				r, err := measure.RunMatch(n)
+				relayResult, err := measure.RunMatch(n)
 				if err != nil {
 					return err
 				}
-				all = append(all, r)
+				results = append(results, relayResult)
 			}
-			measure.PrintMatchResults(c.OutOrStdout(), all)
-			if svg == "" {
+			measure.PrintMatchResults(c.OutOrStdout(), results)
+			if plotFile == "" {
 				return nil
 			}
-			return measure.PlotMatchResults(svg, all)
+			return measure.PlotMatchResults(plotFile, results)
 		},
 	}
-	matching.Flags().StringVar(&svg, "svg", "", "file for a plot of cost over number of routes")
-	c.AddCommand(relay, crowd, routed, matching, bare)
+	match.Flags().StringVar(&plotFile, "svg", "", "file for a plot of cost over number of routes")
+	c.AddCommand(relay, crowd, routes, match, bare)
 	return c
 }
--- a/cmd/scalechute/plan.go
+++ b/cmd/scalechute/plan.go
@@ -24,18 +24,18 @@
 					return fmt.Errorf("from: found %q, expected a time as 2026-12-01T12:00:00Z", from)
 				}
 			}
-			p, err := release.Load(args[0], now)
+			plan, err := release.Load(args[0], now)
 			if err != nil {
 				return err
 			}
-			begins, whole := p.Earliest(now)
-			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
-			for i, at := range begins {
-				fmt.Fprintf(t, "%s\twave %s\tshare %g\tcap %g\tbake %v\t%s\n", at.Format(time.RFC3339), p.Waves[i].Name, p.Waves[i].Share,
-					p.Waves[i].Cap, p.Waves[i].Bake, p.Summary(i))
+			starts, complete := plan.Earliest(now)
+			table := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
+			for i, start := range starts {
+				fmt.Fprintf(table, "%s\twave %s\tshare %g\tcap %g\tbake %v\t%s\n", start.Format(time.RFC3339), plan.Waves[i].Name, plan.Waves[i].Share,
+					plan.Waves[i].Cap, plan.Waves[i].Bake, plan.Summary(i))
 			}
-			fmt.Fprintf(t, "%s\twhole, if votes and approvals come at once\n", whole.Format(time.RFC3339))
-			return t.Flush()
+			fmt.Fprintf(table, "%s\twhole, if votes and approvals come at once\n", complete.Format(time.RFC3339))
+			return table.Flush()
 		},
 	}
 	check.Flags().StringVar(&from, "from", "", "the moment to begin at, as 2026-12-01T12:00:00Z; now if none")
--- a/cmd/scalechute/platform.go
+++ b/cmd/scalechute/platform.go
@@ -18,7 +18,7 @@
 
 // servePlatform runs one sentry as the platform's environment says, until SIGTERM and what is owed then. Metrics, the file
 // of the last list and watched files are off: the platform has no room for them.
-func servePlatform(level, breach string) error {
+func servePlatform(levelName, faultName string) error {
 	// Before all else: one that comes while the sentry starts is taken once it stands.
 	signals, hangups := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -27,31 +27,31 @@
 	if file == "" {
 		return errors.New("EDGE_CONFIG: found nothing, expected the name of the configuration's file")
 	}
-	post, err := platform.ReadConfig(file)
+	config, err := platform.ReadConfig(file)
 	if err != nil {
 		return err
 	}
-	at, err := zerolog.ParseLevel(level)
+	level, err := zerolog.ParseLevel(levelName)
 	if err != nil {
-		return fmt.Errorf("level: found %q, expected debug, info, warn or error", level)
+		return fmt.Errorf("level: found %q, expected debug, info, warn or error", levelName)
 	}
-	runtime.GOMAXPROCS(1 + int(math.Ceil(post.Cores))) // one waits for sockets
-	debug.SetMemoryLimit(post.MemoryMB << 20 * 6 / 10)
+	runtime.GOMAXPROCS(1 + int(math.Ceil(config.Cores))) // one waits for sockets
+	debug.SetMemoryLimit(config.MemoryMB << 20 * 6 / 10)
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
-	log := zerolog.New(os.Stderr).Level(at).With().Timestamp().Str("sentry", post.Name).Logger()
-	broken, err := platform.ParseFault(breach)
+	log := zerolog.New(os.Stderr).Level(level).With().Timestamp().Str("sentry", config.Name).Logger()
+	fault, err := platform.ParseFault(faultName)
 	if err != nil {
 		return err
 	}
-	ends, err := platform.New(post, log)
+	transport, err := platform.New(config, log)
 	if err != nil {
 		return err
 	}
-	ends.InjectFault(broken)
-	if broken != platform.NoFault {
-		log.Warn().Str("promise", breach).Msg("this sentry breaks a promise on purpose")
+	transport.InjectFault(fault)
+	if fault != platform.NoFault {
+		log.Warn().Str("promise", faultName).Msg("this sentry breaks a promise on purpose")
 	}
-	s, err := sentry.Start(post.Settings, sentry.Options{Log: log, Transport: ends, CachedList: post.InitialList})
+	s, err := sentry.Start(config.Settings, sentry.Options{Log: log, Transport: transport, CachedList: config.InitialList})
 	if err != nil {
 		return err
 	}
@@ -61,11 +61,11 @@
 			return nil
 		case <-signals:
 			log.Info().Msg("asked to stop")
-			ends.Drain()
+			transport.Drain()
 		case <-hangups:
-			now, err := platform.ReadConfig(file)
+			updated, err := platform.ReadConfig(file)
 			if err == nil {
-				err = ends.Reload(now)
+				err = transport.Reload(updated)
 			}
 			if err != nil {
 				log.Error().Err(err).Msg("configuration refused, the old one stays")
--- a/cmd/scalechute/platform_test.go
+++ b/cmd/scalechute/platform_test.go
@@ -19,40 +19,40 @@
  "rules":{"ask_within_ns":8000000000,"drain_grace_ns":2000000000,"warm_up_ns":1000000000,"fall_multiple":4,"fall_ns":2000000000}}`
 
 // platformed starts a sentry whose configuration comes through a pipe, so that the test knows what it has read.
-func platformed(t *testing.T, listen string) (p *exec.Cmd, configure func(first syscall.Signal, text string)) {
-	file := filepath.Join(t.TempDir(), "config.json")
-	if err := syscall.Mkfifo(file, 0o600); err != nil {
+func startPlatformSentry(t *testing.T, listen string) (process *exec.Cmd, configure func(signal syscall.Signal, config string)) {
+	configFile := filepath.Join(t.TempDir(), "config.json")
+	if err := syscall.Mkfifo(configFile, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p = exec.Command(os.Args[0], "sentry", "--platform")
-	p.Env = append(os.Environ(), "EDGE_CONFIG="+file)
-	p.Stderr = os.Stderr
-	if err := p.Start(); err != nil {
+	process = exec.Command(os.Args[0], "sentry", "--platform")
+	process.Env = append(os.Environ(), "EDGE_CONFIG="+configFile)
+	process.Stderr = os.Stderr
+	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { p.Process.Kill() })
-	return p, func(first syscall.Signal, text string) {
-		if text == "" {
-			text = fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+	t.Cleanup(func() { process.Process.Kill() })
+	return process, func(signal syscall.Signal, config string) {
+		if config == "" {
+			config = fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 			 "limits":{"cores":1,"memory_mb":64,"sockets":256},"release_api":{"address":"127.0.0.1:1"},"settings":%s}`, listen, platformSettings)
 		}
-		f, err := os.OpenFile(file, os.O_WRONLY|syscall.O_NONBLOCK, 0)
+		pipe, err := os.OpenFile(configFile, os.O_WRONLY|syscall.O_NONBLOCK, 0)
 		for n := 0; err != nil; n++ { // until the sentry reads
 			if time.Sleep(10 * time.Millisecond); n > 1000 {
 				t.Fatal("the sentry does not read its configuration: ", err)
 			}
-			f, err = os.OpenFile(file, os.O_WRONLY|syscall.O_NONBLOCK, 0)
+			pipe, err = os.OpenFile(configFile, os.O_WRONLY|syscall.O_NONBLOCK, 0)
 		}
-		defer f.Close()
-		os.Remove(file) // the next time it reads another
-		if err := syscall.Mkfifo(file, 0o600); err != nil {
+		defer pipe.Close()
+		os.Remove(configFile) // the next time it reads another
+		if err := syscall.Mkfifo(configFile, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if first != 0 {
-			p.Process.Signal(first)
+		if signal != 0 {
+			process.Process.Signal(signal)
 			time.Sleep(50 * time.Millisecond)
 		}
-		f.WriteString(text)
+		pipe.WriteString(config)
 	}
 }
 
@@ -66,7 +66,7 @@
 }
 
 // ping says whether the sentry answers, within 10 s.
-func ping(address string) bool {
+func waitForPong(address string) bool {
 	for range 200 {
 		if c, err := net.Dial("tcp", address); err == nil {
 			fmt.Fprint(c, "*1\r\n$4\r\nPING\r\n")
@@ -85,30 +85,30 @@
 // Signals that come while the sentry reads its configuration, before it stands, are taken once it does: SIGHUP ends nothing,
 // SIGTERM ends it in order. A configuration that can't be taken at SIGHUP leaves the old one.
 func TestSignalsBeforeReady(t *testing.T) {
-	for _, early := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
+	for _, signal := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 		address := freeAddress(t)
-		p, configure := platformed(t, address)
-		configure(early, "") // it has come to its configuration, and has yet to read it
-		if early == syscall.SIGHUP {
+		process, configure := startPlatformSentry(t, address)
+		configure(signal, "") // it has come to its configuration, and has yet to read it
+		if signal == syscall.SIGHUP {
 			configure(0, "{") // refused
-			if !ping(address) {
+			if !waitForPong(address) {
 				t.Fatal("no answer after a SIGHUP before it was ready")
 			}
-			p.Process.Signal(syscall.SIGHUP)
+			process.Process.Signal(syscall.SIGHUP)
 			configure(syscall.SIGHUP, "") // one more while it reads
 			configure(syscall.SIGTERM, "")
 		}
-		wait := make(chan error, 1)
-		go func() { wait <- p.Wait() }()
+		exited := make(chan error, 1)
+		go func() { exited <- process.Wait() }()
 		select {
-		case err := <-wait:
+		case err := <-exited:
 			if err != nil {
-				t.Errorf("%v: it ended with %v, expected in order", early, err)
+				t.Errorf("%v: it ended with %v, expected in order", signal, err)
 			}
 		case <-time.After(10 * time.Second):
-			t.Errorf("%v: it did not end", early)
-			p.Process.Kill()
-			<-wait
+			t.Errorf("%v: it did not end", signal)
+			process.Process.Kill()
+			<-exited
 		}
 	}
 }
@@ -116,9 +116,9 @@
 // What is missing is told in one line, and it ends before it listens.
 func TestNoConfiguration(t *testing.T) {
 	for env, want := range map[string]string{"EDGE_CONFIG=": "EDGE_CONFIG: found nothing", "EDGE_CONFIG=/nowhere": "/nowhere"} {
-		p := exec.Command(os.Args[0], "sentry", "--platform")
-		p.Env = append(os.Environ(), env)
-		out, err := p.CombinedOutput()
+		process := exec.Command(os.Args[0], "sentry", "--platform")
+		process.Env = append(os.Environ(), env)
+		out, err := process.CombinedOutput()
 		if err == nil || !strings.Contains(string(out), want) || strings.Count(strings.TrimSpace(string(out)), "\n") > 0 {
 			t.Errorf("%s: %v, %q, expected one line with %q", env, err, out, want)
 		}
--- a/cmd/scalechute/soak_test.go
+++ b/cmd/scalechute/soak_test.go
@@ -9,7 +9,7 @@
 )
 
 // soaked plays a plan on this program, and fails the test if a promise was broken.
-func soaked(t *testing.T, plan *soak.Plan) {
+func runSoak(t *testing.T, plan *soak.Plan) {
 	t.Helper()
 	result, err := soak.Run(plan, soak.Options{Program: []string{os.Args[0]}})
 	if err != nil {
@@ -34,7 +34,7 @@
 		open  int
 		pause time.Duration
 	}{{1, 0}, {2, 0}, {4, 20 * time.Millisecond}, {8, 0}, {8, 20 * time.Millisecond}} {
-		soaked(t, soak.PipelinePlan(1, 20, c.open, c.pause, 64))
+		runSoak(t, soak.PipelinePlan(1, 20, c.open, c.pause, 64))
 	}
 }
 
@@ -42,20 +42,20 @@
 func TestSoak(t *testing.T) {
 	const first, runs = 1, 14
 	for seed := uint64(first); seed < first+runs; seed++ {
-		soaked(t, soak.RandomPlan(seed))
+		runSoak(t, soak.RandomPlan(seed))
 	}
 }
 
 // Each promise that the process is made to break is named by the auditor as what it is.
 func TestSoakNamesEachBreak(t *testing.T) {
-	for breach, want := range map[string]soak.Outcome{"close": soak.Dropped, "skip": soak.Skipped, "swap": soak.Swapped} {
-		result, err := soak.Run(soak.FaultPlan(1, breach), soak.Options{Program: []string{os.Args[0]}})
+	for faultName, want := range map[string]soak.Outcome{"close": soak.Dropped, "skip": soak.Skipped, "swap": soak.Swapped} {
+		result, err := soak.Run(soak.FaultPlan(1, faultName), soak.Options{Program: []string{os.Args[0]}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Log(result)
 		if result.Passed() || result.Requests[want] == 0 {
-			t.Errorf("break %s: %v, expected %v", breach, result, want)
+			t.Errorf("break %s: %v, expected %v", faultName, result, want)
 		}
 	}
 }
--- a/cmd/scalechute/syscall_fault_test.go
+++ b/cmd/scalechute/syscall_fault_test.go
@@ -14,7 +14,7 @@
 )
 
 // faultyRequests is how many requests each case of TestSystemCallFaults sends, each fourth over a connection of its own.
-const faultyRequests = 60
+const requestsPerCase = 60
 
 // System calls of the real program fail as Linux documents, once, in rows, one in a few: each request gets its one answer, the
 // process goes on, and once the faults are over it serves. strace puts the faults in; .ci/run installs it.
@@ -23,49 +23,49 @@
 		inject string
 		served int // answers from the server at the least
 	}{
-		"send: EINTR, one in three":           {"sendmsg:error=EINTR:when=3+3", faultyRequests},
-		"send: EINTR in a row":                {"sendmsg:error=EINTR:when=20..60", faultyRequests},
-		"send: ENOBUFS, one in four":          {"sendmsg:error=ENOBUFS:when=4+4", faultyRequests},
-		"send: EAGAIN, one in three":          {"sendmsg:error=EAGAIN:when=3+3", faultyRequests},
-		"read: EINTR, one in two":             {"readv:error=EINTR:when=2+2", faultyRequests},
-		"read: EAGAIN, one in three":          {"readv:error=EAGAIN:when=3+3", faultyRequests},
-		"read ahead: EINTR, one in two":       {"recvfrom:error=EINTR:when=2+2", faultyRequests},
-		"wait: EINTR, one in four":            {"epoll_wait,epoll_pwait:error=EINTR:when=4+4", faultyRequests},
-		"accept: ECONNABORTED, one in two":    {"accept4:error=ECONNABORTED:when=2+2", faultyRequests},
-		"accept: EINTR, one in two":           {"accept4:error=EINTR:when=2+2", faultyRequests},
-		"accept: ENFILE, one in three":        {"accept4:error=ENFILE:when=3+3", faultyRequests},
-		"connect: EINTR, one in two":          {"connect:error=EINTR:when=2+2", faultyRequests},
-		"connect: EADDRNOTAVAIL, one in two":  {"connect:error=EADDRNOTAVAIL:when=2+2", faultyRequests},
-		"connect: ENETUNREACH, one in three":  {"connect:error=ENETUNREACH:when=3+3", faultyRequests / 2},
-		"connect: EHOSTUNREACH, one in three": {"connect:error=EHOSTUNREACH:when=3+3", faultyRequests / 2},
-		"connect: ETIMEDOUT, one in three":    {"connect:error=ETIMEDOUT:when=3+3", faultyRequests / 2},
-		"socket: ENOBUFS, one in two":         {"socket:error=ENOBUFS:when=4+2", faultyRequests / 2},
-		"socket: ENFILE, one in two":          {"socket:error=ENFILE:when=4+2", faultyRequests / 2},
-		"getsockopt: ENOBUFS, one in three":   {"getsockopt:error=ENOBUFS:when=3+3", faultyRequests / 2},
+		"send: EINTR, one in three":           {"sendmsg:error=EINTR:when=3+3", requestsPerCase},
+		"send: EINTR in a row":                {"sendmsg:error=EINTR:when=20..60", requestsPerCase},
+		"send: ENOBUFS, one in four":          {"sendmsg:error=ENOBUFS:when=4+4", requestsPerCase},
+		"send: EAGAIN, one in three":          {"sendmsg:error=EAGAIN:when=3+3", requestsPerCase},
+		"read: EINTR, one in two":             {"readv:error=EINTR:when=2+2", requestsPerCase},
+		"read: EAGAIN, one in three":          {"readv:error=EAGAIN:when=3+3", requestsPerCase},
+		"read ahead: EINTR, one in two":       {"recvfrom:error=EINTR:when=2+2", requestsPerCase},
+		"wait: EINTR, one in four":            {"epoll_wait,epoll_pwait:error=EINTR:when=4+4", requestsPerCase},
+		"accept: ECONNABORTED, one in two":    {"accept4:error=ECONNABORTED:when=2+2", requestsPerCase},
+		"accept: EINTR, one in two":           {"accept4:error=EINTR:when=2+2", requestsPerCase},
+		"accept: ENFILE, one in three":        {"accept4:error=ENFILE:when=3+3", requestsPerCase},
+		"connect: EINTR, one in two":          {"connect:error=EINTR:when=2+2", requestsPerCase},
+		"connect: EADDRNOTAVAIL, one in two":  {"connect:error=EADDRNOTAVAIL:when=2+2", requestsPerCase},
+		"connect: ENETUNREACH, one in three":  {"connect:error=ENETUNREACH:when=3+3", requestsPerCase / 2},
+		"connect: EHOSTUNREACH, one in three": {"connect:error=EHOSTUNREACH:when=3+3", requestsPerCase / 2},
+		"connect: ETIMEDOUT, one in three":    {"connect:error=ETIMEDOUT:when=3+3", requestsPerCase / 2},
+		"socket: ENOBUFS, one in two":         {"socket:error=ENOBUFS:when=4+2", requestsPerCase / 2},
+		"socket: ENFILE, one in two":          {"socket:error=ENFILE:when=4+2", requestsPerCase / 2},
+		"getsockopt: ENOBUFS, one in three":   {"getsockopt:error=ENOBUFS:when=3+3", requestsPerCase / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address := tracedProcess(t, c.inject)
+			address := startTraced(t, c.inject)
 			served := 0
 			var conn net.Conn
 			var in *bufio.Reader
-			for n := range faultyRequests {
+			for n := range requestsPerCase {
 				if n%4 == 0 {
 					if conn != nil {
 						conn.Close()
 					}
 					conn, in = dialTraced(t, address)
 				}
-				answer := ask(conn, in, fmt.Sprint("r-", n))
+				answer := sendRequest(conn, in, fmt.Sprint("r-", n))
 				switch {
 				case answer == "":
-					t.Fatalf("request %d of %d got no answer", n+1, faultyRequests)
+					t.Fatalf("request %d of %d got no answer", n+1, requestsPerCase)
 				case strings.HasPrefix(answer, "$"):
 					served++
 				}
 			}
 			conn.Close()
 			if served < c.served {
-				t.Errorf("%d of %d requests served, expected %d at the least", served, faultyRequests, c.served)
+				t.Errorf("%d of %d requests served, expected %d at the least", served, requestsPerCase, c.served)
 			}
 		})
 	}
@@ -93,32 +93,32 @@
 
 // tracedProcess starts the program under strace with a fault put into its system calls, beside a server and a discovery that
 // lists it, and gives its address once it answers.
-func tracedProcess(t *testing.T, inject string) string {
+func startTraced(t *testing.T, injection string) string {
 	t.Helper()
-	server := newStandInServer(t, "127.0.0.1:0")
+	server := newFakeServer(t, "127.0.0.1:0")
 	listen := freeAddress(t)
-	d := newStandInDiscovery(t, listOf(server.address, 50, 7))
-	t.Cleanup(func() { close(d.broken) })
-	file := filepath.Join(t.TempDir(), "config.json")
-	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,
-	 "sockets":256},"release_api":{"address":"127.0.0.1:1"},"known":%s,"settings":%s}`, listen, d.address,
-		listOf(server.address, 50, 7), platformSettings)
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+	discovery := newFakeDiscovery(t, listJSON(server.address, 50, 7))
+	t.Cleanup(func() { close(discovery.disconnect) })
+	configFile := filepath.Join(t.TempDir(), "config.json")
+	config := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,
+	 "sockets":256},"release_api":{"address":"127.0.0.1:1"},"known":%s,"settings":%s}`, listen, discovery.address,
+		listJSON(server.address, 50, 7), platformSettings)
+	if err := os.WriteFile(configFile, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	calls, _, _ := strings.Cut(inject, ":")
-	p := exec.Command("strace", "-f", "-o", os.DevNull, "-e", "trace="+calls, "-e", "inject="+inject,
+	systemCalls, _, _ := strings.Cut(injection, ":")
+	process := exec.Command("strace", "-f", "-o", os.DevNull, "-e", "trace="+systemCalls, "-e", "inject="+injection,
 		os.Args[0], "sentry", "--platform")
-	p.Env = append(os.Environ(), "EDGE_CONFIG="+file)
-	p.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // both end together
-	if err := p.Start(); err != nil {
+	process.Env = append(os.Environ(), "EDGE_CONFIG="+configFile)
+	process.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // both end together
+	if err := process.Start(); err != nil {
 		t.Fatal("strace, which this test needs: ", err)
 	}
 	t.Cleanup(func() {
-		syscall.Kill(-p.Process.Pid, syscall.SIGKILL)
-		p.Wait()
+		syscall.Kill(-process.Process.Pid, syscall.SIGKILL)
+		process.Wait()
 	})
-	if !ping(listen) {
+	if !waitForPong(listen) {
 		t.Fatal("the process does not answer")
 	}
 	return listen
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -11,74 +11,74 @@
 // Random hands each transaction to a random ready worker, whatever its build, and what may run again to another one
 // after a failure. It keeps the rule on effects and answers in time; it knows nothing of caps, warmth or load.
 type Random struct {
-	orders logic.Config
-	chance *rand.Rand
-	ready  []logic.WorkerID
-	known  map[logic.WorkerID]bool
-	open   map[logic.TransactionID]*held
+	config       logic.Config
+	rng          *rand.Rand
+	ready        []logic.WorkerID
+	isReady      map[logic.WorkerID]bool
+	transactions map[logic.TransactionID]*transaction
 }
 
-type held struct {
-	profile logic.ProfileID
-	limit   logic.Micros
-	sends   int
-	out     int
-	mayRun  bool
+type transaction struct {
+	profile      logic.ProfileID
+	deadline     logic.Micros
+	handOffs     int
+	openHandOffs int
+	mayHaveRun   bool
 }
 
 // NewRandom makes one.
-func NewRandom(o logic.Config, seed int64) *Random {
-	return &Random{orders: o, chance: rand.New(rand.NewSource(seed)), known: map[logic.WorkerID]bool{},
-		open: map[logic.TransactionID]*held{}}
+func NewRandom(config logic.Config, seed int64) *Random {
+	return &Random{config: config, rng: rand.New(rand.NewSource(seed)), isReady: map[logic.WorkerID]bool{},
+		transactions: map[logic.TransactionID]*transaction{}}
 }
 
 // Apply takes an input as the module does.
-func (r *Random) Apply(in *input.Input) (out logic.Result) {
+func (r *Random) Apply(in *input.Input) (result logic.Result) {
 	switch in.Kind {
 	case input.ListReceived:
-		r.listed(in)
+		r.updateWorkers(in)
 	case input.ListRequestFailed:
-		out.WakeAt = in.At + 500_000
+		result.WakeAt = in.At + 500_000
 	case input.TimerFired:
-		out.WatchList = r.orders.ListOnRequest && len(r.ready) == 0
+		result.WatchList = r.config.ListOnRequest && len(r.ready) == 0
 	case input.TransactionArrived:
-		h := &held{profile: in.Transaction.Profile, limit: in.Transaction.Deadline}
-		r.open[in.Transaction.ID] = h
-		r.send(in.Transaction.ID, h, &out)
+		t := &transaction{profile: in.Transaction.Profile, deadline: in.Transaction.Deadline}
+		r.transactions[in.Transaction.ID] = t
+		r.handOff(in.Transaction.ID, t, &result)
 	case input.ClientLeft:
-		delete(r.open, in.ID)
+		delete(r.transactions, in.ID)
 	case input.HandOffEnded:
-		h := r.open[in.End.Transaction]
-		if h == nil {
+		t := r.transactions[in.End.Transaction]
+		if t == nil {
 			break
 		}
-		h.out--
-		e := in.End.Ending
-		h.mayRun = h.mayRun || e != logic.TurnedAway && e != logic.Unconnected && e != logic.Unsent
-		again := h.sends < r.orders.MaxHandOffs && in.At < h.limit-r.orders.TimerGranularity &&
-			(!h.mayRun || r.orders.Profiles[h.profile].Repeatability == logic.Idempotent)
+		t.openHandOffs--
+		ending := in.End.Ending
+		t.mayHaveRun = t.mayHaveRun || ending != logic.TurnedAway && ending != logic.Unconnected && ending != logic.Unsent
+		mayRetry := t.handOffs < r.config.MaxHandOffs && in.At < t.deadline-r.config.TimerGranularity &&
+			(!t.mayHaveRun || r.config.Profiles[t.profile].Repeatability == logic.Idempotent)
 		switch {
 		case in.End.TransactionClosed:
-			delete(r.open, in.End.Transaction)
-		case again:
-			r.send(in.End.Transaction, h, &out)
+			delete(r.transactions, in.End.Transaction)
+		case mayRetry:
+			r.handOff(in.End.Transaction, t, &result)
 		default:
-			r.giveUp(in.End.Transaction, h, &out)
+			r.finish(in.End.Transaction, t, &result)
 		}
 	}
-	if in.Kind == input.ListReceived && in.ListKind == logic.CachedList && r.orders.ListOnRequest {
-		out.WatchList = true
+	if in.Kind == input.ListReceived && in.ListKind == logic.CachedList && r.config.ListOnRequest {
+		result.WatchList = true
 	}
-	return out
+	return result
 }
 
-func (r *Random) listed(in *input.Input) {
+func (r *Random) updateWorkers(in *input.Input) {
 	if in.ListKind != logic.ListDelta {
-		r.ready, r.known = nil, map[logic.WorkerID]bool{}
+		r.ready, r.isReady = nil, map[logic.WorkerID]bool{}
 	}
 	for _, w := range in.List {
 		ready := w.State == logic.Ready
-		if ready && !r.known[w.ID] {
+		if ready && !r.isReady[w.ID] {
 			r.ready = append(r.ready, w.ID)
 		}
 		if !ready {
@@ -89,26 +89,26 @@
 				}
 			}
 		}
-		r.known[w.ID] = ready
+		r.isReady[w.ID] = ready
 	}
 }
 
-func (r *Random) send(id logic.TransactionID, h *held, out *logic.Result) {
+func (r *Random) handOff(id logic.TransactionID, t *transaction, result *logic.Result) {
 	if len(r.ready) == 0 {
-		r.giveUp(id, h, out)
+		r.finish(id, t, result)
 		return
 	}
-	h.sends++
-	h.out++
-	out.Actions = append(out.Actions, logic.Action{Kind: logic.HandOff, Transaction: id, Deadline: h.limit,
-		Worker: r.ready[r.chance.Intn(len(r.ready))]})
+	t.handOffs++
+	t.openHandOffs++
+	result.Actions = append(result.Actions, logic.Action{Kind: logic.HandOff, Transaction: id, Deadline: t.deadline,
+		Worker: r.ready[r.rng.Intn(len(r.ready))]})
 }
 
-func (r *Random) giveUp(id logic.TransactionID, h *held, out *logic.Result) {
+func (r *Random) finish(id logic.TransactionID, t *transaction, result *logic.Result) {
 	kind := logic.WriteOff
-	if !h.mayRun || r.orders.Profiles[h.profile].Repeatability == logic.Idempotent {
+	if !t.mayHaveRun || r.config.Profiles[t.profile].Repeatability == logic.Idempotent {
 		kind = logic.Defer
 	}
-	out.Actions = append(out.Actions, logic.Action{Kind: kind, Transaction: id})
-	delete(r.open, id)
+	result.Actions = append(result.Actions, logic.Action{Kind: kind, Transaction: id})
+	delete(r.transactions, id)
 }
--- a/internal/benchwire/wire.go
+++ b/internal/benchwire/wire.go
@@ -17,35 +17,35 @@
 
 // instance is one sentry of the bench with what the wire needs beside it.
 type instance struct {
-	number int64
-	sentry *logic.Sentry
-	names  *facts.Names
-	wakes  []logic.Micros // outstanding wake-ups, the earliest last
+	id             int64
+	sentry         *logic.Sentry
+	names          *facts.Names
+	pendingWakeUps []logic.Micros // outstanding wake-ups, the earliest last
 }
 
-type link struct {
-	out       *bufio.Writer
-	clock     logic.Micros
-	origin    int64 // nanoseconds of the clock beyond whole microseconds
-	instances map[int64]*instance
-	lists     map[int64][]logic.Worker // decoded once for all instances
-	zones     map[string]logic.ZoneID
+type session struct {
+	out         *bufio.Writer
+	now         logic.Micros
+	remainderNs int64 // nanoseconds of the clock beyond whole microseconds
+	instances   map[int64]*instance
+	lists       map[int64][]logic.Worker // decoded once for all instances
+	zones       map[string]logic.ZoneID
 }
 
 // Serve answers batches until the input ends.
 func Serve(in io.Reader, out io.Writer) error {
-	l := &link{
+	s := &session{
 		out:       bufio.NewWriterSize(out, 1<<16),
 		instances: map[int64]*instance{},
 		lists:     map[int64][]logic.Worker{},
 		zones:     map[string]logic.ZoneID{},
 	}
-	r := bufio.NewReaderSize(in, 1<<16)
-	for number := 1; ; number++ {
-		line, err := r.ReadBytes('\n')
+	reader := bufio.NewReaderSize(in, 1<<16)
+	for lineNumber := 1; ; lineNumber++ {
+		line, err := reader.ReadBytes('\n')
 		if trimmed := bytes.TrimSpace(line); len(trimmed) > 0 {
-			if err := l.line(trimmed); err != nil {
-				return fmt.Errorf("line %d: %w", number, err)
+			if err := s.handleLine(trimmed); err != nil {
+				return fmt.Errorf("line %d: %w", lineNumber, err)
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -58,35 +58,35 @@
 }
 
 // fields are the values of one message. The first wrong one is kept in err.
-type fields struct {
+type fieldReader struct {
 	kind   string
 	values []json.RawMessage
 	err    error
 }
 
-func (f *fields) read(i int, into any, must bool) {
+func (f *fieldReader) decode(i int, target any, required bool) {
 	if f.err != nil {
 		return
 	}
 	if i >= len(f.values) || bytes.Equal(f.values[i], []byte("null")) {
-		if must {
+		if required {
 			f.err = fmt.Errorf("%s: value %d is missing", f.kind, i)
 		}
 		return
 	}
-	if err := json.Unmarshal(f.values[i], into); err != nil {
+	if err := json.Unmarshal(f.values[i], target); err != nil {
 		f.err = fmt.Errorf("%s: value %d: %w", f.kind, i, err)
 	}
 }
 
-func (f *fields) integer(i int) (v int64) { f.read(i, &v, false); return v }
-func (f *fields) real(i int) (v float64)  { f.read(i, &v, false); return v }
-func (f *fields) truth(i int) (v bool)    { f.read(i, &v, false); return v }
-func (f *fields) text(i int) (v string)   { f.read(i, &v, false); return v }
-func (f *fields) must(i int) (v string)   { f.read(i, &v, true); return v }
-func (f *fields) time(i int) logic.Micros { return facts.ToMicros(f.integer(i)) }
+func (f *fieldReader) integer(i int) (v int64)         { f.decode(i, &v, false); return v }
+func (f *fieldReader) real(i int) (v float64)          { f.decode(i, &v, false); return v }
+func (f *fieldReader) boolean(i int) (v bool)          { f.decode(i, &v, false); return v }
+func (f *fieldReader) str(i int) (v string)            { f.decode(i, &v, false); return v }
+func (f *fieldReader) requiredString(i int) (v string) { f.decode(i, &v, true); return v }
+func (f *fieldReader) micros(i int) logic.Micros       { return facts.ToMicros(f.integer(i)) }
 
-func (l *link) line(line []byte) error {
+func (s *session) handleLine(line []byte) error {
 	var values []json.RawMessage
 	if err := json.Unmarshal(line, &values); err != nil {
 		return err
@@ -94,114 +94,114 @@
 	if len(values) == 0 {
 		return errors.New("empty message")
 	}
-	f := &fields{kind: "message", values: values}
-	name := f.must(0)
+	f := &fieldReader{kind: "message", values: values}
+	kind := f.requiredString(0)
 	if f.err != nil {
 		return f.err
 	}
-	f.kind = name
+	f.kind = kind
 	f.values = values[1:]
-	switch name {
+	switch kind {
 	case "mark":
-		f.must64(0)
-		now := f.integer(0)
-		l.clock, l.origin = facts.ToMicros(now), now%1000
+		f.requireInteger(0)
+		clockNs := f.integer(0)
+		s.now, s.remainderNs = facts.ToMicros(clockNs), clockNs%1000
 	case "your_turn":
-		l.out.WriteString("[\"finished\"]\n")
-		return l.out.Flush()
+		s.out.WriteString("[\"finished\"]\n")
+		return s.out.Flush()
 	case "census":
-		l.census(f)
+		s.storeList(f)
 	default:
-		return l.event(f)
+		return s.handleEvent(f)
 	}
 	return f.err
 }
 
-func (f *fields) must64(i int) {
+func (f *fieldReader) requireInteger(i int) {
 	var v int64
-	f.read(i, &v, true)
+	f.decode(i, &v, true)
 }
 
 // event hands one event to its instance and writes what comes back. A panic of the module ends the day by name.
-func (l *link) event(f *fields) (err error) {
-	f.must64(0)
-	who := f.integer(0)
+func (s *session) handleEvent(f *fieldReader) (err error) {
+	f.requireInteger(0)
+	id := f.integer(0)
 	if f.err != nil {
 		return f.err
 	}
 	if f.kind == "new_instance" {
-		return l.start(who, f)
+		return s.createInstance(id, f)
 	}
-	in := l.instances[who]
-	if in == nil {
-		return fmt.Errorf("%s: no instance %d", f.kind, who)
+	inst := s.instances[id]
+	if inst == nil {
+		return fmt.Errorf("%s: no instance %d", f.kind, id)
 	}
 	if f.kind == "exit" {
-		delete(l.instances, who)
+		delete(s.instances, id)
 		return nil
 	}
 	defer func() {
-		if p := recover(); p != nil {
-			l.write("die", who, fmt.Sprint(p))
+		if cause := recover(); cause != nil {
+			s.writeMessage("die", id, fmt.Sprint(cause))
 			err = nil
 		}
 	}()
-	res, known := l.call(in, f)
+	result, known := s.applyEvent(inst, f)
 	if f.err != nil || !known {
 		return f.err
 	}
-	l.carryOut(in, res)
+	s.writeResult(inst, result)
 	return nil
 }
 
-func (l *link) start(who int64, f *fields) error {
+func (s *session) createInstance(id int64, f *fieldReader) error {
 	var settings json.RawMessage
-	f.read(2, &settings, true)
+	f.decode(2, &settings, true)
 	var seed uint64
-	f.read(1, &seed, false)
+	f.decode(1, &seed, false)
 	if f.err != nil {
 		return f.err
 	}
-	o, n, err := facts.DecodeConfig(settings, l.zones)
+	config, names, err := facts.DecodeConfig(settings, s.zones)
 	if err != nil {
 		return err
 	}
-	l.instances[who] = &instance{number: who, sentry: logic.New(o, int64(seed)), names: n}
+	s.instances[id] = &instance{id: id, sentry: logic.New(config, int64(seed)), names: names}
 	return nil
 }
 
-var endings = map[string]logic.Ending{
+var endingByCode = map[string]logic.Ending{
 	"GOOD": logic.Answered, "BAD": logic.Errored, "FULL": logic.TurnedAway, "LATE": logic.TimedOut,
 	"NOCONN": logic.Unconnected, "RST": logic.Broken, "CXL": logic.Cancelled, "NOP": logic.Unsent,
 }
 
-func (f *fields) ending(i int) logic.Ending {
-	word := f.must(i)
-	e, ok := endings[word]
+func (f *fieldReader) ending(i int) logic.Ending {
+	code := f.requiredString(i)
+	ending, ok := endingByCode[code]
 	if !ok && f.err == nil {
-		f.err = fmt.Errorf("%s: unknown outcome %q", f.kind, word)
+		f.err = fmt.Errorf("%s: unknown outcome %q", f.kind, code)
 	}
-	return e
+	return ending
 }
 
 // load reads a load report: what it does not tell is below 0.
-func (in *instance) load(f *fields, i int) (load logic.Load) {
-	var row []*float64
-	f.read(i, &row, false)
+func (inst *instance) decodeLoad(f *fieldReader, i int) (load logic.Load) {
+	var reported []*float64
+	f.decode(i, &reported, false)
 	figures := [facts.LoadFieldCount]*float64{
 		facts.LoadFieldInFlight: &load.InFlight, facts.LoadFieldBusy: &load.BusyShare, facts.LoadFieldServed: &load.ServedPerSecond}
-	for n, at := range in.names.LoadFieldIndex {
-		*figures[n] = -1
-		if at >= 0 && at < len(row) && row[at] != nil {
-			*figures[n] = *row[at]
+	for field, index := range inst.names.LoadFieldIndex {
+		*figures[field] = -1
+		if index >= 0 && index < len(reported) && reported[index] != nil {
+			*figures[field] = *reported[index]
 		}
 	}
 	return load
 }
 
-func (in *instance) profile(f *fields, i int) logic.ProfileID {
-	name := f.must(i)
-	id, ok := in.names.Profiles[name]
+func (inst *instance) decodeProfile(f *fieldReader, i int) logic.ProfileID {
+	name := f.requiredString(i)
+	id, ok := inst.names.Profiles[name]
 	if !ok && f.err == nil {
 		f.err = fmt.Errorf("%s: unknown class %q", f.kind, name)
 	}
@@ -209,191 +209,191 @@
 }
 
 // call decodes one event and makes the module's call for it. Unknown kinds of event are passed over.
-func (l *link) call(in *instance, f *fields) (res logic.Result, known bool) {
-	s, now := in.sentry, l.clock
-	var do func() logic.Result
+func (session *session) applyEvent(inst *instance, f *fieldReader) (result logic.Result, known bool) {
+	sentry, now := inst.sentry, session.now
+	var apply func() logic.Result
 	switch f.kind {
 	case "query":
 		t := logic.Transaction{
-			ID: logic.TransactionID(f.must(1)), Profile: in.profile(f, 2), Account: logic.NoAccount,
-			Key: logic.Key(f.text(4)), Deadline: f.time(5),
+			ID: logic.TransactionID(f.requiredString(1)), Profile: inst.decodeProfile(f, 2), Account: logic.NoAccount,
+			Key: logic.Key(f.str(4)), Deadline: f.micros(5),
 		}
 		var account any
-		f.read(3, &account, false)
+		f.decode(3, &account, false)
 		if name, ok := account.(string); ok {
-			if id, ok := in.names.Accounts[name]; ok {
+			if id, ok := inst.names.Accounts[name]; ok {
 				t.Account = id
 			}
 		}
-		bits := f.integer(7)
-		if bits&1 != 0 {
-			t.ExpectedWork = f.time(6)
+		flags := f.integer(7)
+		if flags&1 != 0 {
+			t.ExpectedWork = f.micros(6)
 		}
-		t.IsRetry = bits&2 != 0
-		do = func() logic.Result { return s.TransactionArrived(now, t) }
+		t.IsRetry = flags&2 != 0
+		apply = func() logic.Result { return sentry.TransactionArrived(now, t) }
 	case "ended":
 		e := logic.HandOffEnd{
-			Transaction: logic.TransactionID(f.must(1)), HandOffNumber: int(f.integer(2)),
-			Worker: logic.WorkerID(f.must(3)), Ending: f.ending(4), Duration: f.time(5), TransactionClosed: f.truth(6),
-			Load: in.load(f, 7),
+			Transaction: logic.TransactionID(f.requiredString(1)), HandOffNumber: int(f.integer(2)),
+			Worker: logic.WorkerID(f.requiredString(3)), Ending: f.ending(4), Duration: f.micros(5), TransactionClosed: f.boolean(6),
+			Load: inst.decodeLoad(f, 7),
 		}
-		do = func() logic.Result { return s.HandOffEnded(now, e) }
+		apply = func() logic.Result { return sentry.HandOffEnded(now, e) }
 	case "ack_first", "left":
-		id := logic.TransactionID(f.must(1))
-		do = func() logic.Result { return s.ClientLeft(now, id) }
+		id := logic.TransactionID(f.requiredString(1))
+		apply = func() logic.Result { return sentry.ClientLeft(now, id) }
 	case "bell":
 		token := logic.Micros(f.integer(1))
-		do = func() logic.Result {
-			for len(in.wakes) > 0 && in.wakes[len(in.wakes)-1] <= token {
-				in.wakes = in.wakes[:len(in.wakes)-1]
+		apply = func() logic.Result {
+			for len(inst.pendingWakeUps) > 0 && inst.pendingWakeUps[len(inst.pendingWakeUps)-1] <= token {
+				inst.pendingWakeUps = inst.pendingWakeUps[:len(inst.pendingWakeUps)-1]
 			}
-			return s.Wake(now)
+			return sentry.Wake(now)
 		}
 	case "endpoints":
-		do = l.listCall(in, f)
+		apply = session.decodeListEvent(inst, f)
 	case "promotion":
-		fate, ok := map[string]logic.VoteResult{
+		voteResult, ok := map[string]logic.VoteResult{
 			"GOOD": logic.VoteAccepted, "NOP": logic.VoteObsolete, "FULL": logic.VoteRefused, "BAD": logic.VoteRefused,
 			"LATE": logic.VoteTimedOut,
-		}[f.must(5)]
+		}[f.requiredString(5)]
 		if !ok && f.err == nil {
 			f.err = fmt.Errorf("%s: unknown result", f.kind)
 		}
-		n := logic.ReleaseStatus{
-			Valid: fate == logic.VoteAccepted, Cap: f.real(1), Age: f.time(2), Build: logic.BuildID(f.integer(3)),
-			Stage: int(f.integer(4)), Phase: logic.Phase(f.integer(7)), VoteResult: fate,
+		status := logic.ReleaseStatus{
+			Valid: voteResult == logic.VoteAccepted, Cap: f.real(1), Age: f.micros(2), Build: logic.BuildID(f.integer(3)),
+			Stage: int(f.integer(4)), Phase: logic.Phase(f.integer(7)), VoteResult: voteResult,
 		}
 		if f.integer(6) == 0 {
-			n.VoteResult = logic.NoVote
+			status.VoteResult = logic.NoVote
 		}
-		do = func() logic.Result { return s.ReleaseUpdated(now, n) }
+		apply = func() logic.Result { return sentry.ReleaseUpdated(now, status) }
 	case "reported_wrong":
-		c := logic.Complaint{Age: f.time(1), Profile: in.profile(f, 2), Worker: logic.WorkerID(f.must(3))}
-		do = func() logic.Result { return s.ComplaintReceived(now, c) }
+		c := logic.Complaint{Age: f.micros(1), Profile: inst.decodeProfile(f, 2), Worker: logic.WorkerID(f.requiredString(3))}
+		apply = func() logic.Result { return sentry.ComplaintReceived(now, c) }
 	case "counts_by_build":
 		c := logic.BuildCounts{
-			HandOffs: int(f.integer(1)), Profile: in.profile(f, 2), Failed: int(f.integer(3)),
-			Build: logic.BuildID(f.integer(4)), Age: f.time(5), MeanDuration: f.time(6),
+			HandOffs: int(f.integer(1)), Profile: inst.decodeProfile(f, 2), Failed: int(f.integer(3)),
+			Build: logic.BuildID(f.integer(4)), Age: f.micros(5), MeanDuration: f.micros(6),
 		}
-		do = func() logic.Result { return s.CountsReceived(now, c) }
+		apply = func() logic.Result { return sentry.CountsReceived(now, c) }
 	case "mail":
 		from := logic.SentryID(f.integer(1))
-		body, err := base64.StdEncoding.DecodeString(f.text(2))
+		body, err := base64.StdEncoding.DecodeString(f.str(2))
 		if err != nil && f.err == nil {
 			f.err = fmt.Errorf("%s: %w", f.kind, err)
 		}
-		do = func() logic.Result { return s.PeerMessageReceived(now, from, body) }
+		apply = func() logic.Result { return sentry.PeerMessageReceived(now, from, body) }
 	default:
-		return res, false
+		return result, false
 	}
 	if f.err != nil {
-		return res, false
+		return result, false
 	}
-	return do(), true
+	return apply(), true
 }
 
-func (l *link) listCall(in *instance, f *fields) func() logic.Result {
-	s, now := in.sentry, l.clock
+func (session *session) decodeListEvent(inst *instance, f *fieldReader) func() logic.Result {
+	sentry, now := inst.sentry, session.now
 	kinds := map[string]logic.ListKind{
 		"changes": logic.ListDelta, "all": logic.FullList, "remembered": logic.CachedList,
 	}
-	word := f.must(1)
-	kind, ok := kinds[word]
+	code := f.requiredString(1)
+	kind, ok := kinds[code]
 	if !ok {
-		if word != "refused" && f.err == nil {
-			f.err = fmt.Errorf("%s: unknown mode %q", f.kind, word)
+		if code != "refused" && f.err == nil {
+			f.err = fmt.Errorf("%s: unknown mode %q", f.kind, code)
 		}
-		return func() logic.Result { return s.ListRequestFailed(now, true) }
+		return func() logic.Result { return sentry.ListRequestFailed(now, true) }
 	}
-	list, ok := l.lists[f.integer(3)]
+	list, ok := session.lists[f.integer(3)]
 	if !ok && f.err == nil {
 		f.err = fmt.Errorf("%s: no census %d", f.kind, f.integer(3))
 	}
-	return func() logic.Result { return s.ListReceived(now, kind, list) }
+	return func() logic.Result { return sentry.ListReceived(now, kind, list) }
 }
 
-var states = map[string]logic.WorkerState{"live": logic.Ready, "quiescing": logic.Draining, "dead": logic.Gone}
+var workerStateByCode = map[string]logic.WorkerState{"live": logic.Ready, "quiescing": logic.Draining, "dead": logic.Gone}
 
 // census decodes a list that all instances may be referred to.
-func (l *link) census(f *fields) {
+func (s *session) storeList(f *fieldReader) {
 	var rows [][]json.RawMessage
-	f.read(1, &rows, false)
+	f.decode(1, &rows, false)
 	workers := make([]logic.Worker, 0, len(rows))
 	for _, row := range rows {
-		e := &fields{kind: "census entry", values: row}
+		entry := &fieldReader{kind: "census entry", values: row}
 		w := logic.Worker{
-			Cell: int(e.integer(0)), Started: e.time(1), Size: e.real(2), Zone: facts.AssignZone(l.zones, e.text(3)),
-			Build: logic.BuildID(e.real(5)), ID: logic.WorkerID(e.must(7)),
+			Cell: int(entry.integer(0)), Started: entry.micros(1), Size: entry.real(2), Zone: facts.AssignZone(s.zones, entry.str(3)),
+			Build: logic.BuildID(entry.real(5)), ID: logic.WorkerID(entry.requiredString(7)),
 		}
-		health, ok := e.must(6), false
-		if w.State, ok = states[health]; !ok && e.err == nil {
-			e.err = fmt.Errorf("census entry: unknown health %q", health)
+		health, ok := entry.requiredString(6), false
+		if w.State, ok = workerStateByCode[health]; !ok && entry.err == nil {
+			entry.err = fmt.Errorf("census entry: unknown health %q", health)
 		}
-		if e.err != nil {
-			f.err = e.err
+		if entry.err != nil {
+			f.err = entry.err
 			return
 		}
 		workers = append(workers, w)
 	}
 	if f.err == nil {
-		l.lists[f.integer(0)] = workers
+		s.lists[f.integer(0)] = workers
 	}
 }
 
-func (l *link) write(values ...any) {
+func (s *session) writeMessage(values ...any) {
 	line, err := json.Marshal(values)
 	if err != nil {
 		panic(err) // only plain values are ever written
 	}
-	l.out.Write(line)
-	l.out.WriteByte('\n')
+	s.out.Write(line)
+	s.out.WriteByte('\n')
 }
 
-func (l *link) ns(t logic.Micros) int64 { return int64(t)*1000 + l.origin }
+func (s *session) toNanos(t logic.Micros) int64 { return int64(t)*1000 + s.remainderNs }
 
 // carryOut writes a result. A wake-up is asked for only if none that stands comes as early.
-func (l *link) carryOut(in *instance, res logic.Result) {
-	who := in.number
-	for _, r := range res.Actions {
-		switch r.Kind {
+func (s *session) writeResult(inst *instance, result logic.Result) {
+	id := inst.id
+	for _, action := range result.Actions {
+		switch action.Kind {
 		case logic.HandOff:
-			l.write("route", who, r.Transaction, r.Worker, l.ns(r.Deadline))
+			s.writeMessage("route", id, action.Transaction, action.Worker, s.toNanos(action.Deadline))
 		case logic.CancelHandOff:
-			l.write("revoke", who, r.Transaction, r.HandOffNumber)
+			s.writeMessage("revoke", id, action.Transaction, action.HandOffNumber)
 		case logic.Defer:
-			l.write("bounce", who, r.Transaction, int64(r.RetryAfter)*1000)
+			s.writeMessage("bounce", id, action.Transaction, int64(action.RetryAfter)*1000)
 		case logic.WriteOff:
-			l.write("fail", who, r.Transaction)
+			s.writeMessage("fail", id, action.Transaction)
 		}
 	}
-	for _, v := range res.Votes {
-		l.write("say_so", who, v.Build, v.Stage, map[logic.Verdict]int{
-			logic.NoVerdict: 0, logic.Advance: 1, logic.Hold: 2, logic.RollBack: 3}[v.Verdict])
+	for _, vote := range result.Votes {
+		s.writeMessage("say_so", id, vote.Build, vote.Stage, map[logic.Verdict]int{
+			logic.NoVerdict: 0, logic.Advance: 1, logic.Hold: 2, logic.RollBack: 3}[vote.Verdict])
 	}
-	if res.WatchList {
-		l.write("watch", who, true)
+	if result.WatchList {
+		s.writeMessage("watch", id, true)
 	}
-	if res.FetchList {
-		l.write("read_list", who)
+	if result.FetchList {
+		s.writeMessage("read_list", id)
 	}
-	for _, id := range res.Probes {
-		l.write("sample", who, id)
+	for _, probe := range result.Probes {
+		s.writeMessage("sample", id, probe)
 	}
-	for _, m := range res.Messages {
-		var to any = m.To
-		if m.To == logic.EverySentry {
-			to = "*"
+	for _, message := range result.Messages {
+		var recipient any = message.To
+		if message.To == logic.EverySentry {
+			recipient = "*"
 		}
-		l.write("publish", who, to, base64.StdEncoding.EncodeToString(m.Body))
+		s.writeMessage("publish", id, recipient, base64.StdEncoding.EncodeToString(message.Body))
 	}
-	for _, n := range res.LogLines {
-		l.write("say_log", who, n)
+	for _, logLine := range result.LogLines {
+		s.writeMessage("say_log", id, logLine)
 	}
-	if at := res.WakeAt; at > 0 && (len(in.wakes) == 0 || at < in.wakes[len(in.wakes)-1]) {
-		if at <= l.clock {
-			at = l.clock + 1
+	if wakeAt := result.WakeAt; wakeAt > 0 && (len(inst.pendingWakeUps) == 0 || wakeAt < inst.pendingWakeUps[len(inst.pendingWakeUps)-1]) {
+		if wakeAt <= s.now {
+			wakeAt = s.now + 1
 		}
-		in.wakes = append(in.wakes, at)
-		l.write("sleep", who, l.ns(at), int64(at))
+		inst.pendingWakeUps = append(inst.pendingWakeUps, wakeAt)
+		s.writeMessage("sleep", id, s.toNanos(wakeAt), int64(wakeAt))
 	}
 }
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -11,7 +11,7 @@
 	"scalechute/logic"
 )
 
-const start = `["mark",5000000123]
+const preamble = `["mark",5000000123]
 ["new_instance",3,18446744073709551615,{"azs":["a"],"zone":"a","replicas_of_me":2,"unknown":{"x":1},` +
 	`"categories":[{"name":"read","aim_ns":500000000,"deadline_ns":2000000000,"effect":"retryable","value":1}],` +
 	`"limits":{"max_attempts":3},"rules":{"warm_up_ns":4000000000},"registry_mode":"pushed"}]
@@ -22,27 +22,27 @@
 
 func TestServe(t *testing.T) {
 	query := `["query",3,"t/1","read",null,null,6000000123,null,null]` + "\n"
-	turn := `["your_turn"]` + "\n"
+	endOfBatch := `["your_turn"]` + "\n"
 	cases := []struct{ name, in, want, fault string }{
-		{"an empty batch", `["mark",1]` + "\n" + turn, `["finished"]`, ""},
-		{"a query", start + query + turn, `["route",3,"t/1","10.0.0.1:1",6000000123]`, ""},
-		{"a list number used again", start + `["census",0,[[0,null,1,"a","std",41,"live","10.0.0.2:1"]]]` + "\n" +
-			`["endpoints",3,"all",2,0]` + "\n" + query + turn, `["route",3,"t/1","10.0.0.2:1",6000000123]`, ""},
-		{"an unknown event and a late left", start + `["new_word",3,"x"]` + "\n" + `["left",3,"t/9"]` + "\n" + turn,
+		{"an empty batch", `["mark",1]` + "\n" + endOfBatch, `["finished"]`, ""},
+		{"a query", preamble + query + endOfBatch, `["route",3,"t/1","10.0.0.1:1",6000000123]`, ""},
+		{"a list number used again", preamble + `["census",0,[[0,null,1,"a","std",41,"live","10.0.0.2:1"]]]` + "\n" +
+			`["endpoints",3,"all",2,0]` + "\n" + query + endOfBatch, `["route",3,"t/1","10.0.0.2:1",6000000123]`, ""},
+		{"an unknown event and a late left", preamble + `["new_word",3,"x"]` + "\n" + `["left",3,"t/9"]` + "\n" + endOfBatch,
 			`["finished"]`, ""},
-		{"a restart within the batch", start + `["exit",3]` + "\n" + start + query + turn, `["route",3,"t/1"`, ""},
-		{"counts, then what none is", start + `["counts_by_build",3,180,"read",4,41,1250000000,21500000]` + "\n" + query + turn,
+		{"a restart within the batch", preamble + `["exit",3]` + "\n" + preamble + query + endOfBatch, `["route",3,"t/1"`, ""},
+		{"counts, then what none is", preamble + `["counts_by_build",3,180,"read",4,41,1250000000,21500000]` + "\n" + query + endOfBatch,
 			`["route",3,"t/1","10.0.0.1:1",6000000123]`, ""},
-		{"counts of an unknown class", start + `["counts_by_build",3,180,"write",4,41,1250000000,21500000]` + "\n", "", `unknown class "write"`},
-		{"no instance", query + turn, "", "no instance 3"},
-		{"an unknown class", start + `["query",3,"t/1","write",null,null,1,null,null]` + "\n", "", `unknown class "write"`},
+		{"counts of an unknown class", preamble + `["counts_by_build",3,180,"write",4,41,1250000000,21500000]` + "\n", "", `unknown class "write"`},
+		{"no instance", query + endOfBatch, "", "no instance 3"},
+		{"an unknown class", preamble + `["query",3,"t/1","write",null,null,1,null,null]` + "\n", "", `unknown class "write"`},
 		{"no JSON", "nonsense\n", "", "line 1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var buffer bytes.Buffer
-			err := Serve(strings.NewReader(c.in), &buffer)
-			out := buffer.String()
+			var output bytes.Buffer
+			err := Serve(strings.NewReader(c.in), &output)
+			out := output.String()
 			switch {
 			case c.fault != "" && (err == nil || !strings.Contains(err.Error(), c.fault)):
 				t.Errorf("fault %v, want %q", err, c.fault)
@@ -65,20 +65,20 @@
 		{`{"how":"inline","fields":["served_ps","svc_ms","cpu_share"]}`, `[12.5,3,0.4]`, logic.Load{InFlight: -1, BusyShare: 0.4, ServedPerSecond: 12.5}},
 		{`{"how":"inline","fields":["served_ps","cpu_share"]}`, `[null]`, logic.NoLoad}, {`{"how":"off","fields":["busy_reqs"]}`, `[7]`, logic.NoLoad},
 	} {
-		o, n, err := facts.DecodeConfig([]byte(`{"report":`+c.report+`,"family_info":{"metrics_period_ns":2000000000,"sampled_share":0.2}}`), map[string]logic.ZoneID{})
-		f := &fields{values: []json.RawMessage{json.RawMessage(c.row)}}
-		if got := (&instance{names: n}).load(f, 0); err != nil || got != c.want || f.err != nil || o.CountsPeriod != 2_000_000 || o.CountsSampleShare != 0.2 {
-			t.Errorf("%s %s: %+v, expected %+v (%v, %v); counts every %d", c.report, c.row, got, c.want, err, f.err, o.CountsPeriod)
+		config, names, err := facts.DecodeConfig([]byte(`{"report":`+c.report+`,"family_info":{"metrics_period_ns":2000000000,"sampled_share":0.2}}`), map[string]logic.ZoneID{})
+		f := &fieldReader{values: []json.RawMessage{json.RawMessage(c.row)}}
+		if got := (&instance{names: names}).decodeLoad(f, 0); err != nil || got != c.want || f.err != nil || config.CountsPeriod != 2_000_000 || config.CountsSampleShare != 0.2 {
+			t.Errorf("%s %s: %+v, expected %+v (%v, %v); counts every %d", c.report, c.row, got, c.want, err, f.err, config.CountsPeriod)
 		}
 	}
 }
 
 // A panic of the module is told with the instance's number, and is not swallowed: a sentry that is not there panics.
-func TestPanicIsTold(t *testing.T) {
+func TestPanicIsReported(t *testing.T) {
 	var out bytes.Buffer
-	l := &link{out: bufio.NewWriter(&out), instances: map[int64]*instance{7: {number: 7, names: &facts.Names{}}}}
+	s := &session{out: bufio.NewWriter(&out), instances: map[int64]*instance{7: {id: 7, names: &facts.Names{}}}}
 	for _, line := range []string{`["left",7,"t/1"]`, `["your_turn"]`} {
-		if err := l.line([]byte(line)); err != nil {
+		if err := s.handleLine([]byte(line)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/measure/bare.go
+++ b/internal/measure/bare.go
@@ -21,20 +21,20 @@
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	go http.ListenAndServe(metrics, mux)
-	_, err := wire.Serve(listen, wire.DefaultLimits, func(in *wire.Link) (wire.Handler, func(*wire.Link, error)) {
+	_, err := wire.Serve(listen, wire.DefaultLimits, func(client *wire.Link) (wire.Handler, func(*wire.Link, error)) {
 		var mu sync.Mutex
-		var out []*wire.Link
-		chance := rand.New(rand.NewSource(time.Now().UnixNano())) // wall clock: a seed
-		go func() {                                               // dialling on the poller would wait for itself
+		var workerLinks []*wire.Link
+		rng := rand.New(rand.NewSource(time.Now().UnixNano())) // wall clock: a seed
+		go func() {                                            // dialling on the poller would wait for itself
 			for _, w := range workers {
-				l, err := wire.Dial(w, time.Second, wire.DefaultLimits, func(_ *wire.Link, kind wire.Kind, body []byte) error {
-					in.PutEncoded(kind, body)
-					in.Flush()
+				link, err := wire.Dial(w, time.Second, wire.DefaultLimits, func(_ *wire.Link, kind wire.Kind, body []byte) error {
+					client.PutEncoded(kind, body)
+					client.Flush()
 					return nil
 				}, nil)
 				if err == nil {
 					mu.Lock()
-					out = append(out, l)
+					workerLinks = append(workerLinks, link)
 					mu.Unlock()
 				}
 			}
@@ -45,18 +45,18 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				if len(out) == 0 {
+				if len(workerLinks) == 0 {
 					return nil
 				}
-				l := out[chance.Intn(len(out))]
-				l.PutEncoded(kind, body)
-				l.Flush()
+				link := workerLinks[rng.Intn(len(workerLinks))]
+				link.PutEncoded(kind, body)
+				link.Flush()
 				return nil
 			}, func(*wire.Link, error) {
 				mu.Lock()
 				defer mu.Unlock()
-				for _, l := range out {
-					l.Close(wire.ErrClosed)
+				for _, link := range workerLinks {
+					link.Close(wire.ErrClosed)
 				}
 			}
 	})
--- a/internal/measure/match.go
+++ b/internal/measure/match.go
@@ -33,7 +33,7 @@
 	Matched, Mismatched         int     // transactions that a route took, and those on which the three do not agree
 }
 
-const words = `
+const schemaTemplate = `
 set "depot" {
   members = [%s]
 }
@@ -78,32 +78,32 @@
 }
 `
 
-const depots = 200
+const depotCount = 200
 
 // routesText is n routes, as a large operator might have them: by depot, kind, size and temperature.
-func routesText(n int) string {
+func routesSource(routeCount int) string {
 	var b strings.Builder
-	names := make([]string, depots)
+	names := make([]string, depotCount)
 	for i := range names {
 		names[i] = fmt.Sprintf("%q", fmt.Sprint("s", i))
 	}
-	fmt.Fprintf(&b, words, strings.Join(names, ", "))
-	for i := range n {
+	fmt.Fprintf(&b, schemaTemplate, strings.Join(names, ", "))
+	for i := range routeCount {
 		fmt.Fprintf(&b, "route \"r%d\" {\n  when    = \"%s\"\n  key     = \"id\"\n  profile = \"reading\"\n}\n", i,
-			strings.ReplaceAll(condition(i, "depot.s%d", "celsius(%d)"), `"`, `'`))
+			strings.ReplaceAll(routeCondition(i, "depot.s%d", "celsius(%d)"), `"`, `'`))
 	}
 	return b.String()
 }
 
 // rest takes what no other route does.
-const rest = "route \"rest\" {\n  when    = \"true\"\n  key     = \"id\"\n  profile = \"reading\"\n}\n"
+const catchAllRoute = "route \"rest\" {\n  when    = \"true\"\n  key     = \"id\"\n  profile = \"reading\"\n}\n"
 
 // samples are bodies of attributes, all but the id.
-func samples(n int) (all [][]byte) {
-	chance := rand.New(rand.NewSource(1))
+func encodedSamples(routeCount int) (encoded [][]byte) {
+	rng := rand.New(rand.NewSource(1))
 	for range 64 {
-		_, values := sample(chance, n)
-		var b []byte
+		_, values := randomTransaction(rng, routeCount)
+		var attributes []byte
 		for _, name := range []string{"depot", "class", "kind", "size", "temp", "urgent", "age"} {
 			var v match.Carried
 			switch x := values[name].(type) {
@@ -118,21 +118,21 @@
 			case time.Duration:
 				v.Kind, v.Num = match.Span, x.Microseconds()
 			}
-			b = wire.AppendAttribute(b, name, &v)
+			attributes = wire.AppendAttribute(attributes, name, &v)
 		}
-		all = append(all, b)
+		encoded = append(encoded, attributes)
 	}
-	return all
+	return encoded
 }
 
-func condition(i int, depot, temp string) string {
-	return fmt.Sprintf("depot == "+depot+" && kind == \"k%d\" && size >= %d && temp < "+temp, i%depots, i/depots%25, i/5000*10, 5+i%7)
+func routeCondition(routeIndex int, depot, temp string) string {
+	return fmt.Sprintf("depot == "+depot+" && kind == \"k%d\" && size >= %d && temp < "+temp, routeIndex%depotCount, routeIndex/depotCount%25, routeIndex/5000*10, 5+routeIndex%7)
 }
 
 // sample is a transaction of eight attributes, for both evaluations.
-func sample(chance *rand.Rand, n int) ([]hclread.Pair, map[string]any) {
-	depot, kind := chance.Intn(min(n, depots)), chance.Intn(max(1, min(25, n/depots)))
-	size, temp := chance.Intn(20), chance.Intn(10)
+func randomTransaction(rng *rand.Rand, routeCount int) ([]hclread.Pair, map[string]any) {
+	depot, kind := rng.Intn(min(routeCount, depotCount)), rng.Intn(max(1, min(25, routeCount/depotCount)))
+	size, temp := rng.Intn(20), rng.Intn(10)
 	pair := func(name string, v any) hclread.Pair {
 		return hclread.Pair{Name: name, Values: []string{fmt.Sprint(v)}}
 	}
@@ -144,19 +144,19 @@
 
 // Match measures with n routes.
 func RunMatch(n int) (*MatchResult, error) {
-	text := []byte("profile \"reading\" {}\n" + routesText(n))
-	r := &MatchResult{RouteCount: n, LoadTime: time.Hour}
-	var book *routes.Book
+	source := []byte("profile \"reading\" {}\n" + routesSource(n))
+	result := &MatchResult{RouteCount: n, LoadTime: time.Hour}
+	var routeSet *routes.Book
 	for range 3 { // the best of three: the first has caches to fill
 		runtime.GC()
 		start := time.Now()
-		b, err := routes.Parse("routes.hcl", text)
+		parsed, err := routes.Parse("routes.hcl", source)
 		if err != nil {
 			return nil, err
 		}
-		book, r.LoadTime = b, min(r.LoadTime, time.Since(start))
+		routeSet, result.LoadTime = parsed, min(result.LoadTime, time.Since(start))
 	}
-	checker, err := match.NewChecker(book.Schema, book.Limit)
+	checker, err := match.NewChecker(routeSet.Schema, routeSet.Limit)
 	if err != nil {
 		return nil, err
 	}
@@ -166,77 +166,77 @@
 	if err != nil {
 		return nil, err
 	}
-	own, theirs := make([]*match.Predicate, n), make([]cel.Program, n)
+	predicates, programs := make([]*match.Predicate, n), make([]cel.Program, n)
 	for i := range n {
-		if own[i], err = checker.Predicate(book.Table.Routes[i].When); err != nil {
+		if predicates[i], err = checker.Predicate(routeSet.Table.Routes[i].When); err != nil {
 			return nil, err
 		}
-		tree, issues := env.Compile(condition(i, `"s%d"`, "%d.0"))
+		ast, issues := env.Compile(routeCondition(i, `"s%d"`, "%d.0"))
 		if issues.Err() != nil {
 			return nil, issues.Err()
 		}
-		if theirs[i], err = env.Program(tree); err != nil {
+		if programs[i], err = env.Program(ast); err != nil {
 			return nil, err
 		}
 	}
-	chance := rand.New(rand.NewSource(1))
-	records, maps := make([]*match.Record, 64), make([]map[string]any, 64)
+	rng := rand.New(rand.NewSource(1))
+	records, attributeMaps := make([]*match.Record, 64), make([]map[string]any, 64)
 	for i := range records {
-		pairs, m := sample(chance, n)
-		records[i], _ = book.Record(pairs)
-		maps[i] = m
+		pairs, attributes := randomTransaction(rng, n)
+		records[i], _ = routeSet.Record(pairs)
+		attributeMaps[i] = attributes
 	}
-	scan := func(r *match.Record) int {
-		return slices.IndexFunc(own, func(p *match.Predicate) bool { return p.Holds(r) })
+	scan := func(result *match.Record) int {
+		return slices.IndexFunc(predicates, func(p *match.Predicate) bool { return p.Holds(result) })
 	}
-	celScan := func(m map[string]any) int {
-		return slices.IndexFunc(theirs, func(p cel.Program) bool { v, _, err := p.Eval(m); return err == nil && v.Value() == true })
+	scanCEL := func(attributes map[string]any) int {
+		return slices.IndexFunc(programs, func(p cel.Program) bool { v, _, err := p.Eval(attributes); return err == nil && v.Value() == true })
 	}
-	hit := -1
+	lastMatched := -1
 	for i := range records {
-		a, b, c := book.Table.First(records[i]), scan(records[i]), celScan(maps[i])
-		if a != b || b != c {
-			r.Mismatched++
+		byIndex, byScan, byCEL := routeSet.Table.First(records[i]), scan(records[i]), scanCEL(attributeMaps[i])
+		if byIndex != byScan || byScan != byCEL {
+			result.Mismatched++
 		}
-		if a >= 0 {
-			r.Matched++
-			hit = i
+		if byIndex >= 0 {
+			result.Matched++
+			lastMatched = i
 		}
 	}
-	r.IndexNs, r.IndexAllocs = timed(func(i int) { book.Table.First(records[i%64]) })
-	r.ScanNs, _ = timed(func(i int) { scan(records[i%64]) })
-	r.CELNs, r.CELAllocs = timed(func(i int) { celScan(maps[i%64]) })
-	if hit >= 0 {
-		at := scan(records[hit])
-		r.PredicateNs, _ = timed(func(int) { own[at].Holds(records[hit]) })
-		r.CELPredicateNs, _ = timed(func(int) { _, _, _ = theirs[at].Eval(maps[hit]) })
+	result.IndexNs, result.IndexAllocs = timeCall(func(i int) { routeSet.Table.First(records[i%64]) })
+	result.ScanNs, _ = timeCall(func(i int) { scan(records[i%64]) })
+	result.CELNs, result.CELAllocs = timeCall(func(i int) { scanCEL(attributeMaps[i%64]) })
+	if lastMatched >= 0 {
+		route := scan(records[lastMatched])
+		result.PredicateNs, _ = timeCall(func(int) { predicates[route].Holds(records[lastMatched]) })
+		result.CELPredicateNs, _ = timeCall(func(int) { _, _, _ = programs[route].Eval(attributeMaps[lastMatched]) })
 	}
-	return r, nil
+	return result, nil
 }
 
 // timed is what a call takes in nanoseconds, the best of five runs of 20 ms at least, and its allocations.
-func timed(f func(i int)) (ns, allocs float64) {
-	n := 1
-	for start := time.Now(); time.Since(start) < 20*time.Millisecond; n++ {
-		f(n)
+func timeCall(call func(i int)) (ns, allocs float64) {
+	calls := 1
+	for start := time.Now(); time.Since(start) < 20*time.Millisecond; calls++ {
+		call(calls)
 	}
 	ns = math.Inf(1)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range 5 {
 		start := time.Now()
-		for i := range n {
-			f(i)
+		for i := range calls {
+			call(i)
 		}
-		ns = min(ns, float64(time.Since(start).Nanoseconds())/float64(n))
+		ns = min(ns, float64(time.Since(start).Nanoseconds())/float64(calls))
 	}
 	runtime.ReadMemStats(&after)
-	return ns, float64(after.Mallocs-before.Mallocs) / float64(5*n)
+	return ns, float64(after.Mallocs-before.Mallocs) / float64(5*calls)
 }
 
 // PrintMatch writes readings as a table.
-func PrintMatchResults(w io.Writer, rs []*MatchResult) {
-	for _, r := range rs {
+func PrintMatchResults(w io.Writer, results []*MatchResult) {
+	for _, r := range results {
 		fmt.Fprintf(w, "%6d routes: load %v; index %.0f ns (%.1f allocations), each in turn %.0f ns, cel-go in turn %.0f ns (%.0f allocations); "+
 			"one expression %.0f ns, cel-go %.0f ns (%.1f times); %d of 64 matched, %d different\n", r.RouteCount,
 			r.LoadTime.Round(100*time.Microsecond), r.IndexNs, r.IndexAllocs, r.ScanNs, r.CELNs, r.CELAllocs, r.PredicateNs, r.CELPredicateNs, r.CELPredicateNs/r.PredicateNs,
@@ -245,7 +245,7 @@
 }
 
 // PlotMatch draws cost over number of routes.
-func PlotMatchResults(file string, rs []*MatchResult) error {
+func PlotMatchResults(file string, results []*MatchResult) error {
 	p := plot.New()
 	p.Title.Text = "Finding the route of a transaction of eight attributes"
 	p.X.Label.Text, p.Y.Label.Text = "routes", "microseconds"
@@ -258,8 +258,8 @@
 		of   func(*MatchResult) float64
 	}{{"index", func(r *MatchResult) float64 { return r.IndexNs }}, {"each in turn", func(r *MatchResult) float64 { return r.ScanNs }},
 		{"each in turn, evaluated by cel-go", func(r *MatchResult) float64 { return r.CELNs }}} {
-		points := make(plotter.XYs, len(rs))
-		for j, r := range rs {
+		points := make(plotter.XYs, len(results))
+		for j, r := range results {
 			points[j].X, points[j].Y = float64(r.RouteCount), line.of(r)/1e3
 		}
 		l, dots, err := plotter.NewLinePoints(points)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -55,39 +55,39 @@
 }
 
 // workers answers at once whatever it is asked, as a worker of a sentry or as one behind the relay.
-func workers(n int) (servers []*wire.Server, err error) {
+func startWorkers(n int) (servers []*wire.Server, err error) {
 	for range n {
-		s, err := wire.Serve("127.0.0.1:0", wire.DefaultLimits, func(*wire.Link) (wire.Handler, func(*wire.Link, error)) {
+		server, err := wire.Serve("127.0.0.1:0", wire.DefaultLimits, func(*wire.Link) (wire.Handler, func(*wire.Link, error)) {
 			var work wire.Work
-			var ask wire.Ask
-			return func(l *wire.Link, kind wire.Kind, body []byte) error {
+			var request wire.Ask
+			return func(link *wire.Link, kind wire.Kind, body []byte) error {
 				switch kind {
 				case wire.KindHello:
-					l.PutProto(wire.KindWelcome, &pb.Welcome{Version: wire.ProtocolVersion})
+					link.PutProto(wire.KindWelcome, &pb.Welcome{Version: wire.ProtocolVersion})
 				case wire.KindWork:
 					if err := work.Read(body); err != nil {
 						return err
 					}
-					l.Put(wire.KindDone, &wire.Done{ID: work.ID, Payload: work.Payload, InFlight: 1})
+					link.Put(wire.KindDone, &wire.Done{ID: work.ID, Payload: work.Payload, InFlight: 1})
 				case wire.KindAsk:
-					if err := ask.Read(body); err != nil {
+					if err := request.Read(body); err != nil {
 						return err
 					}
-					l.Put(wire.KindAnswer, &wire.Answer{ID: ask.ID, Payload: ask.Payload})
+					link.Put(wire.KindAnswer, &wire.Answer{ID: request.ID, Payload: request.Payload})
 				}
-				l.Flush()
+				link.Flush()
 				return nil
 			}, nil
 		})
 		if err != nil {
 			return nil, err
 		}
-		servers = append(servers, s)
+		servers = append(servers, server)
 	}
 	return servers, nil
 }
 
-const orders = `
+const settingsTemplate = `
 sentry {
   position = 0
   zone     = "z"
@@ -141,64 +141,64 @@
 `
 
 // still is a fleet that does not move.
-type still struct{}
+type staticFleet struct{}
 
-func (still) RollOut(logic.BuildID, float64) bool { return true }
-func (still) DrainEarlierBuilds(logic.BuildID)    {}
-func (still) DrainBuild(logic.BuildID)            {}
+func (staticFleet) RollOut(logic.BuildID, float64) bool { return true }
+func (staticFleet) DrainEarlierBuilds(logic.BuildID)    {}
+func (staticFleet) DrainBuild(logic.BuildID)            {}
 
 // Sentry measures a sentry, Relay the bare relay.
-func RunSentry(p Options) (*Result, error) {
-	servers, err := workers(p.Workers)
+func RunSentry(o Options) (*Result, error) {
+	servers, err := startWorkers(o.Workers)
 	if err != nil {
 		return nil, err
 	}
-	defer closeAll(servers)
-	stage := standin.NewEnvironment(&logic.Config{StageCaps: []float64{1}, StageShares: []float64{1}, VotesPerSecond: 10,
+	defer closeServers(servers)
+	environment := standin.NewEnvironment(&logic.Config{StageCaps: []float64{1}, StageShares: []float64{1}, VotesPerSecond: 10,
 		RollBackVotes: 1}, []string{"z"}, 1)
-	list, desk := standin.NewDiscovery(stage), standin.NewControlPlane(stage, still{}, 10)
-	if err := list.Start(); err != nil {
+	discovery, controlPlane := standin.NewDiscovery(environment), standin.NewControlPlane(environment, staticFleet{}, 10)
+	if err := discovery.Start(); err != nil {
 		return nil, err
 	}
-	defer list.Stop()
-	if err := desk.Start(); err != nil {
+	defer discovery.Stop()
+	if err := controlPlane.Start(); err != nil {
 		return nil, err
 	}
-	defer desk.Stop()
+	defer controlPlane.Stop()
 	var lines []*pb.Line
-	for i, s := range servers {
-		lines = append(lines, &pb.Line{Id: fmt.Sprint("w", i), Address: s.Address, Build: 10, Zone: "z", Size: 1, Life: 1})
+	for i, server := range servers {
+		lines = append(lines, &pb.Line{Id: fmt.Sprint("w", i), Address: server.Address, Build: 10, Zone: "z", Size: 1, Life: 1})
 	}
-	list.ReportLines(lines, 0)
-	listen, metrics, err := addresses()
+	discovery.ReportLines(lines, 0)
+	listen, metrics, err := freeAddresses()
 	if err != nil {
 		return nil, err
 	}
-	file := filepath.Join(p.Dir, "measured.hcl")
-	text := fmt.Sprintf(orders, listen, metrics, filepath.Join(p.Dir, "measured.list"), list.Address, desk.Address)
+	file := filepath.Join(o.Dir, "measured.hcl")
+	settings := fmt.Sprintf(settingsTemplate, listen, metrics, filepath.Join(o.Dir, "measured.list"), discovery.Address, controlPlane.Address)
 	name := "sentry"
-	if p.RouteCount > 0 {
+	if o.RouteCount > 0 {
 		name = "routed"
-		text += routesText(p.RouteCount) + rest
+		settings += routesSource(o.RouteCount) + catchAllRoute
 	}
-	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+	if err := os.WriteFile(file, []byte(settings), 0o644); err != nil {
 		return nil, err
 	}
 	args := []string{"sentry", "--config", file, "--level", "warn"}
-	if p.CPUProfile != "" {
-		args = append(args, "--profile", p.CPUProfile)
+	if o.CPUProfile != "" {
+		args = append(args, "--profile", o.CPUProfile)
 	}
-	return p.run(name, listen, metrics, args)
+	return o.run(name, listen, metrics, args)
 }
 
 // Relay measures the bare relay.
-func RunRelay(p Options) (*Result, error) {
-	servers, err := workers(p.Workers)
+func RunRelay(o Options) (*Result, error) {
+	servers, err := startWorkers(o.Workers)
 	if err != nil {
 		return nil, err
 	}
-	defer closeAll(servers)
-	listen, metrics, err := addresses()
+	defer closeServers(servers)
+	listen, metrics, err := freeAddresses()
 	if err != nil {
 		return nil, err
 	}
@@ -206,28 +206,28 @@
 	for _, s := range servers {
 		args = append(args, "--worker", s.Address)
 	}
-	return p.run("relay", listen, metrics, args)
+	return o.run("relay", listen, metrics, args)
 }
 
 // addresses are where what is measured listens and serves its metrics.
-func addresses() (listen, metrics string, err error) {
+func freeAddresses() (listen, metrics string, err error) {
 	if listen, err = standin.FreeAddress(); err == nil {
 		metrics, err = standin.FreeAddress()
 	}
 	return listen, metrics, err
 }
 
-func closeAll(servers []*wire.Server) {
+func closeServers(servers []*wire.Server) {
 	for _, s := range servers {
 		s.Close()
 	}
 }
 
 // run starts what is measured, loads it, and reads what it used.
-func (p Options) run(what, listen, metrics string, args []string) (*Result, error) {
-	cmd := exec.Command(p.Program[0], append(append([]string(nil), p.Program[1:]...), args...)...)
+func (o Options) run(name, listen, metrics string, args []string) (*Result, error) {
+	cmd := exec.Command(o.Program[0], append(append([]string(nil), o.Program[1:]...), args...)...)
 	cmd.Stderr = os.Stderr
-	cmd.Env = append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(p.MaxProcs))
+	cmd.Env = append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(o.MaxProcs))
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -240,207 +240,207 @@
 		}
 	}
 	defer stop()
-	r := &Result{Name: what, Connections: p.Connections}
-	d := &driver{p: p}
-	if p.RouteCount > 0 {
-		d.samples = samples(p.RouteCount)
+	result := &Result{Name: name, Connections: o.Connections}
+	p := &clientPool{options: o}
+	if o.RouteCount > 0 {
+		p.attributeSamples = encodedSamples(o.RouteCount)
 	}
-	for try := 0; ; try++ {
-		link, err := wire.Dial(listen, time.Second, wire.DefaultLimits, d.answered(nil), nil)
+	for attempt := 0; ; attempt++ {
+		link, err := wire.Dial(listen, time.Second, wire.DefaultLimits, p.answerHandler(nil), nil)
 		if err == nil {
 			link.Close(wire.ErrClosed)
 			break
 		}
-		if try > 200 {
-			return nil, fmt.Errorf("%s does not listen: %w", what, err)
+		if attempt > 200 {
+			return nil, fmt.Errorf("%s does not listen: %w", name, err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	time.Sleep(300 * time.Millisecond) // the list comes
-	r.ResidentBytesAtStart = resident(cmd.Process.Pid)
-	if err := d.connect(listen); err != nil {
+	result.ResidentBytesAtStart = residentBytes(cmd.Process.Pid)
+	if err := p.connect(listen); err != nil {
 		return nil, err
 	}
-	defer d.close()
-	d.load(500 * time.Millisecond) // warm
-	d.reset()
-	before, _ := counters(metrics)
+	defer p.close()
+	p.generateLoad(500 * time.Millisecond) // warm
+	p.reset()
+	before, _ := readCounters(metrics)
 	cpu := cpuTime(cmd.Process.Pid)
-	took := d.load(p.Duration)
+	elapsed := p.generateLoad(o.Duration)
 	cpu = cpuTime(cmd.Process.Pid) - cpu
-	after, err := counters(metrics)
+	after, err := readCounters(metrics)
 	if err != nil {
 		return nil, err
 	}
-	r.Completed = int(d.done.Load())
-	r.ResidentBytes = resident(cmd.Process.Pid)
-	n := float64(max(1, r.Completed))
-	r.PerSecond, r.PerCPUSecond = n/took.Seconds(), n/max(cpu.Seconds(), 1e-9)
-	r.AllocsEach = (after["go_memstats_mallocs_total"] - before["go_memstats_mallocs_total"]) / n
-	r.BytesEach = (after["go_memstats_alloc_bytes_total"] - before["go_memstats_alloc_bytes_total"]) / n
-	r.SatisfiedShare = float64(d.satisfied.Load()) / n
-	d.mu.Lock()
-	at := func(q float64) time.Duration { return time.Duration(d.times.ValueAtQuantile(q)) * time.Microsecond }
-	r.P50, r.P99, r.P999 = at(50), at(99), at(99.9)
-	d.mu.Unlock()
-	return r, nil
+	result.Completed = int(p.completed.Load())
+	result.ResidentBytes = residentBytes(cmd.Process.Pid)
+	n := float64(max(1, result.Completed))
+	result.PerSecond, result.PerCPUSecond = n/elapsed.Seconds(), n/max(cpu.Seconds(), 1e-9)
+	result.AllocsEach = (after["go_memstats_mallocs_total"] - before["go_memstats_mallocs_total"]) / n
+	result.BytesEach = (after["go_memstats_alloc_bytes_total"] - before["go_memstats_alloc_bytes_total"]) / n
+	result.SatisfiedShare = float64(p.satisfied.Load()) / n
+	p.mu.Lock()
+	quantile := func(q float64) time.Duration { return time.Duration(p.latency.ValueAtQuantile(q)) * time.Microsecond }
+	result.P50, result.P99, result.P999 = quantile(50), quantile(99), quantile(99.9)
+	p.mu.Unlock()
+	return result, nil
 }
 
 // driver is the clients.
-type driver struct {
-	p         Options
-	links     []*caller
-	done      atomic.Int64
-	satisfied atomic.Int64
-	running   atomic.Bool
-	samples   [][]byte // attributes but for the id, nil if transactions say what they are
-	mu        sync.Mutex
-	times     *hdrhistogram.Histogram
+type clientPool struct {
+	options          Options
+	clients          []*client
+	completed        atomic.Int64
+	satisfied        atomic.Int64
+	running          atomic.Bool
+	attributeSamples [][]byte // attributes but for the id, nil if transactions say what they are
+	mu               sync.Mutex
+	latency          *hdrhistogram.Histogram
 }
 
-type caller struct {
-	d    *driver
-	link *wire.Link
-	mu   sync.Mutex
-	id   uint64
-	sent map[uint64]time.Time
+type client struct {
+	pool   *clientPool
+	link   *wire.Link
+	mu     sync.Mutex
+	lastID uint64
+	sentAt map[uint64]time.Time
 
-	key, carried []byte
+	keyBuffer, attributesBuffer []byte
 }
 
-var payload = []byte("a reading of 64 bytes, as a gateway of a truck would send it.....")
+var requestPayload = []byte("a reading of 64 bytes, as a gateway of a truck would send it.....")
 
-func (c *caller) ask() {
+func (c *client) putRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.id++
-	c.sent[c.id] = time.Now()
-	c.key = strconv.AppendUint(c.key[:0], c.id*0x9e3779b97f4a7c15, 16)
-	m := &wire.Ask{ID: c.id, Timeout: 4_000_000, Payload: payload}
-	if samples := c.d.samples; samples == nil {
-		m.Key = c.key
+	c.lastID++
+	c.sentAt[c.lastID] = time.Now()
+	c.keyBuffer = strconv.AppendUint(c.keyBuffer[:0], c.lastID*0x9e3779b97f4a7c15, 16)
+	message := &wire.Ask{ID: c.lastID, Timeout: 4_000_000, Payload: requestPayload}
+	if samples := c.pool.attributeSamples; samples == nil {
+		message.Key = c.keyBuffer
 	} else {
-		c.carried = wire.AppendAttribute(append(c.carried[:0], samples[c.id%uint64(len(samples))]...), "id",
-			&match.Carried{Kind: match.Text, Text: string(c.key)})
-		m.Attributes = c.carried
+		c.attributesBuffer = wire.AppendAttribute(append(c.attributesBuffer[:0], samples[c.lastID%uint64(len(samples))]...), "id",
+			&match.Carried{Kind: match.Text, Text: string(c.keyBuffer)})
+		message.Attributes = c.attributesBuffer
 	}
-	c.link.Put(wire.KindAsk, m)
+	c.link.Put(wire.KindAsk, message)
 }
 
-func (d *driver) answered(c *caller) wire.Handler {
+func (p *clientPool) answerHandler(c *client) wire.Handler {
 	return func(_ *wire.Link, kind wire.Kind, body []byte) error {
-		var m wire.Answer
+		var answer wire.Answer
 		if kind != wire.KindAnswer || c == nil {
 			return nil
 		}
-		if err := m.Read(body); err != nil {
+		if err := answer.Read(body); err != nil {
 			return err
 		}
 		c.mu.Lock()
-		took := time.Since(c.sent[m.ID])
-		delete(c.sent, m.ID)
+		latency := time.Since(c.sentAt[answer.ID])
+		delete(c.sentAt, answer.ID)
 		c.mu.Unlock()
-		d.done.Add(1)
-		if m.Outcome == uint32(pb.Outcome_SATISFIED) {
-			d.satisfied.Add(1)
+		p.completed.Add(1)
+		if answer.Outcome == uint32(pb.Outcome_SATISFIED) {
+			p.satisfied.Add(1)
 		}
-		d.mu.Lock()
-		_ = d.times.RecordValue(max(1, took.Microseconds()))
-		d.mu.Unlock()
-		if d.p.Rate == 0 && d.running.Load() {
-			c.ask()
+		p.mu.Lock()
+		_ = p.latency.RecordValue(max(1, latency.Microseconds()))
+		p.mu.Unlock()
+		if p.options.Rate == 0 && p.running.Load() {
+			c.putRequest()
 			c.link.Flush()
 		}
 		return nil
 	}
 }
 
-func (d *driver) connect(address string) error {
-	d.reset()
-	for range d.p.Connections {
-		c := &caller{d: d, sent: map[uint64]time.Time{}}
-		link, err := wire.Dial(address, 5*time.Second, wire.DefaultLimits, d.answered(c), nil)
+func (p *clientPool) connect(address string) error {
+	p.reset()
+	for range p.options.Connections {
+		c := &client{pool: p, sentAt: map[uint64]time.Time{}}
+		link, err := wire.Dial(address, 5*time.Second, wire.DefaultLimits, p.answerHandler(c), nil)
 		if err != nil {
-			return fmt.Errorf("client %d: %w", len(d.links), err)
+			return fmt.Errorf("client %d: %w", len(p.clients), err)
 		}
 		c.link = link
 		link.Send(wire.KindHello, &pb.Hello{Version: wire.ProtocolVersion})
-		d.links = append(d.links, c)
+		p.clients = append(p.clients, c)
 	}
 	return nil
 }
 
-func (d *driver) reset() {
-	d.done.Store(0)
-	d.satisfied.Store(0)
-	d.mu.Lock()
-	d.times = hdrhistogram.New(1, 60_000_000, 3)
-	d.mu.Unlock()
+func (p *clientPool) reset() {
+	p.completed.Store(0)
+	p.satisfied.Store(0)
+	p.mu.Lock()
+	p.latency = hdrhistogram.New(1, 60_000_000, 3)
+	p.mu.Unlock()
 }
 
 // load asks for a time and waits for what is out.
-func (d *driver) load(span time.Duration) time.Duration {
+func (p *clientPool) generateLoad(duration time.Duration) time.Duration {
 	start := time.Now()
-	d.running.Store(true)
-	if d.p.Rate == 0 {
-		for _, c := range d.links {
-			for range d.p.InFlightPerConnection {
-				c.ask()
+	p.running.Store(true)
+	if p.options.Rate == 0 {
+		for _, c := range p.clients {
+			for range p.options.InFlightPerConnection {
+				c.putRequest()
 			}
 			c.link.Flush()
 		}
-		time.Sleep(span)
+		time.Sleep(duration)
 	} else {
-		chance := rand.New(rand.NewSource(1))
-		for at := start; time.Since(start) < span; {
-			at = at.Add(time.Duration(chance.ExpFloat64() / d.p.Rate * float64(time.Second)))
-			if wait := time.Until(at); wait > 50*time.Microsecond {
+		rng := rand.New(rand.NewSource(1))
+		for next := start; time.Since(start) < duration; {
+			next = next.Add(time.Duration(rng.ExpFloat64() / p.options.Rate * float64(time.Second)))
+			if wait := time.Until(next); wait > 50*time.Microsecond {
 				time.Sleep(wait)
 			}
-			c := d.links[chance.Intn(len(d.links))]
-			c.ask()
+			c := p.clients[rng.Intn(len(p.clients))]
+			c.putRequest()
 			c.link.Flush()
 		}
 	}
-	d.running.Store(false)
-	took := time.Since(start)
+	p.running.Store(false)
+	elapsed := time.Since(start)
 	for range 500 {
-		out := 0
-		for _, c := range d.links {
+		unanswered := 0
+		for _, c := range p.clients {
 			c.mu.Lock()
-			out += len(c.sent)
+			unanswered += len(c.sentAt)
 			c.mu.Unlock()
 		}
-		if out == 0 {
+		if unanswered == 0 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return took
+	return elapsed
 }
 
-func (d *driver) close() {
-	for _, c := range d.links {
+func (p *clientPool) close() {
+	for _, c := range p.clients {
 		c.link.Close(wire.ErrClosed)
 	}
 }
 
 // counters reads the plain counters of a metrics page.
-func counters(address string) (map[string]float64, error) {
+func readCounters(address string) (map[string]float64, error) {
 	resp, err := http.Get("http://" + address + "/metrics")
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	found := map[string]float64{}
+	byName := map[string]float64{}
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		name, value, ok := strings.Cut(lines.Text(), " ")
 		if v, err := strconv.ParseFloat(value, 64); ok && err == nil {
-			found[name] = v
+			byName[name] = v
 		}
 	}
-	return found, lines.Err()
+	return byName, lines.Err()
 }
 
 // cpuTime is what a process has used, in ticks of 10 ms.
@@ -455,7 +455,7 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-func resident(pid int) int64 {
+func residentBytes(pid int) int64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
@@ -465,11 +465,11 @@
 }
 
 // Print writes readings as a table.
-func PrintResults(w io.Writer, rs ...*Result) {
-	for _, r := range rs {
+func PrintResults(w io.Writer, results ...*Result) {
+	for _, result := range results {
 		fmt.Fprintf(w, "%-7s %7d done, %8.0f a second, %8.0f for a second of one core, %5.1f allocations and %6.0f bytes each, "+
-			"p50 %v p99 %v p99.9 %v, %.2f%% satisfied, %.1f MB resident (%.1f before %d connections)\n", r.Name, r.Completed, r.PerSecond,
-			r.PerCPUSecond, r.AllocsEach, r.BytesEach, r.P50, r.P99, r.P999, 100*r.SatisfiedShare, float64(r.ResidentBytes)/1e6,
-			float64(r.ResidentBytesAtStart)/1e6, r.Connections)
+			"p50 %v p99 %v p99.9 %v, %.2f%% satisfied, %.1f MB resident (%.1f before %d connections)\n", result.Name, result.Completed, result.PerSecond,
+			result.PerCPUSecond, result.AllocsEach, result.BytesEach, result.P50, result.P99, result.P999, 100*result.SatisfiedShare, float64(result.ResidentBytes)/1e6,
+			float64(result.ResidentBytesAtStart)/1e6, result.Connections)
 	}
 }
