--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,12 @@
-# `make` builds; `make bad-day` plays the scripted bad day; `make test` runs the tests; `make proto` needs protoc.
+# `make` builds the commands, `make bad-day` runs the drill bad-day, `make test` runs the tests, and `make proto` generates the
+# protocol code (it needs protoc).
 .PHONY: build bad-day test proto bench
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
 bad-day: build
 	bin/scalechute drill drills/bad-day.hcl --out found/bad-day
-# SKIP is a pattern of tests to be passed over; CI sets it from KNOWN-RED.txt. The drills have the machine to themselves: what they audit is told by one clock, and a starved process is late.
+# SKIP is a pattern of tests to skip; CI sets it from KNOWN-RED.txt. The drills in cmd/scalechute run after all other tests, so
+# that they have the machine to themselves: a process that gets too little CPU time misses the deadlines that a drill audits.
 test:
 	go test -race -timeout 8m -count=1 $${SKIP:+"-skip=$$SKIP"} $$(go list ./... | grep -v /cmd/scalechute$$)
 	go test -race -timeout 8m -count=1 $${SKIP:+"-skip=$$SKIP"} ./cmd/scalechute
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,5 @@
-// Command benchlink lets the bench drive the decision module: it speaks the bench's wire on standard input and output.
+// Command benchlink lets the benchmark's simulator drive the decision module. It speaks the simulator's protocol on
+// standard input and output.
 package main
 
 import (
--- a/cmd/scalechute/discovery_outage_test.go
+++ b/cmd/scalechute/discovery_outage_test.go
@@ -14,15 +14,15 @@
 	"time"
 )
 
-// What the operators' pages state: a change of the list counts as told so long after discovery had it, whether or not it
-// arrived, and requests to the server must have ceased this much later.
+// Limits that the operators' pages set: a change of the list counts as known to the process maxNoticeDelay after discovery had
+// it, whether or not it arrived, and requests to a removed server must have stopped drainGrace after that.
 const (
 	maxNoticeDelay = 6 * time.Second
-	drainGrace     = 2 * time.Second // as platformSettings has it
+	drainGrace     = 2 * time.Second // drain_grace_ns of platformSettings
 )
 
-// standInDiscovery serves one list on a watch until it breaks off. From then on it is crowded: each call ends with 503,
-// after a wait for its turn.
+// fakeDiscovery serves one list on a watch until disconnect is closed, and then resets the connection. It answers each further
+// call with 503 after 300 ms, as an overloaded discovery does. Without a list it answers every call so.
 type fakeDiscovery struct {
 	address    string
 	calls      atomic.Int64
@@ -41,7 +41,7 @@
 			return
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+list+"\n")
-		for open := true; open; { // an empty line is a sign of life
+		for open := true; open; { // an empty line is a keep-alive
 			select {
 			case <-d.disconnect:
 				open = false
@@ -54,13 +54,14 @@
 	return d
 }
 
-// standInServer answers each request with its id, and counts those of which the id has a mark.
+// fakeServer answers each request with its id, and counts the requests whose id begins with latePrefix.
 type fakeServer struct {
 	address      string
 	lateRequests atomic.Int64
 	stop         func()
 }
 
+// latePrefix marks requests that a removed server must no longer get.
 const latePrefix = "late"
 
 func newFakeServer(t *testing.T, address string) *fakeServer {
@@ -82,7 +83,7 @@
 	return s
 }
 
-// listener serves connections until it is stopped; a stop resets them, as the end of a process does.
+// listener serves connections until it is stopped. A stop resets them, as the end of a process does.
 type listener struct {
 	address string
 	stop    func()
@@ -122,6 +123,7 @@
 	return listener{l.Addr().String(), stop}
 }
 
+// readCommand reads one command: an array of bulk strings.
 func readCommand(in *bufio.Reader) (arguments []string, err error) {
 	var n, size int
 	_, err = fmt.Fscanf(in, "*%d\r\n", &n)
@@ -135,7 +137,7 @@
 	return arguments, err
 }
 
-// ask sends one request and gives its answer's first line, empty if there is none.
+// sendRequest sends one request and returns the first line of its answer, empty if there is none.
 func sendRequest(c net.Conn, in *bufio.Reader, id string) string {
 	fmt.Fprintf(c, "*5\r\n$5\r\nQ.ASK\r\n$5\r\nkey-1\r\n$%d\r\n%s\r\n$12\r\nc=read,d=800\r\n$4\r\nbody\r\n", len(id), id)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -146,12 +148,13 @@
 	return line
 }
 
+// listJSON returns a discovery list with one server.
 func listJSON(address string, revision, build int) string {
 	return fmt.Sprintf(`{"rev":%d,"all":true,"targets":[{"uid":"s-1","endpoint":%q,"az":"here","pod_group":1,"state":"active",`+
 		`"capacity_hint":1,"boot_ms":0,"release":%d}]}`, revision, address, build)
 }
 
-// outage is one process beside a discovery that breaks off, and what a client sees of it.
+// outageTest is one process with a discovery that fails, and one client that counts the answers it gets.
 type outageTest struct {
 	t             *testing.T
 	discovery     *fakeDiscovery
@@ -161,6 +164,7 @@
 	answersByType map[string]int // by their first character
 }
 
+// newOutageTest starts a process whose discovery serves watchedList and whose configuration has cachedList.
 func newOutageTest(t *testing.T, watchedList, cachedList string) *outageTest {
 	listen := freeAddress(t)
 	discovery := newFakeDiscovery(t, watchedList)
@@ -179,7 +183,7 @@
 	return &outageTest{t: t, discovery: discovery, conn: conn, in: bufio.NewReader(conn), answersByType: map[string]int{}}
 }
 
-// askUntil sends requests one after another, 50 ms apart.
+// sendRequestsUntil sends one request after another, 50 ms after each answer.
 func (o *outageTest) sendRequestsUntil(end time.Time, idPrefix string) {
 	for time.Now().Before(end) {
 		o.sentRequests++
@@ -192,8 +196,9 @@
 	}
 }
 
-// Incident 1: a process that can't reach discovery has a list that grows old. A server leaves; later another build answers
-// under its id and address. Once the change counts as told and the drain grace is over, no request may go there.
+// TestRemovedServerAfterDiscoveryIsLost guards against requests to a removed server while discovery is unreachable and the list
+// is stale (incident 1). A server leaves, and another build later answers under its id and address. Once the change counts as
+// known and the drain grace is over, no request may go there.
 func TestRemovedServerAfterDiscoveryIsLost(t *testing.T) {
 	t.Parallel()
 	removed := newFakeServer(t, "127.0.0.1:0")
@@ -218,7 +223,7 @@
 	}
 }
 
-// The same for a process that starts with a remembered list and never reaches discovery.
+// TestRemovedServerAfterRestart checks the same for a process that starts with a cached list and never reaches discovery.
 func TestRemovedServerAfterRestart(t *testing.T) {
 	t.Parallel()
 	successor := newFakeServer(t, "127.0.0.1:0")
@@ -227,12 +232,12 @@
 	o.sendRequestsUntil(startedAt.Add(maxNoticeDelay+drainGrace), "early")
 	o.sendRequestsUntil(startedAt.Add(maxNoticeDelay+drainGrace+1500*time.Millisecond), latePrefix)
 	if n := successor.lateRequests.Load(); n > 0 {
-		t.Errorf("%d requests went by a remembered list that nothing has confirmed, expected none after %v", n, maxNoticeDelay+drainGrace)
+		t.Errorf("%d requests followed a cached list that discovery has not confirmed, expected none after %v", n, maxNoticeDelay+drainGrace)
 	}
 }
 
-// A server that goes on answering over a connection from before the outage has not left: requests go on to it, however
-// long discovery is away.
+// TestServerThatAnswersOutlivesDiscovery checks that requests continue to a server that still answers on a connection opened
+// before the outage, because it cannot have left. They continue for as long as discovery is unreachable.
 func TestServerThatAnswersOutlivesDiscovery(t *testing.T) {
 	t.Parallel()
 	server := newFakeServer(t, "127.0.0.1:0")
@@ -243,6 +248,6 @@
 	o.sendRequestsUntil(outageStart.Add(maxNoticeDelay+drainGrace), "early")
 	o.sendRequestsUntil(outageStart.Add(maxNoticeDelay+drainGrace+1500*time.Millisecond), latePrefix)
 	if server.lateRequests.Load() == 0 {
-		t.Errorf("answers %v, expected requests to go on to a server that answers", o.answersByType)
+		t.Errorf("answers %v, expected requests to continue to a server that still answers", o.answersByType)
 	}
 }
--- a/cmd/scalechute/drill.go
+++ b/cmd/scalechute/drill.go
@@ -12,12 +12,13 @@
 	"scalechute/internal/sentry"
 )
 
+// drillCommand returns the command that runs a drill and audits it.
 func drillCommand() *cobra.Command {
 	var outDir, faultName, dayFile string
 	var noBaseline bool
 	c := &cobra.Command{
 		Use:   "drill FILE [--out DIR] [--break RULE] [--from-day DAY]",
-		Short: "Play a scripted day of troubles on loopback and audit the five rules; exit 0 only if they hold",
+		Short: "Run a scripted drill with faults on loopback and audit the five rules; exit 0 only if all rules are kept",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if _, err := sentry.ParseBreach(faultName); err != nil {
@@ -55,7 +56,7 @@
 			results := []*drill.Result{result}
 			if day.Baseline && !noBaseline && faultName == "" {
 				options.Random, options.Dir = true, filepath.Join(outDir, "random")
-				options.Say("the same day with workers chosen at random:")
+				options.Say("the same drill with workers chosen at random:")
 				baseline, err := drill.Run(day, options)
 				if err != nil {
 					return err
@@ -64,17 +65,17 @@
 			}
 			drill.Print(c.OutOrStdout(), results...)
 			if !result.Good() {
-				return errors.New("the rules do not hold")
+				return errors.New("the rules are not kept")
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&outDir, "out", "", "directory for reports, the sentries' orders and logs")
-	c.Flags().StringVar(&faultName, "break", "", "have the first sentry break a rule: answer, effect, drain, cold or exposure")
-	c.Flags().StringVar(&dayFile, "from-day", "", "take the troubles of a day file of the bench, at this drill's size")
-	c.Flags().BoolVar(&noBaseline, "no-baseline", false, "leave out the baseline, whatever the file says")
+	c.Flags().StringVar(&outDir, "out", "", "directory for reports and the sentries' settings and logs; a temporary one if empty")
+	c.Flags().StringVar(&faultName, "break", "", "have the first sentry break a rule on purpose: answer, effect, drain, cold or exposure")
+	c.Flags().StringVar(&dayFile, "from-day", "", "take the faults and releases of a day file of the benchmark, scaled to this drill")
+	c.Flags().BoolVar(&noBaseline, "no-baseline", false, "skip the baseline run even if the file requests it")
 	return c
 }
 
-// program is what runs this program again; a test puts itself there.
-var selfCommand = func(self string) []string { return []string{self} }
+// selfCommand returns the command line that runs this program again. Tests may replace it.
+var selfCommand = func(executable string) []string { return []string{executable} }
--- a/cmd/scalechute/drill_test.go
+++ b/cmd/scalechute/drill_test.go
@@ -15,7 +15,8 @@
 	"scalechute/internal/sentry"
 )
 
-// The test binary stands in for the program: the drills' sentries are processes of it.
+// TestMain runs the program itself if SCALECHUTE_COMMAND is set, so that tests can start sentries as processes of the test
+// binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("SCALECHUTE_COMMAND") != "" {
 		main()
@@ -25,11 +26,13 @@
 	os.Exit(m.Run())
 }
 
+// runDrill runs a drill in a temporary directory, with a fault in the first sentry if one is named.
 func runDrill(t *testing.T, day *drill.Day, faultName string) *drill.Result {
 	t.Helper()
 	return runDrillIn(t, t.TempDir(), day, faultName)
 }
 
+// runDrillIn runs a drill in a directory. If it cannot run, it logs the sentries' logs.
 func runDrillIn(t *testing.T, dir string, day *drill.Day, faultName string) *drill.Result {
 	t.Helper()
 	executable, err := os.Executable()
@@ -48,6 +51,7 @@
 	return r
 }
 
+// loadDay reads a file of the folder drills, with pairs of old and new text replaced in it.
 func loadDay(t *testing.T, name string, replacements ...string) *drill.Day {
 	t.Helper()
 	name = "../../drills/" + name
@@ -68,16 +72,17 @@
 	return b.String()
 }
 
-// A short day with a kill, a stop of 3 s, a roll, a crash, a cut and routes loaded anew, of transactions that carry
-// attributes only: every account is closed, every rule kept, and each is judged as its client meant.
+// TestShortDay runs a short drill in which one sentry is killed, one is paused for 3 s, all restart in turn, workers crash, a
+// zone is cut off, and one sentry reloads its routes. Transactions carry attributes only. Every transaction must be accounted
+// for, every rule kept, and each transaction must be routed as its client intended.
 func TestShortDay(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	r := runDrillIn(t, dir, loadDay(t, "short-day.hcl"), "")
-	log, err := os.ReadFile(filepath.Join(dir, "sentry-2.log")) // whose file was rewritten, each other time badly
+	log, err := os.ReadFile(filepath.Join(dir, "sentry-2.log")) // whose settings file is rewritten, every second time with an error
 	for _, message := range []string{"orders loaded", "orders refused, the old ones stay", "block route has 0 labels"} {
 		if n := strings.Count(string(log), message); err != nil || n < 3 {
-			t.Errorf("%q is %d times in the log, expected more: %v", message, n, err)
+			t.Errorf("the log has %q %d times, expected at least 3: %v", message, n, err)
 		}
 	}
 	if !r.Good() {
@@ -85,18 +90,18 @@
 	}
 	finding := r.Finding
 	if finding.Asked < 500 || finding.Answered < finding.Asked/2 || r.Trial == 0 || r.Restarted < 6 {
-		t.Errorf("too little happened for this to say anything:\n%s", formatResult(r))
+		t.Errorf("too few transactions, answers, hand-offs to the trial or restarts for a valid test:\n%s", formatResult(r))
 	}
 }
 
-// Each rule broken on purpose is found, and no other.
+// TestBreaches checks that the audit reports the rule that a sentry breaks on purpose, and no other rule.
 func TestBreaches(t *testing.T) {
 	for i, name := range sentry.BreachNames {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := runDrill(t, loadDay(t, "breach.hcl"), name)
 			if name == "cold" && r.Fallen == 0 {
-				t.Errorf("no worker was pushed over\n%s", formatResult(r))
+				t.Errorf("no worker was overloaded\n%s", formatResult(r))
 			}
 			if !slices.Equal(r.Rules, []int{i + 1}) {
 				t.Errorf("rules %v broken, expected %d\n%s", r.Rules, i+1, formatResult(r))
@@ -105,11 +110,11 @@
 	}
 }
 
-// Every kind of trouble that a day of the bench names has a form here and can be played.
+// TestTroublesOfADay checks that every kind of fault in a day file of the benchmark can be taken into a drill and run.
 func TestTroublesOfADay(t *testing.T) {
 	t.Parallel()
 	d := loadDay(t, "breach.hcl", `length   = "9s"`, `length = "7s"`)
-	kinds := drill.Kinds // a bad build among them: it is read off the releases
+	kinds := drill.Kinds // bad_build among them, which comes from the releases
 	var troubles []string
 	for i, kind := range kinds {
 		troubles = append(troubles, fmt.Sprintf(`{"kind":%q,"at":%d,"len":1500000,"which":1,"on":[1,2],"size":0.5}`,
@@ -122,7 +127,7 @@
 		t.Fatal(err)
 	}
 	if len(d.Troubles) != len(kinds)-1 || len(d.Releases) != 1 {
-		t.Fatalf("%d troubles and %d releases taken", len(d.Troubles), len(d.Releases))
+		t.Fatalf("took %d faults and %d releases, expected all", len(d.Troubles), len(d.Releases))
 	}
 	r := runDrill(t, d, "")
 	if !r.Good() {
@@ -130,11 +135,12 @@
 	}
 	for _, invalid := range []string{"", "{}", `{"length":1,"troubles":[{"kind":"flood"}]}`} {
 		if d.Take([]byte(invalid)) == nil {
-			t.Errorf("%q is taken for a day", invalid)
+			t.Errorf("%q is accepted as a day file", invalid)
 		}
 	}
 }
 
+// TestCommands checks the output and the errors of the commands.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	incomplete := filepath.Join(dir, "bad.hcl")
@@ -179,20 +185,20 @@
 		out, err string
 	}{
 		{[]string{"check", "--beside", "../../deploy/sentry.hcl", otherAddress},
-			`moved.hcl:6:3: listen: found 127.0.0.1:7999, expected 127.0.0.1:7400 as the sentry runs with`, "1 of 1 files have faults"},
+			`moved.hcl:6:3: listen: found 127.0.0.1:7999, expected 127.0.0.1:7400 as the sentry runs with`, "1 of 1 files have errors"},
 		{[]string{"check", "--beside", incomplete, otherAddress}, "", "no block deployment"},
 		{[]string{"check", "../../deploy/sentry.hcl"}, "good; sentry 0 of 2, 3 profiles", ""},
-		{[]string{"check", "../../deploy/sentry.hcl", incomplete}, "no block deployment, expected one", "1 of 2 files have faults"},
+		{[]string{"check", "../../deploy/sentry.hcl", incomplete}, "no block deployment, expected one", "1 of 2 files have errors"},
 		{[]string{"check", filepath.Join(dir, "none.hcl")}, "no such file", "1 of 1 files"},
-		{[]string{"match", "test", "../../docs/language.hcl", "../../deploy/sentry.hcl"}, "19 cases hold", ""},
-		{[]string{"match", "test", "../../drills/bad-day.hcl", "../../drills/short-day.hcl"}, "4 cases hold", ""},
+		{[]string{"match", "test", "../../docs/language.hcl", "../../deploy/sentry.hcl"}, "19 cases passed", ""},
+		{[]string{"match", "test", "../../drills/bad-day.hcl", "../../drills/short-day.hcl"}, "4 cases passed", ""},
 		{[]string{"match", "test", "../../drills/breach.hcl"}, "", "no attribute and no route, expected some"},
 		{[]string{"match", "test", failingCase}, `case "moved": found route through, expected moved: kind == kind.b does not hold: kind is kind.a`,
-			"1 faults in 1 cases"},
-		{[]string{"match", "check", "../../docs/language.hcl", failingCase, incomplete}, "route moved is never reached", "1 of 3 files have faults"},
+			"1 failures in 1 cases"},
+		{[]string{"match", "check", "../../docs/language.hcl", failingCase, incomplete}, "route moved is never reached", "1 of 3 files have errors"},
 		{[]string{"match", "check", failingCase}, "good; 1 attributes, 0 named expressions, 2 routes, 1 cases", ""},
 		{[]string{"match", "eval", "../../deploy/sentry.hcl", "--with", "depot=kingston", "--with", "truck=t", "--with", "temp=3 kelvin"},
-			"left missing: temp: found a figure in \"kelvin\", expected a unit of temperature\nroute the rest (../../deploy/sentry.hcl:134): profile reading, account none, key \"t\"\n  not handovers", ""},
+			"treated as missing: temp: found a figure in \"kelvin\", expected a unit of temperature\nroute the rest (../../deploy/sentry.hcl:134): profile reading, account none, key \"t\"\n  not handovers", ""},
 		{[]string{"match", "eval", "../../deploy/sentry.hcl", "--with", "truck=t"}, "not taken: depot must be there and is missing", ""},
 		{[]string{"match", "eval", failingCase, "--with", "kind"}, "", `with: found "kind", expected name=value`},
 		{[]string{"match", "explain", failingCase}, "kind  by equal  in 2 routes", ""},
@@ -220,7 +226,7 @@
 	}
 }
 
-// A hangup, another content and another file in its place are noticed, each once; a file that is away is not a change.
+// TestWatch checks that a hangup, a changed file and a replaced file each cause one call, and that a missing file causes none.
 func TestWatch(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "f")
 	write := func(name, text string) {
@@ -244,7 +250,7 @@
 		t.Helper()
 		select {
 		case text := <-changes:
-			t.Errorf("after %s: a change to %q", after, text)
+			t.Errorf("after %s: got a change to %q, expected none", after, text)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -256,14 +262,14 @@
 				t.Errorf("found %q, expected %q", got, text)
 			}
 		case <-time.After(5 * time.Second):
-			t.Errorf("nothing in 5 s, expected %q", text)
+			t.Errorf("no change in 5 s, expected %q", text)
 		}
 	}
 	expectNoChange("the start")
 	hangups <- syscall.SIGHUP
 	expectChange("one")
 	expectNoChange("a hangup")
-	write(included+".new", "another") // in one step: the watch looks every millisecond, and would see a file half written
+	write(included+".new", "another") // by a rename, because the watch checks every millisecond and would see a partly written file
 	if err := os.Rename(included+".new", included); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/scalechute/main.go
+++ b/cmd/scalechute/main.go
@@ -1,5 +1,5 @@
-// Command scalechute is the release controller: the sentry that routes transactions between builds, and the tools
-// around it.
+// Command scalechute is the release controller. It runs a sentry, which routes transactions between builds, and has tools to
+// check settings, routes and release plans, to run drills and soak tests, and to measure a sentry.
 package main
 
 import (
@@ -26,6 +26,7 @@
 	}
 }
 
+// root returns the command with all subcommands.
 func root() *cobra.Command {
 	c := &cobra.Command{
 		Use:           "scalechute",
@@ -37,13 +38,14 @@
 	return c
 }
 
+// sentryCommand returns the command that runs one sentry.
 func sentryCommand() *cobra.Command {
 	var configFile, levelName, faultName, profileFile string
 	var random, onPlatform bool
 	var pollInterval time.Duration
 	c := &cobra.Command{
 		Use:   "sentry --config FILE | --platform",
-		Short: "Run one sentry until SIGTERM; it then takes nothing new and answers all it holds",
+		Short: "Run one sentry; on SIGTERM it refuses new transactions, answers the open ones and exits",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if onPlatform {
@@ -68,7 +70,7 @@
 			log := zerolog.New(os.Stderr).Level(level).With().Timestamp().
 				Int("sentry", int(settings.Policy.Position)).Logger()
 			if breach != sentry.NoBreach {
-				log.Warn().Str("rule", faultName).Msg("this sentry breaks a rule on purpose")
+				log.Warn().Str("rule", faultName).Msg("fault injection: this sentry breaks a rule on purpose")
 			}
 			if profileFile != "" {
 				f, err := os.Create(profileFile)
@@ -86,7 +88,7 @@
 			signal.Notify(hangups, syscall.SIGHUP)
 			options := sentry.Options{Log: log, Breach: breach}
 			if random {
-				log.Warn().Msg("workers are chosen at random, as a baseline")
+				log.Warn().Msg("choosing workers at random, as a baseline")
 				options.Decide = baseline.NewRandom(settings.Policy, settings.Endpoints.Seed).Apply
 			}
 			s, err := sentry.Start(settings, options)
@@ -109,21 +111,21 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&configFile, "config", "", "the sentry's orders (HCL)")
-	c.Flags().StringVar(&levelName, "level", "info", "least level of what is logged")
+	c.Flags().StringVar(&configFile, "config", "", "the sentry's settings file (HCL)")
+	c.Flags().StringVar(&levelName, "level", "info", "minimum level of log lines: debug, info, warn or error")
 	c.Flags().StringVar(&faultName, "break", "", "break a rule on purpose: answer, effect, drain, cold or exposure; with --platform close, skip or swap")
-	c.Flags().StringVar(&profileFile, "profile", "", "write a processor profile to this file until the end")
-	c.Flags().DurationVar(&pollInterval, "watch", time.Second, "how often the file is looked at for new orders; 0: at SIGHUP only")
-	c.Flags().BoolVar(&onPlatform, "platform", false, "serve on the operators' platform, as its environment says")
-	c.Flags().BoolVar(&random, "random", false, "choose workers at random, as a baseline for drills")
+	c.Flags().StringVar(&profileFile, "profile", "", "write a CPU profile of the whole run to this file")
+	c.Flags().DurationVar(&pollInterval, "watch", time.Second, "interval at which the settings files are checked for changes; 0: only at SIGHUP")
+	c.Flags().BoolVar(&onPlatform, "platform", false, "run on the operators' platform, with the configuration that EDGE_CONFIG names")
+	c.Flags().BoolVar(&random, "random", false, "choose workers at random, as the baseline of drills")
 	_ = c.Flags().MarkHidden("break")
 	_ = c.Flags().MarkHidden("random")
 	return c
 }
 
-// watch calls back at each hangup and when one of some files is another one or has changed, until done; what it gets is the
-// files to watch from then on. A file that is away for the moment, as between two steps of its replacement, counts as
-// unchanged.
+// watchFiles calls onChange at each hangup and whenever one of the files has changed or has been replaced, until done is closed.
+// It checks the files at the interval, or only at hangups if the interval is 0. onChange returns the files to watch from then
+// on. A file that does not exist at a check, as in the middle of its replacement, counts as unchanged.
 func watchFiles(files []string, interval time.Duration, hangups <-chan os.Signal, done <-chan struct{}, onChange func() []string) {
 	var ticks <-chan time.Time
 	if interval > 0 {
@@ -139,7 +141,8 @@
 				continue
 			}
 			previous := last[file]
-			changed = changed || previous != nil && !(os.SameFile(previous, current) && current.ModTime().Equal(previous.ModTime()) && current.Size() == previous.Size())
+			changed = changed || previous != nil &&
+				!(os.SameFile(previous, current) && current.ModTime().Equal(previous.ModTime()) && current.Size() == previous.Size())
 			last[file] = current
 		}
 		return changed
@@ -160,11 +163,12 @@
 	}
 }
 
+// checkCommand returns the command that checks settings files.
 func checkCommand() *cobra.Command {
 	runningFile := ""
 	c := &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check sentries' orders; each fault is a line with file, line and what was expected",
+		Short: "Check settings files of sentries; each error is one line with the file, the line and what was expected",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			faultyFiles := 0
@@ -192,11 +196,11 @@
 				}
 			}
 			if faultyFiles > 0 {
-				return fmt.Errorf("%d of %d files have faults", faultyFiles, len(files))
+				return fmt.Errorf("%d of %d files have errors", faultyFiles, len(files))
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&runningFile, "beside", "", "the orders that a sentry runs with: what it can't change over to is a fault too")
+	c.Flags().StringVar(&runningFile, "beside", "", "the settings file of a running sentry: a change that a reload cannot make is an error too")
 	return c
 }
--- a/cmd/scalechute/match.go
+++ b/cmd/scalechute/match.go
@@ -12,21 +12,21 @@
 	"scalechute/internal/routes"
 )
 
-// matchCommand is what an operator tries routes with. docs/routes.md tells how.
+// matchCommand returns the commands with which an operator tries routes. docs/routes.md describes them.
 func matchCommand() *cobra.Command {
-	c := &cobra.Command{Use: "match", Short: "Check, try, explain and test the routes of a sentry's file"}
+	c := &cobra.Command{Use: "match", Short: "Check, evaluate, explain and test the routes of a settings file"}
 	load := func(name string) (*routes.Book, error) {
 		return routes.Load(name, append(append([]string{"sentry"}, orders.SharedBlocks...), drill.Blocks...)...)
 	}
 	check := &cobra.Command{
-		Use: "check FILE...", Short: "Check routes; each fault is a line with file, line, column, what was found and what fits",
+		Use: "check FILE...", Short: "Check routes; each error is one line with the file, line, column, what was found and what was expected",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			failures := 0
+			faultyFiles := 0
 			for _, name := range files {
 				routeSet, err := load(name)
 				if err != nil {
-					failures++
+					faultyFiles++
 					fmt.Fprintln(c.ErrOrStderr(), err)
 					continue
 				}
@@ -36,22 +36,22 @@
 				fmt.Fprintf(c.OutOrStdout(), "%s: good; %d attributes, %d named expressions, %d routes, %d cases\n", name,
 					len(routeSet.Schema.Attributes), len(routeSet.Definitions), len(routeSet.Table.Routes), len(routeSet.Cases))
 			}
-			if failures > 0 {
-				return fmt.Errorf("%d of %d files have faults", failures, len(files))
+			if faultyFiles > 0 {
+				return fmt.Errorf("%d of %d files have errors", faultyFiles, len(files))
 			}
 			return nil
 		},
 	}
 	var assignments []string
 	var all bool
-	limitUnlessAll := func(note int) int {
+	limitUnlessAll := func(limit int) int {
 		if all {
 			return -1
 		}
-		return note
+		return limit
 	}
 	eval := &cobra.Command{
-		Use: "eval FILE --with NAME=VALUE...", Short: "Say which route takes a transaction, and why earlier ones do not",
+		Use: "eval FILE --with NAME=VALUE...", Short: "Print the route that a transaction matches, and why it does not match earlier ones",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			routeSet, err := load(args[0])
@@ -68,16 +68,16 @@
 			}
 			record, mismatches := routeSet.Record(pairs)
 			for _, mismatch := range mismatches {
-				fmt.Fprintf(c.OutOrStdout(), "left missing: %v\n", mismatch.Err)
+				fmt.Fprintf(c.OutOrStdout(), "treated as missing: %v\n", mismatch.Err)
 			}
 			routeSet.Tell(c.OutOrStdout(), record, limitUnlessAll(20))
 			return nil
 		},
 	}
-	eval.Flags().StringArrayVar(&assignments, "with", nil, "an attribute, as temp='8 celsius'; elements of a list with commas between")
-	eval.Flags().BoolVar(&all, "all", false, "tell of all earlier routes")
+	eval.Flags().StringArrayVar(&assignments, "with", nil, "an attribute, such as temp='8 celsius'; the elements of a list are separated by commas")
+	eval.Flags().BoolVar(&all, "all", false, "print all earlier routes")
 	explain := &cobra.Command{
-		Use: "explain FILE", Short: "Say what routes cost at the most and how the index finds them", Args: cobra.ExactArgs(1),
+		Use: "explain FILE", Short: "Print the maximum cost of the routes and how the index finds them", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			routeSet, err := load(args[0])
 			if err != nil {
@@ -89,7 +89,7 @@
 	}
 	explain.Flags().BoolVar(&all, "all", false, "list all routes")
 	test := &cobra.Command{
-		Use: "test FILE...", Short: "Try the cases that are kept in the files", Args: cobra.MinimumNArgs(1),
+		Use: "test FILE...", Short: "Run the test cases in the files", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			cases, failures := 0, 0
 			for _, name := range files {
@@ -98,7 +98,7 @@
 					return err
 				}
 				if len(routeSet.Cases) == 0 {
-					return fmt.Errorf("%s: found no case, expected one at least", name)
+					return fmt.Errorf("%s: found no case, expected at least one", name)
 				}
 				failed := routeSet.Test()
 				for _, f := range failed {
@@ -107,9 +107,9 @@
 				cases, failures = cases+len(routeSet.Cases), failures+len(failed)
 			}
 			if failures > 0 {
-				return fmt.Errorf("%d faults in %d cases", failures, cases)
+				return fmt.Errorf("%d failures in %d cases", failures, cases)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d cases hold\n", cases)
+			fmt.Fprintf(c.OutOrStdout(), "%d cases passed\n", cases)
 			return nil
 		},
 	}
--- a/cmd/scalechute/measure.go
+++ b/cmd/scalechute/measure.go
@@ -12,11 +12,12 @@
 	"scalechute/internal/measure"
 )
 
-// measureCommand compares a sentry with a bare relay. docs/sentry.md has the figures and says how they were taken.
+// measureCommand returns the commands that compare a sentry with a bare relay. docs/sentry.md has the results and describes
+// how they were measured.
 func measureCommand() *cobra.Command {
-	c := &cobra.Command{Use: "measure", Short: "Measure a sentry beside a bare relay on this machine"}
+	c := &cobra.Command{Use: "measure", Short: "Measure a sentry against a bare relay on this machine"}
 	options := measure.Options{Workers: 32}
-	// prepared gives a measurement the program to run and a directory of its own.
+	// withEnvironment runs a measurement with the program's command line and a temporary directory.
 	withEnvironment := func(run func(io.Writer) error) func(*cobra.Command, []string) error {
 		return func(c *cobra.Command, _ []string) error {
 			executable, err := os.Executable()
@@ -33,7 +34,7 @@
 	}
 	rounds := 3
 	relay := &cobra.Command{
-		Use: "relay", Short: "Throughput, allocations and added latency, beside the relay, turn about", Args: cobra.NoArgs,
+		Use: "relay", Short: "Throughput, allocations and added latency against the relay, measured in alternation", Args: cobra.NoArgs,
 		RunE: withEnvironment(func(w io.Writer) error {
 			options.Connections, options.InFlightPerConnection = 16, 4
 			ratio, maxThroughput := 0.0, 0.0
@@ -49,9 +50,10 @@
 				}
 				options.CPUProfile = ""
 				measure.PrintResults(w, relayResult, sentryResult)
-				ratio, maxThroughput = ratio+sentryResult.PerSecond/relayResult.PerSecond/float64(rounds), max(maxThroughput, sentryResult.PerSecond)
+				ratio, maxThroughput = ratio+sentryResult.PerSecond/relayResult.PerSecond/float64(rounds),
+					max(maxThroughput, sentryResult.PerSecond)
 			}
-			fmt.Fprintf(w, "sentry to relay, as many as possible: %.2f\n", ratio)
+			fmt.Fprintf(w, "throughput of the sentry relative to the relay at full load: %.2f\n", ratio)
 			for range rounds {
 				options.Rate = maxThroughput / 2
 				relayResult, err := measure.RunRelay(options)
@@ -63,20 +65,21 @@
 					return err
 				}
 				measure.PrintResults(w, relayResult, sentryResult)
-				fmt.Fprintf(w, "added at half load: p50 %v, p99 %v\n", sentryResult.P50-relayResult.P50, sentryResult.P99-relayResult.P99)
+				fmt.Fprintf(w, "added latency at half load: p50 %v, p99 %v\n", sentryResult.P50-relayResult.P50, sentryResult.P99-relayResult.P99)
 			}
 			return nil
 		}),
 	}
-	relay.Flags().IntVar(&rounds, "rounds", 3, "how often each is measured")
-	relay.Flags().StringVar(&options.CPUProfile, "profile", "", "file for a processor profile of the first sentry")
+	relay.Flags().IntVar(&rounds, "rounds", 3, "number of measurements of each")
+	relay.Flags().StringVar(&options.CPUProfile, "profile", "", "file for a CPU profile of the first sentry")
 	var routeCount int
 	routes := &cobra.Command{
-		Use: "routes", Short: "What judging by routes costs a sentry, beside transactions that say what they are, turn about",
+		Use: "routes", Short: "Cost of matching transactions to routes against transactions that state their profile, measured in alternation",
 		Args: cobra.NoArgs,
 		RunE: withEnvironment(func(w io.Writer) error {
 			options.Connections, options.InFlightPerConnection, options.Rate = 16, 4, 0
-			// beside is one measurement without routes and one with, the second in parts of the first.
+			// comparePair measures once without routes and once with them. It returns the second as a part of the first, and the
+			// throughput without routes.
 			comparePair := func() (throughput, perCPUSecond, maxThroughput float64, err error) {
 				options.RouteCount = 0
 				unrouted, err := measure.RunSentry(options)
@@ -98,27 +101,29 @@
 					if err != nil {
 						return 0, err
 					}
-					throughputs, perCPUSeconds, maxThroughput = append(throughputs, throughput), append(perCPUSeconds, perCPUSecond), max(maxThroughput, throughputOfPair)
+					throughputs, perCPUSeconds, maxThroughput = append(throughputs, throughput),
+						append(perCPUSeconds, perCPUSecond), max(maxThroughput, throughputOfPair)
 				}
 				slices.Sort(throughputs)
 				slices.Sort(perCPUSeconds)
 				n := len(throughputs)
-				fmt.Fprintf(w, "%s, %d routes to none: throughput %.3f (%.3f to %.3f), for a second of one core %.3f (%.3f to %.3f); median and range\n",
-					load, routeCount, throughputs[n/2], throughputs[0], throughputs[n-1], perCPUSeconds[n/2], perCPUSeconds[0], perCPUSeconds[n-1])
+				fmt.Fprintf(w, "%s, %d routes relative to none: throughput %.3f (%.3f to %.3f), per CPU second %.3f (%.3f to %.3f); median and range\n",
+					load, routeCount, throughputs[n/2], throughputs[0], throughputs[n-1],
+					perCPUSeconds[n/2], perCPUSeconds[0], perCPUSeconds[n-1])
 				return maxThroughput, nil
 			}
-			maxThroughput, err := compareSeries("as many as possible")
+			maxThroughput, err := compareSeries("full load")
 			if err != nil {
 				return err
 			}
-			options.Rate = maxThroughput / 2 // what frames cost then does not depend on how many are written at once
-			_, err = compareSeries("half of that")
+			options.Rate = maxThroughput / 2 // at a fixed rate, the cost of a frame does not depend on how many are written together
+			_, err = compareSeries("half load")
 			return err
 		}),
 	}
-	routes.Flags().IntVar(&rounds, "rounds", 5, "how often each is measured")
-	routes.Flags().IntVar(&routeCount, "routes", 100, "routes")
-	routes.Flags().StringVar(&options.CPUProfile, "profile", "", "file for a processor profile of the last sentry")
+	routes.Flags().IntVar(&rounds, "rounds", 5, "number of measurements of each")
+	routes.Flags().IntVar(&routeCount, "routes", 100, "number of routes")
+	routes.Flags().StringVar(&options.CPUProfile, "profile", "", "file for a CPU profile of the last sentry")
 	crowd := &cobra.Command{
 		Use: "crowd", Short: "One sentry with many client connections", Args: cobra.NoArgs,
 		RunE: withEnvironment(func(w io.Writer) error {
@@ -131,29 +136,29 @@
 		}),
 	}
 	crowd.Flags().IntVar(&options.Connections, "clients", 10_000, "client connections")
-	crowd.Flags().Float64Var(&options.Rate, "rate", 2_000, "transactions a second")
+	crowd.Flags().Float64Var(&options.Rate, "rate", 2_000, "transactions per second")
 	c.PersistentFlags().DurationVar(&options.Duration, "for", 4*time.Second, "length of each measurement")
-	c.PersistentFlags().IntVar(&options.MaxProcs, "procs", 2, "GOMAXPROCS of what is measured")
+	c.PersistentFlags().IntVar(&options.MaxProcs, "procs", 2, "GOMAXPROCS of the measured process")
 	var listen, metrics string
 	var workers []string
 	bare := &cobra.Command{
-		Use: "bare", Short: "The bare relay itself", Hidden: true, Args: cobra.NoArgs,
+		Use: "bare", Short: "Run the bare relay", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return measure.ServeRelay(listen, metrics, workers) },
 	}
-	bare.Flags().StringVar(&listen, "listen", "", "address")
-	bare.Flags().StringVar(&metrics, "metrics", "", "address")
+	bare.Flags().StringVar(&listen, "listen", "", "address for clients")
+	bare.Flags().StringVar(&metrics, "metrics", "", "address of the metrics page")
 	bare.Flags().StringArrayVar(&workers, "worker", nil, "address of a worker")
 	var plotFile string
 	match := &cobra.Command{
-		Use: "match", Short: "Finding a transaction's route, beside trying each and beside cel-go's evaluation", Args: cobra.NoArgs,
+		Use: "match", Short: "Time to find a transaction's route by the index, by linear search and by linear search with cel-go", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var results []*measure.MatchResult
 			for _, n := range []int{1, 3, 10, 30, 100, 300, 1000, 3000, 10_000} {
-				relayResult, err := measure.RunMatch(n)
+				result, err := measure.RunMatch(n)
 				if err != nil {
 					return err
 				}
-				results = append(results, relayResult)
+				results = append(results, result)
 			}
 			measure.PrintMatchResults(c.OutOrStdout(), results)
 			if plotFile == "" {
@@ -162,7 +167,7 @@
 			return measure.PlotMatchResults(plotFile, results)
 		},
 	}
-	match.Flags().StringVar(&plotFile, "svg", "", "file for a plot of cost over number of routes")
+	match.Flags().StringVar(&plotFile, "svg", "", "file for a plot of the cost over the number of routes")
 	c.AddCommand(relay, crowd, routes, match, bare)
 	return c
 }
--- a/cmd/scalechute/platform.go
+++ b/cmd/scalechute/platform.go
@@ -16,16 +16,17 @@
 	"scalechute/internal/sentry"
 )
 
-// servePlatform runs one sentry as the platform's environment says, until SIGTERM and what is owed then. Metrics, the file
-// of the last list and watched files are off: the platform has no room for them.
+// servePlatform runs one sentry on the platform, with the configuration that EDGE_CONFIG names. After SIGTERM it drains and
+// returns. The metrics page, the file of the cached list and the watch on the configuration file are off, because the
+// platform makes no provision for them.
 func servePlatform(levelName, faultName string) error {
-	// Before all else: one that comes while the sentry starts is taken once it stands.
+	// Signals are registered first, so that one that arrives during the start is handled once the sentry runs.
 	signals, hangups := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(hangups, syscall.SIGHUP)
 	file := os.Getenv("EDGE_CONFIG")
 	if file == "" {
-		return errors.New("EDGE_CONFIG: found nothing, expected the name of the configuration's file")
+		return errors.New("EDGE_CONFIG: found nothing, expected the name of the configuration file")
 	}
 	config, err := platform.ReadConfig(file)
 	if err != nil {
@@ -35,7 +36,7 @@
 	if err != nil {
 		return fmt.Errorf("level: found %q, expected debug, info, warn or error", levelName)
 	}
-	runtime.GOMAXPROCS(1 + int(math.Ceil(config.Cores))) // one waits for sockets
+	runtime.GOMAXPROCS(1 + int(math.Ceil(config.Cores))) // one more for the goroutine that waits for sockets
 	debug.SetMemoryLimit(config.MemoryMB << 20 * 6 / 10)
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
 	log := zerolog.New(os.Stderr).Level(level).With().Timestamp().Str("sentry", config.Name).Logger()
@@ -49,7 +50,7 @@
 	}
 	transport.InjectFault(fault)
 	if fault != platform.NoFault {
-		log.Warn().Str("promise", faultName).Msg("this sentry breaks a promise on purpose")
+		log.Warn().Str("promise", faultName).Msg("fault injection: this sentry violates a guarantee on purpose")
 	}
 	s, err := sentry.Start(config.Settings, sentry.Options{Log: log, Transport: transport, CachedList: config.InitialList})
 	if err != nil {
@@ -60,7 +61,7 @@
 		case <-s.Done():
 			return nil
 		case <-signals:
-			log.Info().Msg("asked to stop")
+			log.Info().Msg("received a signal to stop; draining")
 			transport.Drain()
 		case <-hangups:
 			updated, err := platform.ReadConfig(file)
@@ -68,10 +69,10 @@
 				err = transport.Reload(updated)
 			}
 			if err != nil {
-				log.Error().Err(err).Msg("configuration refused, the old one stays")
+				log.Error().Err(err).Msg("configuration rejected; keeping the current one")
 				continue
 			}
-			log.Info().Msg("configuration taken")
+			log.Info().Msg("configuration reloaded")
 		}
 	}
 }
--- a/cmd/scalechute/soak.go
+++ b/cmd/scalechute/soak.go
@@ -13,6 +13,7 @@
 	"scalechute/internal/soak"
 )
 
+// soakCommand returns the command that runs soak tests.
 func soakCommand() *cobra.Command {
 	var seed uint64
 	var runs, pipelineDepth, clients, answerBytes int
@@ -21,7 +22,7 @@
 	var showLog bool
 	c := &cobra.Command{
 		Use:   "soak --seed N --runs N",
-		Short: "Play the real process under SIGHUP, SIGTERM and SIGKILL, a line a run; exit 0 only if no request is lost",
+		Short: "Run the real process under SIGHUP, SIGTERM and SIGKILL and print one line per run; exit 0 only if every guarantee holds",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if _, err := platform.ParseFault(faultName); err != nil {
@@ -57,18 +58,18 @@
 				}
 			}
 			if failedRuns > 0 {
-				return errors.New(fmt.Sprint(failedRuns, " of ", runs, " runs broke a promise"))
+				return errors.New(fmt.Sprint(failedRuns, " of ", runs, " runs violated a guarantee"))
 			}
 			return nil
 		},
 	}
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the first run; each further run has the next")
-	c.Flags().IntVar(&runs, "runs", 1, "how many runs")
-	c.Flags().IntVar(&pipelineDepth, "open", 0, "requests open on each connection, in place of what the seed draws")
-	c.Flags().IntVar(&clients, "clients", 20, "clients, with --open")
-	c.Flags().IntVar(&answerBytes, "answer", 64, "bytes of an answer, with --open")
-	c.Flags().DurationVar(&pause, "pause", 0, "pause before the next request at the most, with --open")
-	c.Flags().StringVar(&faultName, "break", "", "have the process break a promise: close, skip or swap")
-	c.Flags().BoolVar(&showLog, "log", false, "show the process's log")
+	c.Flags().IntVar(&runs, "runs", 1, "number of runs")
+	c.Flags().IntVar(&pipelineDepth, "open", 0, "open requests per connection, with fixed plans in place of random ones; 0: random plans")
+	c.Flags().IntVar(&clients, "clients", 20, "number of clients, with --open")
+	c.Flags().IntVar(&answerBytes, "answer", 64, "size of an answer in bytes, with --open")
+	c.Flags().DurationVar(&pause, "pause", 0, "maximum pause before the next request, with --open")
+	c.Flags().StringVar(&faultName, "break", "", "have the process violate a guarantee on purpose: close, skip or swap")
+	c.Flags().BoolVar(&showLog, "log", false, "print the log of the process")
 	return c
 }
--- a/cmd/scalechute/soak_test.go
+++ b/cmd/scalechute/soak_test.go
@@ -8,7 +8,7 @@
 	"scalechute/internal/soak"
 )
 
-// soaked plays a plan on this program, and fails the test if a promise was broken.
+// runSoak runs a plan on this program, and fails the test if a guarantee is violated.
 func runSoak(t *testing.T, plan *soak.Plan) {
 	t.Helper()
 	result, err := soak.Run(plan, soak.Options{Program: []string{os.Args[0]}})
@@ -17,18 +17,18 @@
 	}
 	t.Log(result)
 	if !result.Passed() {
-		t.Errorf("a promise was broken: %q", result.Examples)
+		t.Errorf("a guarantee was violated: %q", result.Examples)
 	}
 }
 
-// Clients that keep their pipelines full go on using their connections after SIGTERM for as long as these stay open, and
-// SIGKILL comes at the earliest time that the protocol allows. It must find nothing: every request has its answer, or was
-// not read and its client sees that.
+// TestPipelinesEndBeforeTheKill checks that the process has ended by the earliest time at which the protocol allows SIGKILL,
+// while clients with full pipelines use their connections for as long as these stay open. Every request must have its answer,
+// or must be unread in a way that its client sees.
 //
-// What happened: the kill found 9 to 18 of 20 connections with requests unanswered. Why: a connection was closed only at a
-// moment with nothing open or unread on it, and a client that sends the next request as soon as an answer comes gives no such
-// moment. The evidence: requests sent as late as 1.59 s after SIGTERM were read and sent to servers on connections made before
-// it; the process was still running when the kill was due; with one request open on a connection nothing was found.
+// It guards against a drain that closes a connection only when no request on it is open or unread. A client that sends its
+// next request at each answer never leaves such a moment. The process then read requests sent up to 1.59 s after SIGTERM and
+// was still running when the kill was due, which left unanswered requests on 9 to 18 of 20 connections. With one open request
+// per connection it left none.
 func TestPipelinesEndBeforeTheKill(t *testing.T) {
 	for _, c := range []struct {
 		open  int
@@ -38,7 +38,7 @@
 	}
 }
 
-// Runs drawn from fixed seeds, one in three with more clients than there may be connections.
+// TestSoak runs random plans of fixed seeds. One plan in three has more clients than the process may have connections.
 func TestSoak(t *testing.T) {
 	const first, runs = 1, 14
 	for seed := uint64(first); seed < first+runs; seed++ {
@@ -46,7 +46,7 @@
 	}
 }
 
-// Each promise that the process is made to break is named by the auditor as what it is.
+// TestSoakNamesEachBreak checks that the audit reports each injected fault as the outcome that it causes.
 func TestSoakNamesEachBreak(t *testing.T) {
 	for faultName, want := range map[string]soak.Outcome{"close": soak.Dropped, "skip": soak.Skipped, "swap": soak.Swapped} {
 		result, err := soak.Run(soak.FaultPlan(1, faultName), soak.Options{Program: []string{os.Args[0]}})
@@ -55,7 +55,7 @@
 		}
 		t.Log(result)
 		if result.Passed() || result.Requests[want] == 0 {
-			t.Errorf("break %s: %v, expected %v", faultName, result, want)
+			t.Errorf("--break %s: %v, expected %v", faultName, result, want)
 		}
 	}
 }
--- a/cmd/scalechute/syscall_fault_test.go
+++ b/cmd/scalechute/syscall_fault_test.go
@@ -13,15 +13,16 @@
 	"time"
 )
 
-// faultyRequests is how many requests each case of TestSystemCallFaults sends, each fourth over a connection of its own.
+// requestsPerCase is the number of requests in each case of TestSystemCallFaults. Every four share a new connection.
 const requestsPerCase = 60
 
-// System calls of the real program fail as Linux documents, once, in rows, one in a few: each request gets its one answer, the
-// process goes on, and once the faults are over it serves. strace puts the faults in; .ci/run installs it.
+// TestSystemCallFaults injects errors that Linux documents into the system calls of the real program: several in a row, or one
+// call in a few. Each request must get exactly one answer, and the process must go on and serve requests. strace injects the
+// errors; .ci/run installs it.
 func TestSystemCallFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		inject string
-		served int // answers from the server at the least
+		served int // minimum number of answers from the server
 	}{
 		"send: EINTR, one in three":           {"sendmsg:error=EINTR:when=3+3", requestsPerCase},
 		"send: EINTR in a row":                {"sendmsg:error=EINTR:when=20..60", requestsPerCase},
@@ -65,13 +66,14 @@
 			}
 			conn.Close()
 			if served < c.served {
-				t.Errorf("%d of %d requests served, expected %d at the least", served, requestsPerCase, c.served)
+				t.Errorf("%d of %d requests served, expected at least %d", served, requestsPerCase, c.served)
 			}
 		})
 	}
 }
 
-// dialTraced connects; a connection that is aborted before it is taken up is no fault of the process, and is made again.
+// dialTraced connects to the process. It retries a connection that is aborted before the process accepts it, because the
+// injected errors cause that.
 func dialTraced(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	for range 20 {
@@ -87,12 +89,12 @@
 		}
 		conn.Close()
 	}
-	t.Fatal("no connection is taken up")
+	t.Fatal("no connection is accepted")
 	return nil, nil
 }
 
-// tracedProcess starts the program under strace with a fault put into its system calls, beside a server and a discovery that
-// lists it, and gives its address once it answers.
+// startTraced starts the program under strace, which injects an error into its system calls, with one server and a discovery
+// that lists this server. It returns the program's address once the program answers.
 func startTraced(t *testing.T, injection string) string {
 	t.Helper()
 	server := newFakeServer(t, "127.0.0.1:0")
@@ -110,9 +112,9 @@
 	process := exec.Command("strace", "-f", "-o", os.DevNull, "-e", "trace="+systemCalls, "-e", "inject="+injection,
 		os.Args[0], "sentry", "--platform")
 	process.Env = append(os.Environ(), "EDGE_CONFIG="+configFile)
-	process.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // both end together
+	process.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // one process group, so that one kill ends both
 	if err := process.Start(); err != nil {
-		t.Fatal("strace, which this test needs: ", err)
+		t.Fatal("starting strace, which this test needs: ", err)
 	}
 	t.Cleanup(func() {
 		syscall.Kill(-process.Process.Pid, syscall.SIGKILL)
--- a/drills/bad-day.hcl
+++ b/drills/bad-day.hcl
@@ -1,6 +1,6 @@
-# A bad day in 24 s: 4 sentries and 16 workers in three zones, a bad build, a sentry killed with work out, workers that
-# crash, a zone cut off, and more. `scalechute drill drills/bad-day.hcl` plays it, then once more with workers chosen
-# at random, and audits the rules.
+# A drill of 24 s with many faults: 4 sentries and 16 workers in three zones, a bad build, a sentry killed with open
+# transactions, workers that crash, a zone that is cut off, slow workers, a paused sentry and reloads. `scalechute drill
+# drills/bad-day.hcl` runs it, runs it again with workers chosen at random, and audits the rules in both runs.
 
 include = ["routes.hcl"]
 
--- a/drills/breach.hcl
+++ b/drills/breach.hcl
@@ -1,6 +1,6 @@
-# Ten seconds in which each rule can be broken: machines of the earlier build drain, one of them starts anew and is
-# cold, and a good build stays on trial. `scalechute drill drills/breach.hcl --break RULE` has the first sentry break
-# that rule on purpose; the auditor must name it and no other.
+# A drill of about ten seconds in which each rule can be broken: workers of the earlier build drain, one of them crashes and
+# restarts cold, and a good build stays on trial. `scalechute drill drills/breach.hcl --break RULE` has the first sentry
+# break that rule on purpose. The audit must report that rule and no other.
 
 drill {
   length   = "9s"
--- a/drills/routes.hcl
+++ b/drills/routes.hcl
@@ -1,4 +1,5 @@
-# The routes of the drills whose transactions carry attributes only, and make of them what their clients mean.
+# The routes of the drills whose transactions carry only attributes. They map each transaction to the profile, account and key
+# that its client intends.
 
 set "kind" {
   members = ["reading", "excursion", "handover"]
--- a/drills/short-day.hcl
+++ b/drills/short-day.hcl
@@ -1,5 +1,5 @@
-# Ten seconds for CI: a sentry killed with work out, one stopped for 3 s, all restarted in turn, workers that crash, a
-# zone cut off, a bad build.
+# A drill of 10 s for CI: a sentry killed with open transactions, one paused for 3 s, all restarted in turn, workers that
+# crash, a zone that is cut off, a bad build and reloads.
 
 include = ["routes.hcl"]
 
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -1,4 +1,4 @@
-// Package baseline holds policies that the decision module is compared with. No product path uses them.
+// Package baseline holds simple routing policies that drills compare the decision module with. They are not for production.
 package baseline
 
 import (
@@ -8,8 +8,9 @@
 	"scalechute/logic"
 )
 
-// Random hands each transaction to a random ready worker, whatever its build, and what may run again to another one
-// after a failure. It keeps the rule on effects and answers in time; it knows nothing of caps, warmth or load.
+// Random hands each transaction to a random ready worker of any build. If the hand-off fails and the transaction may run
+// again, it hands it to another random worker. It sends no transaction twice that must not run twice, and answers each by its
+// deadline. It ignores the caps on trial builds, the warm-up of workers and their load.
 type Random struct {
 	config       logic.Config
 	rng          *rand.Rand
@@ -18,6 +19,7 @@
 	transactions map[logic.TransactionID]*transaction
 }
 
+// transaction is the state of an open transaction.
 type transaction struct {
 	profile      logic.ProfileID
 	deadline     logic.Micros
@@ -26,13 +28,13 @@
 	mayHaveRun   bool
 }
 
-// NewRandom makes one.
+// NewRandom returns a Random with the configuration and seed of a sentry.
 func NewRandom(config logic.Config, seed int64) *Random {
 	return &Random{config: config, rng: rand.New(rand.NewSource(seed)), isReady: map[logic.WorkerID]bool{},
 		transactions: map[logic.TransactionID]*transaction{}}
 }
 
-// Apply takes an input as the module does.
+// Apply handles one input and returns the resulting actions, in place of the decision module.
 func (r *Random) Apply(in *input.Input) (result logic.Result) {
 	switch in.Kind {
 	case input.ListReceived:
@@ -72,6 +74,7 @@
 	return result
 }
 
+// updateWorkers updates the ready workers from a received list.
 func (r *Random) updateWorkers(in *input.Input) {
 	if in.ListKind != logic.ListDelta {
 		r.ready, r.isReady = nil, map[logic.WorkerID]bool{}
@@ -93,6 +96,7 @@
 	}
 }
 
+// handOff hands a transaction to a random ready worker, or finishes it if there is none.
 func (r *Random) handOff(id logic.TransactionID, t *transaction, result *logic.Result) {
 	if len(r.ready) == 0 {
 		r.finish(id, t, result)
@@ -104,6 +108,7 @@
 		Worker: r.ready[r.rng.Intn(len(r.ready))]})
 }
 
+// finish gives a transaction its final answer: deferred if a retry is harmless, otherwise written off.
 func (r *Random) finish(id logic.TransactionID, t *transaction, result *logic.Result) {
 	kind := logic.WriteOff
 	if !t.mayHaveRun || r.config.Profiles[t.profile].Repeatability == logic.Idempotent {
--- a/internal/benchwire/wire.go
+++ b/internal/benchwire/wire.go
@@ -1,5 +1,6 @@
-// Package benchwire turns the bench's wire into calls of the decision module and the module's results back into the
-// wire. It decides nothing.
+// Package benchwire is the adapter between the benchmark's simulator and the decision module (package logic). It reads
+// the simulator's events, one JSON array per line, makes the matching calls of the module, and writes the results as
+// actions in the same format. It makes no decisions.
 package benchwire
 
 import (
@@ -15,24 +16,26 @@
 	"scalechute/logic"
 )
 
-// instance is one sentry of the bench with what the wire needs beside it.
+// instance is one simulated sentry, with the state that the protocol needs for it.
 type instance struct {
 	id             int64
 	sentry         *logic.Sentry
 	names          *facts.Names
-	pendingWakeUps []logic.Micros // outstanding wake-ups, the earliest last
+	pendingWakeUps []logic.Micros // requested wake-ups that are still due, the earliest last
 }
 
+// session is the state of one conversation with the simulator.
 type session struct {
 	out         *bufio.Writer
 	now         logic.Micros
-	remainderNs int64 // nanoseconds of the clock beyond whole microseconds
+	remainderNs int64 // part of the simulator's clock below one microsecond, in nanoseconds
 	instances   map[int64]*instance
-	lists       map[int64][]logic.Worker // decoded once for all instances
+	lists       map[int64][]logic.Worker // by census number; each is decoded once and shared by all instances
 	zones       map[string]logic.ZoneID
 }
 
-// Serve answers batches until the input ends.
+// Serve reads events from in and writes actions to out until the input ends. It flushes the output at the end of each
+// batch. It returns an error if a line is malformed.
 func Serve(in io.Reader, out io.Writer) error {
 	s := &session{
 		out:       bufio.NewWriterSize(out, 1<<16),
@@ -57,13 +60,15 @@
 	}
 }
 
-// fields are the values of one message. The first wrong one is kept in err.
+// fieldReader decodes the values of one message by their index. It keeps the first error in err and then decodes no more.
 type fieldReader struct {
 	kind   string
 	values []json.RawMessage
 	err    error
 }
 
+// decode decodes the value at index i. A value that is null or beyond the end leaves target unchanged, and is an error
+// if it is required.
 func (f *fieldReader) decode(i int, target any, required bool) {
 	if f.err != nil {
 		return
@@ -86,6 +91,7 @@
 func (f *fieldReader) requiredString(i int) (v string) { f.decode(i, &v, true); return v }
 func (f *fieldReader) micros(i int) logic.Micros       { return facts.ToMicros(f.integer(i)) }
 
+// handleLine handles one message.
 func (s *session) handleLine(line []byte) error {
 	var values []json.RawMessage
 	if err := json.Unmarshal(line, &values); err != nil {
@@ -117,12 +123,14 @@
 	return f.err
 }
 
+// requireInteger records an error unless the value at index i is present and an integer.
 func (f *fieldReader) requireInteger(i int) {
 	var v int64
 	f.decode(i, &v, true)
 }
 
-// event hands one event to its instance and writes what comes back. A panic of the module ends the day by name.
+// handleEvent passes one event to its instance and writes the result. If the module panics, it writes a "die" message, with
+// which the simulator ends the run and names the instance.
 func (s *session) handleEvent(f *fieldReader) (err error) {
 	f.requireInteger(0)
 	id := f.integer(0)
@@ -154,6 +162,7 @@
 	return nil
 }
 
+// createInstance creates a sentry from its settings and the seed of its random numbers.
 func (s *session) createInstance(id int64, f *fieldReader) error {
 	var settings json.RawMessage
 	f.decode(2, &settings, true)
@@ -184,7 +193,7 @@
 	return ending
 }
 
-// load reads a load report: what it does not tell is below 0.
+// decodeLoad decodes a load report. A figure that is not reported is below 0.
 func (inst *instance) decodeLoad(f *fieldReader, i int) (load logic.Load) {
 	var reported []*float64
 	f.decode(i, &reported, false)
@@ -208,7 +217,8 @@
 	return id
 }
 
-// call decodes one event and makes the module's call for it. Unknown kinds of event are passed over.
+// applyEvent decodes one event and makes the module's call for it. It reports whether the kind of event is known; others are
+// ignored.
 func (session *session) applyEvent(inst *instance, f *fieldReader) (result logic.Result, known bool) {
 	sentry, now := inst.sentry, session.now
 	var apply func() logic.Result
@@ -292,6 +302,7 @@
 	return apply(), true
 }
 
+// decodeListEvent decodes an "endpoints" event, which refers to a census, and returns the module's call for it.
 func (session *session) decodeListEvent(inst *instance, f *fieldReader) func() logic.Result {
 	sentry, now := inst.sentry, session.now
 	kinds := map[string]logic.ListKind{
@@ -314,7 +325,7 @@
 
 var workerStateByCode = map[string]logic.WorkerState{"live": logic.Ready, "quiescing": logic.Draining, "dead": logic.Gone}
 
-// census decodes a list that all instances may be referred to.
+// storeList decodes a worker list and stores it under its number. Events for any instance may refer to it.
 func (s *session) storeList(f *fieldReader) {
 	var rows [][]json.RawMessage
 	f.decode(1, &rows, false)
@@ -343,15 +354,16 @@
 func (s *session) writeMessage(values ...any) {
 	line, err := json.Marshal(values)
 	if err != nil {
-		panic(err) // only plain values are ever written
+		panic(err) // not reached: all values written are of plain types
 	}
 	s.out.Write(line)
 	s.out.WriteByte('\n')
 }
 
+// toNanos converts a time of the module to the simulator's clock.
 func (s *session) toNanos(t logic.Micros) int64 { return int64(t)*1000 + s.remainderNs }
 
-// carryOut writes a result. A wake-up is asked for only if none that stands comes as early.
+// writeResult writes a result as actions. It requests a wake-up only if no pending one is due as early.
 func (s *session) writeResult(inst *instance, result logic.Result) {
 	id := inst.id
 	for _, action := range result.Actions {
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -23,20 +23,20 @@
 func TestServe(t *testing.T) {
 	query := `["query",3,"t/1","read",null,null,6000000123,null,null]` + "\n"
 	endOfBatch := `["your_turn"]` + "\n"
-	cases := []struct{ name, in, want, fault string }{
+	cases := []struct{ name, in, want, wantErr string }{
 		{"an empty batch", `["mark",1]` + "\n" + endOfBatch, `["finished"]`, ""},
 		{"a query", preamble + query + endOfBatch, `["route",3,"t/1","10.0.0.1:1",6000000123]`, ""},
-		{"a list number used again", preamble + `["census",0,[[0,null,1,"a","std",41,"live","10.0.0.2:1"]]]` + "\n" +
+		{"a reused list number", preamble + `["census",0,[[0,null,1,"a","std",41,"live","10.0.0.2:1"]]]` + "\n" +
 			`["endpoints",3,"all",2,0]` + "\n" + query + endOfBatch, `["route",3,"t/1","10.0.0.2:1",6000000123]`, ""},
-		{"an unknown event and a late left", preamble + `["new_word",3,"x"]` + "\n" + `["left",3,"t/9"]` + "\n" + endOfBatch,
+		{"an unknown event and a left event for an unknown transaction", preamble + `["new_word",3,"x"]` + "\n" + `["left",3,"t/9"]` + "\n" + endOfBatch,
 			`["finished"]`, ""},
 		{"a restart within the batch", preamble + `["exit",3]` + "\n" + preamble + query + endOfBatch, `["route",3,"t/1"`, ""},
-		{"counts, then what none is", preamble + `["counts_by_build",3,180,"read",4,41,1250000000,21500000]` + "\n" + query + endOfBatch,
+		{"a query after counts", preamble + `["counts_by_build",3,180,"read",4,41,1250000000,21500000]` + "\n" + query + endOfBatch,
 			`["route",3,"t/1","10.0.0.1:1",6000000123]`, ""},
 		{"counts of an unknown class", preamble + `["counts_by_build",3,180,"write",4,41,1250000000,21500000]` + "\n", "", `unknown class "write"`},
-		{"no instance", query + endOfBatch, "", "no instance 3"},
+		{"an instance that does not exist", query + endOfBatch, "", "no instance 3"},
 		{"an unknown class", preamble + `["query",3,"t/1","write",null,null,1,null,null]` + "\n", "", `unknown class "write"`},
-		{"no JSON", "nonsense\n", "", "line 1"},
+		{"a line that is not JSON", "nonsense\n", "", "line 1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -44,36 +44,38 @@
 			err := Serve(strings.NewReader(c.in), &output)
 			out := output.String()
 			switch {
-			case c.fault != "" && (err == nil || !strings.Contains(err.Error(), c.fault)):
-				t.Errorf("fault %v, want %q", err, c.fault)
-			case c.fault == "" && err != nil:
-				t.Errorf("fault %v", err)
+			case c.wantErr != "" && (err == nil || !strings.Contains(err.Error(), c.wantErr)):
+				t.Errorf("error %v, expected %q", err, c.wantErr)
+			case c.wantErr == "" && err != nil:
+				t.Errorf("error %v", err)
 			case !strings.Contains(out, c.want):
-				t.Errorf("no %s in\n%s", c.want, out)
+				t.Errorf("output does not contain %s:\n%s", c.want, out)
 			}
 		})
 	}
 }
 
-// A load report is read by the places that the settings give its figures; what is not told is below 0.
+// TestLoadReports checks that the figures of a load report are found at the indexes that the settings give them, and that a
+// figure which is not reported is below 0.
 func TestLoadReports(t *testing.T) {
 	for _, c := range []struct {
-		report, row string
-		want        logic.Load
+		report, values string
+		want           logic.Load
 	}{
 		{`{"how":"inline","fields":["busy_reqs"]}`, `[7]`, logic.Load{InFlight: 7, BusyShare: -1, ServedPerSecond: -1}},
 		{`{"how":"inline","fields":["served_ps","svc_ms","cpu_share"]}`, `[12.5,3,0.4]`, logic.Load{InFlight: -1, BusyShare: 0.4, ServedPerSecond: 12.5}},
 		{`{"how":"inline","fields":["served_ps","cpu_share"]}`, `[null]`, logic.NoLoad}, {`{"how":"off","fields":["busy_reqs"]}`, `[7]`, logic.NoLoad},
 	} {
 		config, names, err := facts.DecodeConfig([]byte(`{"report":`+c.report+`,"family_info":{"metrics_period_ns":2000000000,"sampled_share":0.2}}`), map[string]logic.ZoneID{})
-		f := &fieldReader{values: []json.RawMessage{json.RawMessage(c.row)}}
+		f := &fieldReader{values: []json.RawMessage{json.RawMessage(c.values)}}
 		if got := (&instance{names: names}).decodeLoad(f, 0); err != nil || got != c.want || f.err != nil || config.CountsPeriod != 2_000_000 || config.CountsSampleShare != 0.2 {
-			t.Errorf("%s %s: %+v, expected %+v (%v, %v); counts every %d", c.report, c.row, got, c.want, err, f.err, config.CountsPeriod)
+			t.Errorf("%s %s: %+v, expected %+v (%v, %v); counts period %d", c.report, c.values, got, c.want, err, f.err, config.CountsPeriod)
 		}
 	}
 }
 
-// A panic of the module is told with the instance's number, and is not swallowed: a sentry that is not there panics.
+// TestPanicIsReported checks that a panic of the module is written as a "die" message with the instance's number. The instance
+// has no sentry, so the call for its event panics.
 func TestPanicIsReported(t *testing.T) {
 	var out bytes.Buffer
 	s := &session{out: bufio.NewWriter(&out), instances: map[int64]*instance{7: {id: 7, names: &facts.Names{}}}}
@@ -83,6 +85,6 @@
 		}
 	}
 	if !strings.HasPrefix(out.String(), `["die",7,`) {
-		t.Errorf("got %s", out.String())
+		t.Errorf("got %s, expected a die message of instance 7", out.String())
 	}
 }
--- a/internal/measure/bare.go
+++ b/internal/measure/bare.go
@@ -13,8 +13,9 @@
 	"scalechute/internal/wire"
 )
 
-// Bare is the relay: each frame of a client goes to a random worker over a connection of that client's own, and what
-// the worker answers goes back. It knows no transaction, so nothing is looked up, timed or retried.
+// ServeRelay runs the bare relay. It forwards each frame of a client to a random worker, over connections that are opened for
+// this client alone, and forwards the workers' frames back to the client. It does not decode the bodies of frames, and it
+// looks up, times and retries nothing. It returns only if it cannot listen.
 func ServeRelay(listen, metrics string, workers []string) error {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
@@ -25,7 +26,7 @@
 		var mu sync.Mutex
 		var workerLinks []*wire.Link
 		rng := rand.New(rand.NewSource(time.Now().UnixNano())) // wall clock: a seed
-		go func() {                                            // dialling on the poller would wait for itself
+		go func() {                                            // a dial here, on the poller, would wait for the poller itself
 			for _, w := range workers {
 				link, err := wire.Dial(w, time.Second, wire.DefaultLimits, func(_ *wire.Link, kind wire.Kind, body []byte) error {
 					client.PutEncoded(kind, body)
--- a/internal/measure/match.go
+++ b/internal/measure/match.go
@@ -22,17 +22,18 @@
 	"scalechute/internal/wire"
 )
 
-// MatchReading is what finding the route of one transaction takes, in nanoseconds: by the index, by trying each route in
-// turn, and by trying each in cel-go's own evaluation.
+// MatchResult is the cost of finding the route of a transaction in three ways: by the index, by a linear search with this
+// project's evaluation, and by a linear search with cel-go's evaluation. Times are means per call in nanoseconds.
 type MatchResult struct {
 	RouteCount                  int
-	LoadTime                    time.Duration // of the whole file
+	LoadTime                    time.Duration // to parse and compile the whole file
 	IndexNs, ScanNs, CELNs      float64
-	IndexAllocs, CELAllocs      float64 // of one transaction
-	PredicateNs, CELPredicateNs float64 // of one expression that holds
-	Matched, Mismatched         int     // transactions that a route took, and those on which the three do not agree
+	IndexAllocs, CELAllocs      float64 // per transaction
+	PredicateNs, CELPredicateNs float64 // of evaluating one expression that is true
+	Matched, Mismatched         int     // transactions that match a route, and those for which the three ways disagree
 }
 
+// schemaTemplate declares the attributes, with a verb for the names of the depots.
 const schemaTemplate = `
 set "depot" {
   members = [%s]
@@ -78,9 +79,11 @@
 }
 `
 
+// depotCount is the number of depots that routes distinguish.
 const depotCount = 200
 
-// routesText is n routes, as a large operator might have them: by depot, kind, size and temperature.
+// routesSource returns the source of the schema and of routes such as a large operator might have: by depot, kind, size and
+// temperature.
 func routesSource(routeCount int) string {
 	var b strings.Builder
 	names := make([]string, depotCount)
@@ -95,10 +98,10 @@
 	return b.String()
 }
 
-// rest takes what no other route does.
+// catchAllRoute matches the transactions that match no other route.
 const catchAllRoute = "route \"rest\" {\n  when    = \"true\"\n  key     = \"id\"\n  profile = \"reading\"\n}\n"
 
-// samples are bodies of attributes, all but the id.
+// encodedSamples returns 64 random transactions as encoded attributes without the id.
 func encodedSamples(routeCount int) (encoded [][]byte) {
 	rng := rand.New(rand.NewSource(1))
 	for range 64 {
@@ -125,11 +128,14 @@
 	return encoded
 }
 
+// routeCondition returns the condition of a route. depot and temp are verbs, which differ between this project's language and
+// cel-go's.
 func routeCondition(routeIndex int, depot, temp string) string {
-	return fmt.Sprintf("depot == "+depot+" && kind == \"k%d\" && size >= %d && temp < "+temp, routeIndex%depotCount, routeIndex/depotCount%25, routeIndex/5000*10, 5+routeIndex%7)
+	return fmt.Sprintf("depot == "+depot+" && kind == \"k%d\" && size >= %d && temp < "+temp,
+		routeIndex%depotCount, routeIndex/depotCount%25, routeIndex/5000*10, 5+routeIndex%7)
 }
 
-// sample is a transaction of eight attributes, for both evaluations.
+// randomTransaction returns the eight attributes of a random transaction, for this project's evaluation and for cel-go's.
 func randomTransaction(rng *rand.Rand, routeCount int) ([]hclread.Pair, map[string]any) {
 	depot, kind := rng.Intn(min(routeCount, depotCount)), rng.Intn(max(1, min(25, routeCount/depotCount)))
 	size, temp := rng.Intn(20), rng.Intn(10)
@@ -142,12 +148,12 @@
 			"temp": float64(temp), "urgent": true, "id": "drop-1", "age": 3 * time.Second}
 }
 
-// Match measures with n routes.
+// RunMatch measures with n routes.
 func RunMatch(n int) (*MatchResult, error) {
 	source := []byte("profile \"reading\" {}\n" + routesSource(n))
 	result := &MatchResult{RouteCount: n, LoadTime: time.Hour}
 	var routeSet *routes.Book
-	for range 3 { // the best of three: the first has caches to fill
+	for range 3 { // the shortest of three: the first run also fills caches
 		runtime.GC()
 		start := time.Now()
 		parsed, err := routes.Parse("routes.hcl", source)
@@ -214,7 +220,8 @@
 	return result, nil
 }
 
-// timed is what a call takes in nanoseconds, the best of five runs of 20 ms at least, and its allocations.
+// timeCall returns the duration of a call in nanoseconds and its allocations. The duration is the shortest mean of five runs
+// with as many calls as fit into 20 ms.
 func timeCall(call func(i int)) (ns, allocs float64) {
 	calls := 1
 	for start := time.Now(); time.Since(start) < 20*time.Millisecond; calls++ {
@@ -234,20 +241,20 @@
 	return ns, float64(after.Mallocs-before.Mallocs) / float64(5*calls)
 }
 
-// PrintMatch writes readings as a table.
+// PrintMatchResults writes results as a table.
 func PrintMatchResults(w io.Writer, results []*MatchResult) {
 	for _, r := range results {
-		fmt.Fprintf(w, "%6d routes: load %v; index %.0f ns (%.1f allocations), each in turn %.0f ns, cel-go in turn %.0f ns (%.0f allocations); "+
-			"one expression %.0f ns, cel-go %.0f ns (%.1f times); %d of 64 matched, %d different\n", r.RouteCount,
+		fmt.Fprintf(w, "%6d routes: load %v; index %.0f ns (%.1f allocations), linear search %.0f ns, by cel-go %.0f ns (%.0f allocations); "+
+			"one expression %.0f ns, by cel-go %.0f ns (%.1f times); %d of 64 matched, %d mismatched\n", r.RouteCount,
 			r.LoadTime.Round(100*time.Microsecond), r.IndexNs, r.IndexAllocs, r.ScanNs, r.CELNs, r.CELAllocs, r.PredicateNs, r.CELPredicateNs, r.CELPredicateNs/r.PredicateNs,
 			r.Matched, r.Mismatched)
 	}
 }
 
-// PlotMatch draws cost over number of routes.
+// PlotMatchResults draws the cost over the number of routes into a file.
 func PlotMatchResults(file string, results []*MatchResult) error {
 	p := plot.New()
-	p.Title.Text = "Finding the route of a transaction of eight attributes"
+	p.Title.Text = "Time to find the route of a transaction with eight attributes"
 	p.X.Label.Text, p.Y.Label.Text = "routes", "microseconds"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
@@ -255,12 +262,12 @@
 	p.Add(plotter.NewGrid())
 	for i, line := range []struct {
 		name string
-		of   func(*MatchResult) float64
-	}{{"index", func(r *MatchResult) float64 { return r.IndexNs }}, {"each in turn", func(r *MatchResult) float64 { return r.ScanNs }},
-		{"each in turn, evaluated by cel-go", func(r *MatchResult) float64 { return r.CELNs }}} {
+		ns   func(*MatchResult) float64
+	}{{"index", func(r *MatchResult) float64 { return r.IndexNs }}, {"linear search", func(r *MatchResult) float64 { return r.ScanNs }},
+		{"linear search by cel-go", func(r *MatchResult) float64 { return r.CELNs }}} {
 		points := make(plotter.XYs, len(results))
 		for j, r := range results {
-			points[j].X, points[j].Y = float64(r.RouteCount), line.of(r)/1e3
+			points[j].X, points[j].Y = float64(r.RouteCount), line.ns(r)/1e3
 		}
 		l, dots, err := plotter.NewLinePoints(points)
 		if err != nil {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,6 +1,9 @@
-// Package measure compares a sentry, as a process of its own, with a bare netpoll relay that passes the same frames on
-// to a random worker: throughput, processor time, allocations, latency. It is no part of the tests, since machines are
-// noisy; both sides are measured in one run, turn about, and what counts is their ratio.
+// Package measure compares a sentry with a bare netpoll relay that forwards the same frames to a random worker: throughput,
+// CPU time, allocations and latency. Each runs as a process of its own under the load of a client pool in this process.
+// The measurements are not part of the tests, because machines are noisy. A run measures the two in alternation, and the
+// result is their ratio.
+//
+// It also compares the route index of package match with a linear search and with cel-go (RunMatch).
 package measure
 
 import (
@@ -28,33 +31,34 @@
 	"scalechute/standin"
 )
 
-// Plan is what is measured.
+// Options are the parameters of a measurement.
 type Options struct {
-	Program               []string
-	Dir                   string
+	Program               []string // command line of this program
+	Dir                   string   // for the sentry's files
 	Workers               int
-	Connections           int           // connections
-	InFlightPerConnection int           // transactions out on each, when as many as possible are asked
-	Rate                  float64       // a second, 0 for as many as possible
-	Duration              time.Duration // of each measurement
-	MaxProcs              int           // GOMAXPROCS of what is measured
-	CPUProfile            string        // file for a processor profile, empty if none
-	RouteCount            int           // routes that judge transactions of eight attributes; 0: transactions say what they are
+	Connections           int           // client connections
+	InFlightPerConnection int           // open transactions per connection if Rate is 0
+	Rate                  float64       // transactions per second; 0: as many as possible
+	Duration              time.Duration // of the measurement, without warm-up
+	MaxProcs              int           // GOMAXPROCS of the measured process
+	CPUProfile            string        // file for the sentry's CPU profile, empty for none
+	RouteCount            int           // if above 0, transactions carry eight attributes and are matched to this many routes; 0: they state their profile
 }
 
-// Reading is one measurement.
+// Result is the result of one measurement.
 type Result struct {
 	Name                                string
 	Completed                           int
-	PerSecond, PerCPUSecond             float64 // PerCore: for each second of processor time
-	AllocsEach, BytesEach               float64 // a transaction
+	PerSecond, PerCPUSecond             float64 // transactions per second, and per second of CPU time
+	AllocsEach, BytesEach               float64 // per transaction
 	P50, P99, P999                      time.Duration
 	SatisfiedShare                      float64
 	ResidentBytes, ResidentBytesAtStart int64 // bytes
 	Connections                         int
 }
 
-// workers answers at once whatever it is asked, as a worker of a sentry or as one behind the relay.
+// startWorkers starts n workers, which answer each request at once. They serve a sentry (KindWork) as well as the relay, which
+// forwards the clients' frames (KindAsk).
 func startWorkers(n int) (servers []*wire.Server, err error) {
 	for range n {
 		server, err := wire.Serve("127.0.0.1:0", wire.DefaultLimits, func(*wire.Link) (wire.Handler, func(*wire.Link, error)) {
@@ -87,6 +91,7 @@
 	return servers, nil
 }
 
+// settingsTemplate is the sentry's settings, with verbs for the addresses and the file of the cached list.
 const settingsTemplate = `
 sentry {
   position = 0
@@ -140,14 +145,14 @@
 }
 `
 
-// still is a fleet that does not move.
+// staticFleet is a fleet whose builds do not change.
 type staticFleet struct{}
 
 func (staticFleet) RollOut(logic.BuildID, float64) bool { return true }
 func (staticFleet) DrainEarlierBuilds(logic.BuildID)    {}
 func (staticFleet) DrainBuild(logic.BuildID)            {}
 
-// Sentry measures a sentry, Relay the bare relay.
+// RunSentry measures a sentry.
 func RunSentry(o Options) (*Result, error) {
 	servers, err := startWorkers(o.Workers)
 	if err != nil {
@@ -191,7 +196,7 @@
 	return o.run(name, listen, metrics, args)
 }
 
-// Relay measures the bare relay.
+// RunRelay measures the bare relay.
 func RunRelay(o Options) (*Result, error) {
 	servers, err := startWorkers(o.Workers)
 	if err != nil {
@@ -209,7 +214,7 @@
 	return o.run("relay", listen, metrics, args)
 }
 
-// addresses are where what is measured listens and serves its metrics.
+// freeAddresses returns addresses for the measured process's listener and metrics page.
 func freeAddresses() (listen, metrics string, err error) {
 	if listen, err = standin.FreeAddress(); err == nil {
 		metrics, err = standin.FreeAddress()
@@ -223,7 +228,7 @@
 	}
 }
 
-// run starts what is measured, loads it, and reads what it used.
+// run starts this program with the arguments, puts the load on it and measures it.
 func (o Options) run(name, listen, metrics string, args []string) (*Result, error) {
 	cmd := exec.Command(o.Program[0], append(append([]string(nil), o.Program[1:]...), args...)...)
 	cmd.Stderr = os.Stderr
@@ -256,13 +261,13 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	time.Sleep(300 * time.Millisecond) // the list comes
+	time.Sleep(300 * time.Millisecond) // for the sentry to receive the worker list
 	result.ResidentBytesAtStart = residentBytes(cmd.Process.Pid)
 	if err := p.connect(listen); err != nil {
 		return nil, err
 	}
 	defer p.close()
-	p.generateLoad(500 * time.Millisecond) // warm
+	p.generateLoad(500 * time.Millisecond) // warm-up
 	p.reset()
 	before, _ := readCounters(metrics)
 	cpu := cpuTime(cmd.Process.Pid)
@@ -286,18 +291,19 @@
 	return result, nil
 }
 
-// driver is the clients.
+// clientPool generates load over many client connections and records the answers.
 type clientPool struct {
 	options          Options
 	clients          []*client
 	completed        atomic.Int64
 	satisfied        atomic.Int64
 	running          atomic.Bool
-	attributeSamples [][]byte // attributes but for the id, nil if transactions say what they are
+	attributeSamples [][]byte // encoded attributes without the id, nil if transactions state their profile
 	mu               sync.Mutex
 	latency          *hdrhistogram.Histogram
 }
 
+// client is one connection of the pool.
 type client struct {
 	pool   *clientPool
 	link   *wire.Link
@@ -310,6 +316,7 @@
 
 var requestPayload = []byte("a reading of 64 bytes, as a gateway of a truck would send it.....")
 
+// putRequest buffers one request. The caller flushes the link.
 func (c *client) putRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -327,6 +334,8 @@
 	c.link.Put(wire.KindAsk, message)
 }
 
+// answerHandler returns the handler of a client's frames, which ignores all frames if c is nil. Without a rate, it replaces
+// each answered request by another one.
 func (p *clientPool) answerHandler(c *client) wire.Handler {
 	return func(_ *wire.Link, kind wire.Kind, body []byte) error {
 		var answer wire.Answer
@@ -378,7 +387,7 @@
 	p.mu.Unlock()
 }
 
-// load asks for a time and waits for what is out.
+// generateLoad sends requests for the duration, then waits up to 5 s for the open ones. It returns the time in which it sent.
 func (p *clientPool) generateLoad(duration time.Duration) time.Duration {
 	start := time.Now()
 	p.running.Store(true)
@@ -425,7 +434,7 @@
 	}
 }
 
-// counters reads the plain counters of a metrics page.
+// readCounters reads the metrics without labels from a metrics page.
 func readCounters(address string) (map[string]float64, error) {
 	resp, err := http.Get("http://" + address + "/metrics")
 	if err != nil {
@@ -443,7 +452,7 @@
 	return byName, lines.Err()
 }
 
-// cpuTime is what a process has used, in ticks of 10 ms.
+// cpuTime returns the CPU time that a process has used. The kernel counts it in ticks of 10 ms.
 func cpuTime(pid int) time.Duration {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -455,6 +464,7 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
+// residentBytes returns the resident set size of a process.
 func residentBytes(pid int) int64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -464,10 +474,10 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// Print writes readings as a table.
+// PrintResults writes results as a table.
 func PrintResults(w io.Writer, results ...*Result) {
 	for _, result := range results {
-		fmt.Fprintf(w, "%-7s %7d done, %8.0f a second, %8.0f for a second of one core, %5.1f allocations and %6.0f bytes each, "+
+		fmt.Fprintf(w, "%-7s %7d completed, %8.0f per second, %8.0f per CPU second, %5.1f allocations and %6.0f bytes per transaction, "+
 			"p50 %v p99 %v p99.9 %v, %.2f%% satisfied, %.1f MB resident (%.1f before %d connections)\n", result.Name, result.Completed, result.PerSecond,
 			result.PerCPUSecond, result.AllocsEach, result.BytesEach, result.P50, result.P99, result.P999, 100*result.SatisfiedShare, float64(result.ResidentBytes)/1e6,
 			float64(result.ResidentBytesAtStart)/1e6, result.Connections)
