--- a/cmd/scalechute/drill.go
+++ b/cmd/scalechute/drill.go
@@ -32,7 +32,7 @@
 				if err != nil {
 					return err
 				}
-				if err := day.Take(data); err != nil {
+				if err := day.ApplyBenchDay(data); err != nil {
 					return fmt.Errorf("%s: %w", fromDay, err)
 				}
 			}
@@ -46,16 +46,16 @@
 				}
 				defer os.RemoveAll(out)
 			}
-			plan := drill.Plan{Program: program(self), Dir: filepath.Join(out, "module"), Break: breach,
-				Say: func(format string, a ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", a...) }}
+			plan := drill.Options{Program: program(self), Dir: filepath.Join(out, "module"), BrokenRule: breach,
+				Logf: func(format string, a ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", a...) }}
 			result, err := drill.Run(day, plan)
 			if err != nil {
 				return err
 			}
 			results := []*drill.Result{result}
-			if day.Baseline && !noBaseline && breach == "" {
-				plan.Random, plan.Dir = true, filepath.Join(out, "random")
-				plan.Say("the same day with workers chosen at random:")
+			if day.RunBaseline && !noBaseline && breach == "" {
+				plan.RandomWorkers, plan.Dir = true, filepath.Join(out, "random")
+				plan.Logf("the same day with workers chosen at random:")
 				random, err := drill.Run(day, plan)
 				if err != nil {
 					return err
@@ -63,7 +63,7 @@
 				results = append(results, random)
 			}
 			drill.Print(c.OutOrStdout(), results...)
-			if !result.Good() {
+			if !result.Passed() {
 				return errors.New("the rules do not hold")
 			}
 			return nil
--- a/cmd/scalechute/drill_test.go
+++ b/cmd/scalechute/drill_test.go
@@ -25,18 +25,18 @@
 	os.Exit(m.Run())
 }
 
-func run(t *testing.T, day *drill.Day, breach string) *drill.Result {
+func run(t *testing.T, day *drill.Scenario, breach string) *drill.Result {
 	t.Helper()
 	return runIn(t, t.TempDir(), day, breach)
 }
 
-func runIn(t *testing.T, dir string, day *drill.Day, breach string) *drill.Result {
+func runIn(t *testing.T, dir string, day *drill.Scenario, breach string) *drill.Result {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := drill.Run(day, drill.Plan{Program: []string{self}, Dir: dir, Break: breach, Say: t.Logf})
+	r, err := drill.Run(day, drill.Options{Program: []string{self}, Dir: dir, BrokenRule: breach, Logf: t.Logf})
 	if err != nil {
 		logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 		for _, l := range logs {
@@ -48,7 +48,7 @@
 	return r
 }
 
-func load(t *testing.T, name string, change ...string) *drill.Day {
+func load(t *testing.T, name string, change ...string) *drill.Scenario {
 	t.Helper()
 	name = "../../drills/" + name
 	data, err := os.ReadFile(name)
@@ -80,11 +80,11 @@
 			t.Errorf("%q is %d times in the log, expected more: %v", what, n, err)
 		}
 	}
-	if !r.Good() {
+	if !r.Passed() {
 		t.Errorf("%s", show(r))
 	}
-	f := r.Finding
-	if f.Asked < 500 || f.Answered < f.Asked/2 || r.Trial == 0 || r.Restarted < 6 {
+	f := r.Audit
+	if f.TriesSent < 500 || f.TriesAnswered < f.TriesSent/2 || r.HandOffsToLaterBuilds == 0 || r.SentryStarts < 6 {
 		t.Errorf("too little happened for this to say anything:\n%s", show(r))
 	}
 }
@@ -95,11 +95,11 @@
 		t.Run(word, func(t *testing.T) {
 			t.Parallel()
 			r := run(t, load(t, "breach.hcl"), word)
-			if word == "cold" && r.Fallen == 0 {
+			if word == "cold" && r.WorkersOverloaded == 0 {
 				t.Errorf("no worker was pushed over\n%s", show(r))
 			}
-			if !slices.Equal(r.Rules, []int{i + 1}) {
-				t.Errorf("rules %v broken, expected %d\n%s", r.Rules, i+1, show(r))
+			if !slices.Equal(r.Violated, []int{i + 1}) {
+				t.Errorf("rules %v broken, expected %d\n%s", r.Violated, i+1, show(r))
 			}
 		})
 	}
@@ -109,7 +109,7 @@
 func TestTroublesOfADay(t *testing.T) {
 	t.Parallel()
 	d := load(t, "breach.hcl", `length   = "9s"`, `length = "7s"`)
-	kinds := drill.Kinds // a bad build among them: it is read off the releases
+	kinds := drill.FaultKinds // a bad build among them: it is read off the releases
 	var troubles []string
 	for i, k := range kinds {
 		troubles = append(troubles, fmt.Sprintf(`{"kind":%q,"at":%d,"len":1500000,"which":1,"on":[1,2],"size":0.5}`,
@@ -118,18 +118,18 @@
 	day := fmt.Sprintf(`{"length":7000000,"zones":["a","b"],"servers":[1,2,3,4,5,6,7,8],"balancers":[1,2,3,4],
 		"troubles":[%s],"fam":{"releases":[{"at":1000000,"bad":"class","class":1,"strength":0.5,"speed":1}]}}`,
 		strings.Join(troubles, ","))
-	if err := d.Take([]byte(day)); err != nil {
+	if err := d.ApplyBenchDay([]byte(day)); err != nil {
 		t.Fatal(err)
 	}
-	if len(d.Troubles) != len(kinds)-1 || len(d.Releases) != 1 {
-		t.Fatalf("%d troubles and %d releases taken", len(d.Troubles), len(d.Releases))
+	if len(d.Faults) != len(kinds)-1 || len(d.Releases) != 1 {
+		t.Fatalf("%d troubles and %d releases taken", len(d.Faults), len(d.Releases))
 	}
 	r := run(t, d, "")
-	if !r.Good() {
+	if !r.Passed() {
 		t.Errorf("%s", show(r))
 	}
 	for _, bad := range []string{"", "{}", `{"length":1,"troubles":[{"kind":"flood"}]}`} {
-		if d.Take([]byte(bad)) == nil {
+		if d.ApplyBenchDay([]byte(bad)) == nil {
 			t.Errorf("%q is taken for a day", bad)
 		}
 	}
--- a/cmd/scalechute/plan.go
+++ b/cmd/scalechute/plan.go
@@ -28,11 +28,11 @@
 			if err != nil {
 				return err
 			}
-			begins, whole := p.Earliest(now)
+			begins, whole := p.EarliestSchedule(now)
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
 			for i, at := range begins {
 				fmt.Fprintf(t, "%s\twave %s\tshare %g\tcap %g\tbake %v\t%s\n", at.Format(time.RFC3339), p.Waves[i].Name, p.Waves[i].Share,
-					p.Waves[i].Cap, p.Waves[i].Bake, p.Summary(i))
+					p.Waves[i].Cap, p.Waves[i].Bake, p.WaveSummary(i))
 			}
 			fmt.Fprintf(t, "%s\twhole, if votes and approvals come at once\n", whole.Format(time.RFC3339))
 			return t.Flush()
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -18,29 +18,29 @@
 type Kind uint8
 
 const (
-	Asked      Kind = iota // a client sent a transaction
-	Answered               // a client got a final answer
-	NotTaken               // a client was told that it was not taken
-	Left                   // a client gave up, or its connection was lost
-	Got                    // a worker got a hand-off
-	Ran                    // a worker let its effect happen
-	Ended                  // a worker answered a hand-off
-	Turned                 // a worker turned a hand-off away: it has not run
-	Dropped                // the hand-off was cancelled, or its connection was lost
-	WorkerUp               // a worker started, with what it can do
-	WorkerDown             // a worker stopped
-	Fell                   // a cold worker was pushed over
-	ListTold               // a sentry was sent a line of the list
-	Listed                 // the list's service lists a worker so from now on
-	Followed               // a sentry follows the list from now on
-	Fetched                // a sentry asked for the whole list, and got it
-	AskFailed              // a call of a sentry for the list failed, or it follows it no longer
-	NewsTold               // a sentry was sent news of the newest build
-	SentryUp               // a sentry's process began
-	SentryDown             // a sentry's process was killed
-	Stopped                // a sentry's process was stopped
-	Resumed                // and goes on
-	Ordered                // a sentry was given other orders, which it has taken after a span at the latest
+	TrySent           Kind = iota // a client sent a transaction
+	TryAnswered                   // a client got a final answer
+	TryNotTaken                   // a client was told that it was not taken
+	TryAbandoned                  // a client gave up, or its connection was lost
+	HandOffReceived               // a worker got a hand-off
+	HandOffExecuted               // a worker let its effect happen
+	HandOffAnswered               // a worker answered a hand-off
+	HandOffTurnedAway             // a worker turned a hand-off away: it has not run
+	HandOffDropped                // the hand-off was cancelled, or its connection was lost
+	WorkerStarted                 // a worker started, with what it can do
+	WorkerStopped                 // a worker stopped
+	WorkerOverloaded              // a cold worker was pushed over
+	ListEntrySent                 // a sentry was sent a line of the list
+	WorkerListed                  // the list's service lists a worker so from now on
+	ListWatched                   // a sentry follows the list from now on
+	ListFetched                   // a sentry asked for the whole list, and got it
+	ListRequestFailed             // a call of a sentry for the list failed, or it follows it no longer
+	StatusSent                    // a sentry was sent news of the newest build
+	SentryStarted                 // a sentry's process began
+	SentryExited                  // a sentry's process was killed
+	SentryPaused                  // a sentry's process was stopped
+	SentryResumed                 // and goes on
+	ConfigChanged                 // a sentry was given other orders, which it has taken after a span at the latest
 )
 
 var kindNames = [...]string{"asked", "answered", "not taken", "left", "got", "ran", "ended", "turned away", "dropped",
@@ -60,63 +60,63 @@
 
 // Event is one thing seen. Of the fields after Kind those count that belong to it.
 type Event struct {
-	At      logic.Micros        `json:"at"`
-	Kind    Kind                `json:"kind"`
-	Sentry  logic.SentryID      `json:"sentry"`
-	Try     string              `json:"try,omitempty"` // the client's name for this try, the same at both ends
-	Profile logic.ProfileID     `json:"profile,omitempty"`
-	Key     logic.Key           `json:"key,omitempty"`
-	Span    logic.Micros        `json:"span,omitempty"` // Asked, Got: until given up
-	Outcome Outcome             `json:"outcome,omitempty"`
-	Worker  logic.WorkerID      `json:"worker,omitempty"`
-	HandOff uint64              `json:"hand_off,omitempty"` // which at this worker: the same from Got to its end
-	Good    bool                `json:"good,omitempty"`     // Ended: satisfied
-	Work    logic.Micros        `json:"work,omitempty"`     // Got: on a core of speed one
-	Build   logic.BuildID       `json:"build,omitempty"`
-	Zone    logic.ZoneID        `json:"zone,omitempty"`
-	Cell    int                 `json:"cell,omitempty"`
-	Speed   float64             `json:"speed,omitempty"` // WorkerUp: work done in a unit of time, when warm
-	From    float64             `json:"from,omitempty"`  // WorkerUp: the part of it at its start
-	Warm    logic.Micros        `json:"warm,omitempty"`  // WorkerUp: until warm, 0 if it starts so
-	State   logic.WorkerState   `json:"state,omitempty"`
-	News    logic.ReleaseStatus `json:"news"`
-
-	Orders *logic.Config `json:"orders,omitempty"` // Ordered
+	At             logic.Micros        `json:"at"`
+	Kind           Kind                `json:"kind"`
+	Sentry         logic.SentryID      `json:"sentry"`
+	Try            string              `json:"try,omitempty"` // the client's name for this try, the same at both ends
+	Profile        logic.ProfileID     `json:"profile,omitempty"`
+	Key            logic.Key           `json:"key,omitempty"`
+	Duration       logic.Micros        `json:"span,omitempty"` // Asked, Got: until given up
+	Outcome        Outcome             `json:"outcome,omitempty"`
+	Worker         logic.WorkerID      `json:"worker,omitempty"`
+	HandOffNumber  uint64              `json:"hand_off,omitempty"` // which at this worker: the same from Got to its end
+	Satisfied      bool                `json:"good,omitempty"`     // Ended: satisfied
+	Work           logic.Micros        `json:"work,omitempty"`     // Got: on a core of speed one
+	Build          logic.BuildID       `json:"build,omitempty"`
+	Zone           logic.ZoneID        `json:"zone,omitempty"`
+	Cell           int                 `json:"cell,omitempty"`
+	Speed          float64             `json:"speed,omitempty"` // WorkerUp: work done in a unit of time, when warm
+	ColdSpeedShare float64             `json:"from,omitempty"`  // WorkerUp: the part of it at its start
+	WarmUp         logic.Micros        `json:"warm,omitempty"`  // WorkerUp: until warm, 0 if it starts so
+	WorkerState    logic.WorkerState   `json:"state,omitempty"`
+	Status         logic.ReleaseStatus `json:"news"`
+
+	Config *logic.Config `json:"orders,omitempty"` // Ordered
 }
 
 // Breach is a rule that was broken.
-type Breach struct {
-	Rule     int          `json:"rule"`
-	At       logic.Micros `json:"at"`
-	What     string       `json:"what"`
-	Timeline []string     `json:"timeline"`
+type Violation struct {
+	Rule        int          `json:"rule"`
+	At          logic.Micros `json:"at"`
+	Description string       `json:"what"`
+	Timeline    []string     `json:"timeline"`
 }
 
-func (b Breach) String() string {
-	return fmt.Sprintf("rule %d at %.3f s: %s\n  %s", b.Rule, float64(b.At)/1e6, b.What, strings.Join(b.Timeline, "\n  "))
+func (b Violation) String() string {
+	return fmt.Sprintf("rule %d at %.3f s: %s\n  %s", b.Rule, float64(b.At)/1e6, b.Description, strings.Join(b.Timeline, "\n  "))
 }
 
 // RuleNames are what the rules are about, from rule 1 on, in the words of a sentry's --break.
 var RuleNames = []string{"answer", "effect", "drain", "cold", "exposure"}
 
 // Finding is what the record shows.
-type Finding struct {
-	Breaches []Breach `json:"breaches"`
-	Asked    int      `json:"asked"`
-	Answered int      `json:"answered"`
-	Left     int      `json:"left"`
-	NotTaken int      `json:"not_taken"`
-	Unclosed int      `json:"unclosed"` // tries with neither answer nor end on the client's side
-	HandOffs int      `json:"hand_offs"`
-	Ran      int      `json:"ran"`
+type Report struct {
+	Violations     []Violation `json:"breaches"`
+	TriesSent      int         `json:"asked"`
+	TriesAnswered  int         `json:"answered"`
+	TriesAbandoned int         `json:"left"`
+	TriesNotTaken  int         `json:"not_taken"`
+	TriesUnclosed  int         `json:"unclosed"` // tries with neither answer nor end on the client's side
+	HandOffs       int         `json:"hand_offs"`
+	Executions     int         `json:"ran"`
 
 	// Misjudged counts hand-offs that had another profile or key than their client meant: routes went wrong.
-	Misjudged int `json:"misjudged"`
+	Misrouted int `json:"misjudged"`
 }
 
 // Rules lists the rules that were broken, each once.
-func (f Finding) Rules() (rules []int) {
-	for _, b := range f.Breaches {
+func (f Report) ViolatedRules() (rules []int) {
+	for _, b := range f.Violations {
 		if !slices.Contains(rules, b.Rule) {
 			rules = append(rules, b.Rule)
 		}
@@ -166,11 +166,11 @@
 	listed  []Event
 	asks    map[logic.SentryID][]asking
 	orders  map[logic.SentryID][]Event
-	finding Finding
+	finding Report
 }
 
 // Check holds events against the rules of the orders. Events may come in any order.
-func Check(o *logic.Config, slack logic.Micros, events []Event) Finding {
+func Check(o *logic.Config, slack logic.Micros, events []Event) Report {
 	a := &auditor{o: o, slack: slack, events: slices.Clone(events), tries: map[string]*try{},
 		byWork: map[logic.WorkerID][]*handOff{}, lives: map[logic.SentryID][]life{},
 		stalls: map[logic.SentryID][]life{}, news: map[logic.SentryID][]Event{},
@@ -192,20 +192,20 @@
 			continue
 		}
 		if t.left == nil && t.notTaken == nil && len(t.answers) == 0 {
-			a.finding.Unclosed++
+			a.finding.TriesUnclosed++
 		}
-		a.either(t.asked.Sentry, t.asked.At, t.asked.At+t.asked.Span, func() { a.answer(t) })
+		a.either(t.asked.Sentry, t.asked.At, t.asked.At+t.asked.Duration, func() { a.answer(t) })
 		a.either(t.asked.Sentry, t.asked.At, t.asked.At, func() { a.effect(t) })
 		for _, h := range t.handOffs {
 			if h.Profile != t.asked.Profile || t.asked.Key != "" && h.Key != t.asked.Key {
-				a.finding.Misjudged++
+				a.finding.Misrouted++
 			}
 		}
 	}
 	a.drain()
 	a.cold()
 	a.exposure()
-	slices.SortStableFunc(a.finding.Breaches, func(x, y Breach) int { return cmp.Compare(x.At, y.At) })
+	slices.SortStableFunc(a.finding.Violations, func(x, y Violation) int { return cmp.Compare(x.At, y.At) })
 	return a.finding
 }
 
@@ -218,23 +218,23 @@
 		if to < e.At-a.slack {
 			break
 		}
-		if from > e.At+e.Span+a.slack {
+		if from > e.At+e.Duration+a.slack {
 			all = all[:0]
 		}
-		all = append(all, e.Orders)
+		all = append(all, e.Config)
 	}
-	was, before := a.o, a.finding.Breaches
-	var found []Breach
+	was, before := a.o, a.finding.Violations
+	var found []Violation
 	for _, o := range all {
-		a.o, a.finding.Breaches = o, nil
+		a.o, a.finding.Violations = o, nil
 		check()
-		if found = a.finding.Breaches; len(found) == 0 {
+		if found = a.finding.Violations; len(found) == 0 {
 			break
 		}
 	}
-	a.o, a.finding.Breaches = was, before
+	a.o, a.finding.Violations = was, before
 	if len(before) < mostBreaches {
-		a.finding.Breaches = append(before, found...)
+		a.finding.Violations = append(before, found...)
 	}
 }
 
@@ -260,60 +260,60 @@
 	for i := range a.events {
 		e := &a.events[i]
 		switch e.Kind {
-		case Asked:
+		case TrySent:
 			a.try(e.Try).asked = e
-			f.Asked++
-		case Answered:
+			f.TriesSent++
+		case TryAnswered:
 			t := a.try(e.Try)
 			t.answers = append(t.answers, e)
-			f.Answered++
-		case NotTaken:
+			f.TriesAnswered++
+		case TryNotTaken:
 			a.try(e.Try).notTaken = e
-			f.NotTaken++
-		case Left:
+			f.TriesNotTaken++
+		case TryAbandoned:
 			a.try(e.Try).left = e
-			f.Left++
-		case Got:
+			f.TriesAbandoned++
+		case HandOffReceived:
 			h := &handOff{Event: *e}
-			out[ref{e.Worker, e.HandOff}] = h
+			out[ref{e.Worker, e.HandOffNumber}] = h
 			t := a.try(e.Try)
 			t.handOffs = append(t.handOffs, h)
 			a.byWork[e.Worker] = append(a.byWork[e.Worker], h)
 			a.all = append(a.all, h)
 			f.HandOffs++
-		case Ran:
-			f.Ran++
-		case Ended, Turned, Dropped:
-			if h := out[ref{e.Worker, e.HandOff}]; h != nil && h.end == 0 {
-				h.end, h.turned, h.good = e.At, e.Kind == Turned, e.Good
+		case HandOffExecuted:
+			f.Executions++
+		case HandOffAnswered, HandOffTurnedAway, HandOffDropped:
+			if h := out[ref{e.Worker, e.HandOffNumber}]; h != nil && h.end == 0 {
+				h.end, h.turned, h.good = e.At, e.Kind == HandOffTurnedAway, e.Satisfied
 			}
-		case ListTold:
+		case ListEntrySent:
 			m := a.lists[e.Sentry]
 			if m == nil {
 				m = map[logic.WorkerID][]Event{}
 				a.lists[e.Sentry] = m
 			}
 			m[e.Worker] = append(m[e.Worker], *e)
-		case Listed:
+		case WorkerListed:
 			a.listed = append(a.listed, *e)
-		case Followed, Fetched:
-			a.asks[e.Sentry] = append(a.asks[e.Sentry], asking{e.At, e.Kind == Followed || a.follows(e.Sentry), a.o.MaxListAge})
-		case AskFailed:
+		case ListWatched, ListFetched:
+			a.asks[e.Sentry] = append(a.asks[e.Sentry], asking{e.At, e.Kind == ListWatched || a.follows(e.Sentry), a.o.MaxListAge})
+		case ListRequestFailed:
 			a.asks[e.Sentry] = append(a.asks[e.Sentry], asking{e.At, false, 4 * a.o.MaxListAge})
-		case NewsTold:
+		case StatusSent:
 			a.news[e.Sentry] = append(a.news[e.Sentry], *e)
-		case SentryUp:
+		case SentryStarted:
 			a.lives[e.Sentry] = append(a.lives[e.Sentry], life{e.At, never})
 			a.asks[e.Sentry] = append(a.asks[e.Sentry], asking{e.At, false, a.o.MaxListAge})
-		case SentryDown:
+		case SentryExited:
 			if l := a.lives[e.Sentry]; len(l) > 0 {
 				l[len(l)-1].to = e.At
 			}
-		case Ordered:
+		case ConfigChanged:
 			a.orders[e.Sentry] = append(a.orders[e.Sentry], *e)
-		case Stopped:
+		case SentryPaused:
 			a.stalls[e.Sentry] = append(a.stalls[e.Sentry], life{e.At, never})
-		case Resumed:
+		case SentryResumed:
 			if l := a.stalls[e.Sentry]; len(l) > 0 {
 				l[len(l)-1].to = e.At
 			}
@@ -341,7 +341,7 @@
 			if a.lists[s] == nil {
 				a.lists[s] = map[logic.WorkerID][]Event{}
 			}
-			known := Event{At: at, Kind: ListTold, Sentry: s, Worker: e.Worker, State: e.State, Build: e.Build}
+			known := Event{At: at, Kind: ListEntrySent, Sentry: s, Worker: e.Worker, WorkerState: e.WorkerState, Build: e.Build}
 			a.lists[s][e.Worker] = append(a.lists[s][e.Worker], known)
 		}
 		for _, told := range a.lists[s] {
@@ -376,14 +376,14 @@
 }
 
 func (a *auditor) breach(rule int, at logic.Micros, t *try, format string, args ...any) {
-	if len(a.finding.Breaches) >= mostBreaches {
+	if len(a.finding.Violations) >= mostBreaches {
 		return
 	}
-	b := Breach{Rule: rule, At: at, What: fmt.Sprintf(format, args...)}
+	b := Violation{Rule: rule, At: at, Description: fmt.Sprintf(format, args...)}
 	if t != nil {
 		b.Timeline = a.timeline(t)
 	}
-	a.finding.Breaches = append(a.finding.Breaches, b)
+	a.finding.Violations = append(a.finding.Violations, b)
 }
 
 // timeline is all that was seen of a transaction.
@@ -403,14 +403,14 @@
 		}
 		line := fmt.Sprintf("%10.6f %s", float64(e.At)/1e6, e.Kind)
 		switch e.Kind {
-		case Asked:
-			line += fmt.Sprintf(" %s of sentry %d: profile %d, key %q, gives up after %d us", e.Try, e.Sentry, e.Profile, e.Key, e.Span)
-		case Answered:
+		case TrySent:
+			line += fmt.Sprintf(" %s of sentry %d: profile %d, key %q, gives up after %d us", e.Try, e.Sentry, e.Profile, e.Key, e.Duration)
+		case TryAnswered:
 			line += fmt.Sprintf(" %s", [...]string{"satisfied", "deferred", "written off"}[e.Outcome])
-		case Got:
-			line += fmt.Sprintf(" by %s (build %d) from sentry %d as its %d, given up after %d us", e.Worker, e.Build, e.Sentry, e.HandOff, e.Span)
-		case Ran, Ended, Turned, Dropped:
-			line += fmt.Sprintf(" at %s, its %d", e.Worker, e.HandOff)
+		case HandOffReceived:
+			line += fmt.Sprintf(" by %s (build %d) from sentry %d as its %d, given up after %d us", e.Worker, e.Build, e.Sentry, e.HandOffNumber, e.Duration)
+		case HandOffExecuted, HandOffAnswered, HandOffTurnedAway, HandOffDropped:
+			line += fmt.Sprintf(" at %s, its %d", e.Worker, e.HandOffNumber)
 		}
 		lines = append(lines, line)
 	}
@@ -430,10 +430,10 @@
 		a.breach(1, t.answers[1].At, t, "%s: %d final answers, expected one", q.Try, len(t.answers))
 		return
 	}
-	last := q.At + q.Span + a.o.AnswerGrace
+	last := q.At + q.Duration + a.o.AnswerGrace
 	for _, l := range a.stalls[q.Sentry] { // what comes to a stopped process is taken when it runs again
 		if q.At >= l.from-a.slack && q.At < l.to && l.to < never {
-			last = max(last, l.to+q.Span+a.o.AnswerGrace)
+			last = max(last, l.to+q.Duration+a.o.AnswerGrace)
 		}
 	}
 	closed := never
@@ -482,7 +482,7 @@
 				continue
 			}
 			pending := first.end == 0 || first.end > h.At
-			if pending && !a.o.MayHedge && h.At+a.slack < first.At+first.Span {
+			if pending && !a.o.MayHedge && h.At+a.slack < first.At+first.Duration {
 				a.breach(2, h.At, t, "%s: two hand-offs out at once, where copies are not allowed", t.asked.Try)
 				return
 			}
@@ -530,7 +530,7 @@
 			break
 		}
 		switch {
-		case e.State == logic.Ready:
+		case e.WorkerState == logic.Ready:
 			since = never
 		case since == never:
 			since = e.At
@@ -560,12 +560,12 @@
 func (a *auditor) cold() {
 	for i := range a.events {
 		up := &a.events[i]
-		if up.Kind != WorkerUp || up.Warm == 0 {
+		if up.Kind != WorkerStarted || up.WarmUp == 0 {
 			continue
 		}
-		end := up.At + up.Warm
+		end := up.At + up.WarmUp
 		can := func(at logic.Micros) float64 {
-			return up.Speed * (up.From + (1-up.From)*min(1, float64(at-up.At)/float64(up.Warm)))
+			return up.Speed * (up.ColdSpeedShare + (1-up.ColdSpeedShare)*min(1, float64(at-up.At)/float64(up.WarmUp)))
 		}
 		hs := a.byWork[up.Worker]
 		from, work := 0, 0.0
@@ -602,7 +602,7 @@
 // knew says whether a sentry had been told of a worker's start.
 func (a *auditor) knew(s logic.SentryID, up *Event, at logic.Micros) bool {
 	return slices.ContainsFunc(a.lists[s][up.Worker], func(e Event) bool {
-		return e.At >= up.At && e.At <= at && e.State == logic.Ready
+		return e.At >= up.At && e.At <= at && e.WorkerState == logic.Ready
 	})
 }
 
@@ -617,7 +617,7 @@
 		id := logic.SentryID(s)
 		taken, sent := make([][]logic.Micros, rows), make([][]*handOff, rows) // over all first, then by profile
 		for i := range a.events {
-			if e := &a.events[i]; e.Kind == Asked && e.Sentry == id && a.tries[e.Try].notTaken == nil {
+			if e := &a.events[i]; e.Kind == TrySent && e.Sentry == id && a.tries[e.Try].notTaken == nil {
 				for _, row := range []int{0, 1 + int(e.Profile)} {
 					taken[row] = append(taken[row], e.At)
 				}
@@ -650,7 +650,7 @@
 func (a *auditor) newsAt(s logic.SentryID, at logic.Micros) *Event {
 	var last *Event
 	for i := range a.news[s] {
-		if e := &a.news[s][i]; e.At <= at && e.News.Valid {
+		if e := &a.news[s][i]; e.At <= at && e.Status.Valid {
 			last = e
 		}
 	}
@@ -663,25 +663,25 @@
 	if latest == nil {
 		return false, 0, 0
 	}
-	if h.Build > latest.News.Build {
+	if h.Build > latest.Status.Build {
 		if len(a.o.StageCaps) > 0 {
 			most = a.o.StageCaps[0]
 		}
 		return true, most, 0
 	}
-	if h.Build != latest.News.Build {
+	if h.Build != latest.Status.Build {
 		return false, 0, 0
 	}
 	// What was sent lately may not have been read, and a lower cap counts only after the grace.
 	earliest := h.At - a.slack - a.o.DrainGrace
 	for i := range a.news[s] {
 		e := &a.news[s][i]
-		if e.At > h.At || !e.News.Valid || e.News.Build != h.Build {
+		if e.At > h.At || !e.Status.Valid || e.Status.Build != h.Build {
 			continue
 		}
 		until := never
 		for j := i + 1; j < len(a.news[s]); j++ {
-			if n := &a.news[s][j]; n.News.Valid {
+			if n := &a.news[s][j]; n.Status.Valid {
 				until = a.informed(s, n.At) + a.o.DrainGrace
 				break
 			}
@@ -689,17 +689,17 @@
 		if until <= earliest {
 			continue
 		}
-		if e.News.Phase == logic.Released && until > h.At-a.slack {
+		if e.Status.Phase == logic.Released && until > h.At-a.slack {
 			return false, 0, 0
 		}
-		if c := e.News.Cap; until > h.At && c >= most {
+		if c := e.Status.Cap; until > h.At && c >= most {
 			most = c
 		}
 	}
 	// Recounted from the last time that a lower cap came into force.
 	for i := 1; i < len(a.news[s]); i++ {
 		n, old := &a.news[s][i], &a.news[s][i-1]
-		if n.News.Valid && n.News.Build == h.Build && n.News.Cap < old.News.Cap {
+		if n.Status.Valid && n.Status.Build == h.Build && n.Status.Cap < old.Status.Cap {
 			if from := a.informed(s, n.At) + a.o.DrainGrace; from <= h.At {
 				since = from
 			}
@@ -739,9 +739,9 @@
 	latest := a.newsAt(s, h.At)
 	before := a.newsAt(s, h.At-a.slack-a.o.DrainGrace)
 	guarded := func(e *Event) bool {
-		later := e != nil && e.News.Build < h.Build // one that nothing was told of is held to be in the first stage
+		later := e != nil && e.Status.Build < h.Build // one that nothing was told of is held to be in the first stage
 		return later && a.o.GuardedStages > 0 ||
-			e != nil && e.News.Build == h.Build && e.News.Phase == logic.OnTrial && e.News.Stage < a.o.GuardedStages
+			e != nil && e.Status.Build == h.Build && e.Status.Phase == logic.OnTrial && e.Status.Stage < a.o.GuardedStages
 	}
 	if int(h.Profile) < len(a.o.Profiles) && a.o.Profiles[h.Profile].Repeatability != logic.Idempotent && guarded(latest) && guarded(before) {
 		a.breach(5, h.At, a.tries[h.Try], "sentry %d handed off what is not redoable to build %d at a guarded stage", s, h.Build)
@@ -761,13 +761,13 @@
 	}
 	m, known := keys[h.Key]
 	settled := a.newsAt(h.Sentry, h.At-a.slack-a.o.DrainGrace)
-	stands := settled != nil && settled.News.Build == m.build && n.News.Build == m.build &&
-		forwardIn(n.News.Phase) && forwardIn(settled.News.Phase)
+	stands := settled != nil && settled.Status.Build == m.build && n.Status.Build == m.build &&
+		forwardIn(n.Status.Phase) && forwardIn(settled.Status.Phase)
 	if known && stands && h.Build < m.build && h.At > a.informed(h.Sentry, m.at) && !a.bornAfter(h.Sentry, m.at, h.At) {
 		a.breach(5, h.At, a.tries[h.Try], "sentry %d handed key %q to build %d, after build %d had answered it", h.Sentry, h.Key,
 			h.Build, m.build)
 	}
-	if h.good && h.Build == n.News.Build && n.News.Phase == logic.OnTrial && (!known || h.Build > m.build) {
+	if h.good && h.Build == n.Status.Build && n.Status.Phase == logic.OnTrial && (!known || h.Build > m.build) {
 		t := a.tries[h.Try]
 		for _, e := range t.answers {
 			if e.Outcome == Satisfied {
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -27,7 +27,7 @@
 
 // fleet starts and drains workers for the desk.
 type fleet struct {
-	d      *Day
+	d      *Scenario
 	stage  *standin.Environment
 	list   *standin.Discovery
 	mu     sync.Mutex
@@ -36,12 +36,12 @@
 	since  map[*standin.Worker]*spot
 }
 
-func newFleet(d *Day, stage *standin.Environment, list *standin.Discovery) *fleet {
+func newFleet(d *Scenario, stage *standin.Environment, list *standin.Discovery) *fleet {
 	f := &fleet{d: d, stage: stage, list: list, since: map[*standin.Worker]*spot{}}
 	chance := rand.New(rand.NewSource(d.Seed))
-	zones := len(d.Sheet.Zones)
-	for i := range d.Fleet.Workers {
-		speed := 1 + d.Fleet.Spread*(2*chance.Float64()-1)
+	zones := len(d.Settings.Zones)
+	for i := range d.Fleet.WorkerCount {
+		speed := 1 + d.Fleet.SpeedSpread*(2*chance.Float64()-1)
 		f.places = append(f.places, &place{zone: i % zones, cell: i / 4, speed: speed})
 	}
 	return f
@@ -49,10 +49,10 @@
 
 // start has a place run a build.
 func (f *fleet) start(at *place, i int, b logic.BuildID, warm bool) *spot {
-	cores := f.d.Fleet.Cores
+	cores := f.d.Fleet.CoresPerWorker
 	w := standin.NewWorker(f.stage, logic.Worker{ID: logic.WorkerID(fmt.Sprintf("w%02d-b%d", i, b)), Build: b,
 		Zone: logic.ZoneID(at.zone), Cell: at.cell, Size: float64(cores)}, cores, at.speed)
-	w.WarmUp, w.ColdSpeedShare = f.d.Fleet.Cold, f.d.Fleet.ColdFrom
+	w.WarmUp, w.ColdSpeedShare = f.d.Fleet.WarmUp, f.d.Fleet.ColdSpeedShare
 	s := &spot{w: w, build: b}
 	at.workers = append(at.workers, s)
 	f.all = append(f.all, w)
@@ -62,7 +62,7 @@
 		return s
 	}
 	s.starting = true
-	time.AfterFunc(span(f.d.Fleet.Boot), func() {
+	time.AfterFunc(span(f.d.Fleet.StartDelay), func() {
 		if err := w.Start(false); err == nil {
 			f.list.ReportWorker(w, logic.Ready)
 		}
@@ -92,7 +92,7 @@
 			reached = false
 		case mine.starting:
 			reached = false
-		case !f.d.Sheet.Policy.EarlierWorkersStay:
+		case !f.d.Settings.Policy.EarlierWorkersStay:
 			f.drainAt(at, func(x logic.BuildID) bool { return x < b })
 		}
 	}
@@ -135,7 +135,7 @@
 // drainAt drains some workers of a place: listed as draining, turning new work away once sentries must know, stopped
 // when what it holds must be over.
 func (f *fleet) drainAt(at *place, which func(logic.BuildID) bool) {
-	o := &f.d.Sheet.Policy
+	o := &f.d.Settings.Policy
 	for _, s := range at.workers {
 		if s.draining || !which(s.build) {
 			continue
@@ -143,9 +143,9 @@
 		s.draining = true
 		w := s.w
 		f.list.ReportWorker(w, logic.Draining)
-		grace := span(f.d.Fleet.ListLate + o.DrainGrace)
+		grace := span(f.d.Fleet.ListDelay + o.DrainGrace)
 		time.AfterFunc(grace, w.Drain)
-		time.AfterFunc(grace+span(f.d.Sheet.MaxDeadline())+time.Second, func() {
+		time.AfterFunc(grace+span(f.d.Settings.MaxDeadline())+time.Second, func() {
 			f.list.ReportWorker(w, logic.Gone)
 			w.Stop()
 		})
--- a/internal/drill/fromday.go
+++ b/internal/drill/fromday.go
@@ -37,7 +37,7 @@
 
 // Take replaces the drill's releases and troubles by those of a day of the bench: the kinds and their order in time,
 // at the drill's length and the drill's numbers of workers and sentries. The day's own sizes stay where they are.
-func (d *Day) Take(data []byte) error {
+func (d *Scenario) ApplyBenchDay(data []byte) error {
 	var f dayFile
 	if err := json.Unmarshal(data, &f); err != nil {
 		return fmt.Errorf("found no day as the bench draws them: %w", err)
@@ -45,7 +45,7 @@
 	if f.Length <= 0 {
 		return fmt.Errorf("found a length of %d us, expected a day as the bench draws them", f.Length)
 	}
-	scale := min(1, float64(d.Length)/float64(f.Length))
+	scale := min(1, float64(d.Duration)/float64(f.Length))
 	at := func(m logic.Micros) logic.Micros { return logic.Micros(float64(m) * scale) }
 	part := func(n, of, have int) int {
 		if of == 0 {
@@ -53,35 +53,35 @@
 		}
 		return min(have, max(1, (n*have+of/2)/of))
 	}
-	d.Troubles, d.Releases = nil, nil
+	d.Faults, d.Releases = nil, nil
 	for i, r := range f.Fam.Releases {
 		m := standin.BuildBehavior{RelativeSpeed: max(0.1, r.Speed), FailingProfile: -1, SlowFactor: 1}
 		if r.Bad != "" {
-			m = bad(r.Bad, r.Strength, m.RelativeSpeed, logic.ProfileID(min(r.Class, len(d.Sheet.ProfileNames)-1)))
+			m = bad(r.Bad, r.Strength, m.RelativeSpeed, logic.ProfileID(min(r.Class, len(d.Settings.ProfileNames)-1)))
 		}
-		d.Releases = append(d.Releases, Release{Build: logic.BuildID(firstBuild + 1 + i), At: at(r.At), Make: m})
+		d.Releases = append(d.Releases, Release{Build: logic.BuildID(firstBuild + 1 + i), At: at(r.At), Behavior: m})
 	}
 	for _, x := range f.Troubles {
 		if x.Kind == "bad_build" { // the releases say how
 			continue
 		}
-		if !slices.Contains(Kinds, x.Kind) {
-			return fmt.Errorf("found a trouble %q, expected one of %v", x.Kind, Kinds)
+		if !slices.Contains(FaultKinds, x.Kind) {
+			return fmt.Errorf("found a trouble %q, expected one of %v", x.Kind, FaultKinds)
 		}
-		t := Trouble{Kind: x.Kind, At: at(x.At), For: max(second, at(x.Len)), First: x.Which,
-			Zone: -1, Size: defaultSize[x.Kind], Span: 100_000, How: "quiet"}
+		t := Fault{Kind: x.Kind, At: at(x.At), Duration: max(second, at(x.Len)), First: x.Which,
+			Zone: -1, Magnitude: defaultSize[x.Kind], Delay: 100_000, Mode: "quiet"}
 		switch x.Kind {
 		case "balancer_crash", "balancer_roll", "balancer_stall":
-			t.Count = part(len(x.On), len(f.Balancers), d.Sheet.Policy.Sentries)
+			t.Count = part(len(x.On), len(f.Balancers), d.Settings.Policy.Sentries)
 		case "zone_cut", "one_sided", "slow_link", "shift":
-			t.Zone = x.Which % len(d.Sheet.Zones)
+			t.Zone = x.Which % len(d.Settings.Zones)
 		default:
-			t.Count = part(len(x.On), len(f.Servers), d.Fleet.Workers)
+			t.Count = part(len(x.On), len(f.Servers), d.Fleet.WorkerCount)
 		}
-		t.At = min(t.At, max(0, d.Length-t.For))
-		d.Troubles = append(d.Troubles, t)
+		t.At = min(t.At, max(0, d.Duration-t.Duration))
+		d.Faults = append(d.Faults, t)
 	}
-	slices.SortStableFunc(d.Troubles, func(a, b Trouble) int { return int(a.At - b.At) })
+	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 	return nil
 }
 
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -18,12 +18,12 @@
 )
 
 // Plan is how a day is run.
-type Plan struct {
-	Program []string // runs this program; `sentry --config F` follows
-	Dir     string   // for the sentries' files and logs
-	Break   string   // rule that the first sentry breaks on purpose, empty if none
-	Random  bool     // sentries choose workers at random instead of by the module
-	Say     func(format string, args ...any)
+type Options struct {
+	Program       []string // runs this program; `sentry --config F` follows
+	Dir           string   // for the sentries' files and logs
+	BrokenRule    string   // rule that the first sentry breaks on purpose, empty if none
+	RandomWorkers bool     // sentries choose workers at random instead of by the module
+	Logf          func(format string, args ...any)
 }
 
 // process is one sentry's.
@@ -38,8 +38,8 @@
 }
 
 type runner struct {
-	d        *Day
-	p        Plan
+	d        *Scenario
+	p        Options
 	stage    *standin.Environment
 	list     *standin.Discovery
 	desk     *standin.ControlPlane
@@ -57,7 +57,7 @@
 }
 
 // Run plays a day and gives what became of it.
-func Run(d *Day, p Plan) (*Result, error) {
+func Run(d *Scenario, p Options) (*Result, error) {
 	if err := os.MkdirAll(p.Dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -77,9 +77,9 @@
 // prepare makes the stage and the links between zones.
 func (r *runner) prepare() {
 	d := r.d
-	r.stage = standin.NewEnvironment(&d.Sheet.Policy, d.Sheet.Zones, d.Seed)
-	for range d.Sheet.Zones {
-		row := make([]*standin.Impairment, len(d.Sheet.Zones))
+	r.stage = standin.NewEnvironment(&d.Settings.Policy, d.Settings.Zones, d.Seed)
+	for range d.Settings.Zones {
+		row := make([]*standin.Impairment, len(d.Settings.Zones))
 		for j := range row {
 			row[j] = &standin.Impairment{}
 		}
@@ -93,7 +93,7 @@
 	for i, row := range r.weather {
 		for j, w := range row {
 			if i != j {
-				w.Set(span(r.d.Fleet.Link), false)
+				w.Set(span(r.d.Fleet.LinkDelay), false)
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 	r.list.AddressFrom = r.reached
 	r.fleet = newFleet(d, r.stage, r.list)
 	r.desk = standin.NewControlPlane(r.stage, r.fleet, firstBuild)
-	r.desk.Delay = span(d.Fleet.NewsLate)
+	r.desk.Delay = span(d.Fleet.StatusDelay)
 	if err := errors.Join(r.list.Start(), r.desk.Start()); err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 	for i, at := range r.fleet.places { // these are listed at once
 		r.list.ReportWorker(r.fleet.start(at, i, firstBuild, true).w, logic.Ready)
 	}
-	r.list.Set(func(l *standin.Discovery) { l.Delay = span(d.Fleet.ListLate) })
+	r.list.Set(func(l *standin.Discovery) { l.Delay = span(d.Fleet.ListDelay) })
 	return nil
 }
 
@@ -126,18 +126,18 @@
 		return err
 	}
 	time.Sleep(50 * time.Millisecond)
-	for i := range d.Sheet.Policy.Sentries {
+	for i := range d.Settings.Policy.Sentries {
 		listen, err := standin.FreeAddress()
 		if err != nil {
 			return err
 		}
-		r.sentries = append(r.sentries, &process{position: i, zone: i % len(d.Sheet.Zones), listen: listen,
+		r.sentries = append(r.sentries, &process{position: i, zone: i % len(d.Settings.Zones), listen: listen,
 			config: filepath.Join(r.p.Dir, fmt.Sprintf("sentry-%d.hcl", i))})
 	}
 	for _, s := range r.sentries {
 		peers := map[int]string{}
 		for _, to := range r.sentries {
-			if s == to || !d.Sheet.Policy.MayMessage {
+			if s == to || !d.Settings.Policy.MayMessage {
 				continue
 			}
 			relay, err := standin.NewRelay(to.listen, r.peers, r.peers)
@@ -151,7 +151,7 @@
 		}
 		memory := filepath.Join(r.p.Dir, fmt.Sprintf("sentry-%d.list", s.position))
 		os.Remove(memory)
-		file := d.sentryFile(s.position, d.Sheet.Zones[s.zone], s.listen, memory, r.list.Address, r.desk.Address, peers)
+		file := d.sentryFile(s.position, d.Settings.Zones[s.zone], s.listen, memory, r.list.Address, r.desk.Address, peers)
 		if err := os.WriteFile(s.config, file, 0o644); err != nil {
 			return err
 		}
@@ -159,7 +159,7 @@
 			return err
 		}
 	}
-	for z := range d.Sheet.Zones {
+	for z := range d.Settings.Zones {
 		reach, order := map[logic.SentryID]string{}, []logic.SentryID(nil)
 		for _, s := range r.sentries {
 			if s.zone == z {
@@ -168,7 +168,7 @@
 			}
 		}
 		part := float64(len(order)) / float64(len(r.sentries))
-		r.callers = append(r.callers, standin.NewClientPool(r.stage, fmt.Sprintf("z%d/", z), d.Load, part, reach, order,
+		r.callers = append(r.callers, standin.NewClientPool(r.stage, fmt.Sprintf("z%d/", z), d.Workload, part, reach, order,
 			d.Seed*100+int64(z)))
 	}
 	return nil
@@ -177,7 +177,7 @@
 // reached is how a zone reaches a worker: directly at home, else over the relay of that link. It is called with the
 // list's lock held, on the poller: it takes no lock that is ever held for long, nor one under which the list is told.
 func (r *runner) reached(address, zone, from string) string {
-	at, to := slices.Index(r.d.Sheet.Zones, from), slices.Index(r.d.Sheet.Zones, zone)
+	at, to := slices.Index(r.d.Settings.Zones, from), slices.Index(r.d.Settings.Zones, zone)
 	if at == to || at < 0 || to < 0 {
 		return address
 	}
@@ -198,10 +198,10 @@
 // launch starts a sentry's process and waits until it listens.
 func (r *runner) launch(s *process) error {
 	args := append(append([]string(nil), r.p.Program[1:]...), "sentry", "--config", s.config)
-	if r.p.Break != "" && s.position == 0 {
-		args = append(args, "--break", r.p.Break)
+	if r.p.BrokenRule != "" && s.position == 0 {
+		args = append(args, "--break", r.p.BrokenRule)
 	}
-	if r.p.Random {
+	if r.p.RandomWorkers {
 		args = append(args, "--random")
 	}
 	log, err := os.OpenFile(filepath.Join(r.p.Dir, fmt.Sprintf("sentry-%d.log", s.position)),
@@ -211,7 +211,7 @@
 	}
 	cmd := exec.Command(r.p.Program[0], args...)
 	cmd.Stderr, cmd.Stdout = log, log
-	r.stage.Record(audit.Event{Kind: audit.SentryUp, Sentry: logic.SentryID(s.position)})
+	r.stage.Record(audit.Event{Kind: audit.SentryStarted, Sentry: logic.SentryID(s.position)})
 	if err := cmd.Start(); err != nil {
 		log.Close()
 		return err
@@ -219,7 +219,7 @@
 	exited := make(chan struct{})
 	go func() {
 		_ = cmd.Wait()
-		r.stage.Record(audit.Event{Kind: audit.SentryDown, Sentry: logic.SentryID(s.position)})
+		r.stage.Record(audit.Event{Kind: audit.SentryExited, Sentry: logic.SentryID(s.position)})
 		log.Close()
 		close(exited)
 	}()
@@ -268,28 +268,28 @@
 		c.Start()
 	}
 	for _, x := range r.d.Releases {
-		r.stage.SetBuildBehavior(x.Build, x.Make)
+		r.stage.SetBuildBehavior(x.Build, x.Behavior)
 		at(x.At, func() {
-			r.p.Say("%6.1f s  build %d offered", seconds(x.At), x.Build)
+			r.p.Logf("%6.1f s  build %d offered", seconds(x.At), x.Build)
 			r.desk.StartTrial(x.Build)
 		})
 	}
-	for _, t := range r.d.Troubles {
+	for _, t := range r.d.Faults {
 		at(t.At, func() {
-			r.p.Say("%6.1f s  %s for %.1f s", seconds(t.At), t.Kind, seconds(t.For))
+			r.p.Logf("%6.1f s  %s for %.1f s", seconds(t.At), t.Kind, seconds(t.Duration))
 			end := r.begin(t)
 			if end != nil {
 				r.restart.Add(1)
-				time.AfterFunc(span(t.For), func() { defer r.restart.Done(); end() })
+				time.AfterFunc(span(t.Duration), func() { defer r.restart.Done(); end() })
 			}
 		})
 	}
-	time.Sleep(time.Until(start.Add(span(r.d.Length))))
+	time.Sleep(time.Until(start.Add(span(r.d.Duration))))
 	for _, c := range r.callers {
 		c.Stop()
 	}
 	r.restart.Wait()
-	longest := r.d.Sheet.MaxDeadline()
+	longest := r.d.Settings.MaxDeadline()
 	// What is open closes by its limit; a client waits half as long again for an answer that is late.
 	for end := time.Now().Add(span(longest)*3/2 + time.Second); time.Now().Before(end) && r.open() > 0; {
 		time.Sleep(20 * time.Millisecond)
--- a/internal/drill/trouble.go
+++ b/internal/drill/trouble.go
@@ -13,7 +13,7 @@
 )
 
 // begin brings a trouble about and gives what ends it, nil if nothing does.
-func (r *runner) begin(t Trouble) (end func()) {
+func (r *runner) begin(t Fault) (end func()) {
 	switch t.Kind {
 	case "balancer_crash":
 		hit := r.pick(t)
@@ -36,7 +36,7 @@
 				s.trouble.Lock()
 				r.signal(s, syscall.SIGTERM)
 				<-s.exited
-				time.Sleep(span(t.Span))
+				time.Sleep(span(t.Delay))
 				r.relaunch(s)
 				s.trouble.Unlock()
 			}
@@ -44,32 +44,32 @@
 	case "balancer_stall":
 		hit := r.pick(t)
 		for _, s := range hit {
-			r.stage.Record(audit.Event{Kind: audit.Stopped, Sentry: logic.SentryID(s.position)})
+			r.stage.Record(audit.Event{Kind: audit.SentryPaused, Sentry: logic.SentryID(s.position)})
 			r.signal(s, syscall.SIGSTOP)
 		}
 		return func() {
 			for _, s := range hit {
 				r.signal(s, syscall.SIGCONT)
-				r.stage.Record(audit.Event{Kind: audit.Resumed, Sentry: logic.SentryID(s.position)})
+				r.stage.Record(audit.Event{Kind: audit.SentryResumed, Sentry: logic.SentryID(s.position)})
 				s.trouble.Unlock()
 			}
 		}
 	case "reload":
 		return r.reload(t)
 	case "burst":
-		return r.callersWith(t, func(c *standin.ClientPool) { c.LoadFactor = t.Size }, func(c *standin.ClientPool) { c.LoadFactor = 1 })
+		return r.callersWith(t, func(c *standin.ClientPool) { c.LoadFactor = t.Magnitude }, func(c *standin.ClientPool) { c.LoadFactor = 1 })
 	case "hot_key":
-		return r.callersWith(t, func(c *standin.ClientPool) { c.HotKeyShare = t.Size }, func(c *standin.ClientPool) { c.HotKeyShare = 0 })
+		return r.callersWith(t, func(c *standin.ClientPool) { c.HotKeyShare = t.Magnitude }, func(c *standin.ClientPool) { c.HotKeyShare = 0 })
 	case "hot_caller":
-		return r.callersWith(t, func(c *standin.ClientPool) { c.HotAccountShare = t.Size }, func(c *standin.ClientPool) { c.HotAccountShare = 0 })
+		return r.callersWith(t, func(c *standin.ClientPool) { c.HotAccountShare = t.Magnitude }, func(c *standin.ClientPool) { c.HotAccountShare = 0 })
 	case "shift":
 		return r.shift(t)
 	case "control_down":
-		late := span(r.d.Fleet.NewsLate)
+		late := span(r.d.Fleet.StatusDelay)
 		r.desk.Set(func(d *standin.ControlPlane) {
-			d.Silent, d.Deny = t.How == "quiet", t.How == "deny"
-			if t.How == "late" {
-				d.Delay = late + span(t.Span)
+			d.Silent, d.Deny = t.Mode == "quiet", t.Mode == "deny"
+			if t.Mode == "late" {
+				d.Delay = late + span(t.Delay)
 			}
 		})
 		return func() { r.desk.Set(func(d *standin.ControlPlane) { d.Silent, d.Deny, d.Delay = false, false, late }) }
@@ -87,30 +87,30 @@
 			}
 		}
 	case "fast_errors":
-		return r.workersWith(t, func(w *standin.Worker) { w.FastErrorShare = t.Size }, func(w *standin.Worker) { w.FastErrorShare = 0 })
+		return r.workersWith(t, func(w *standin.Worker) { w.FastErrorShare = t.Magnitude }, func(w *standin.Worker) { w.FastErrorShare = 0 })
 	case "handshake_slow":
-		return r.workersWith(t, func(w *standin.Worker) { w.HandshakeDelay = span(t.Span) }, func(w *standin.Worker) { w.HandshakeDelay = 0 })
+		return r.workersWith(t, func(w *standin.Worker) { w.HandshakeDelay = span(t.Delay) }, func(w *standin.Worker) { w.HandshakeDelay = 0 })
 	case "probe_fail":
 		return r.workersWith(t, func(w *standin.Worker) { w.IgnoresProbes = true }, func(w *standin.Worker) { w.IgnoresProbes = false })
 	case "slow":
-		return r.workersWith(t, func(w *standin.Worker) { w.SlowFactor = t.Size }, func(w *standin.Worker) { w.SlowFactor = 1 })
+		return r.workersWith(t, func(w *standin.Worker) { w.SlowFactor = t.Magnitude }, func(w *standin.Worker) { w.SlowFactor = 1 })
 	case "neighbour":
 		return r.neighbour(t)
 	case "peer_down":
 		r.peers.Set(0, true)
 		return func() { r.peers.Set(0, false) }
 	case "slow_link":
-		return r.links(t, span(r.d.Fleet.Link+t.Span), false, true)
+		return r.links(t, span(r.d.Fleet.LinkDelay+t.Delay), false, true)
 	case "zone_cut":
-		return r.links(t, span(r.d.Fleet.Link), true, true)
+		return r.links(t, span(r.d.Fleet.LinkDelay), true, true)
 	case "one_sided":
-		return r.links(t, span(r.d.Fleet.Link), true, false)
+		return r.links(t, span(r.d.Fleet.LinkDelay), true, false)
 	}
 	return nil
 }
 
 // pick takes sentries that are in no trouble yet.
-func (r *runner) pick(t Trouble) (hit []*process) {
+func (r *runner) pick(t Fault) (hit []*process) {
 	for i := range min(t.Count, len(r.sentries)) {
 		if s := r.sentries[(t.First+i)%len(r.sentries)]; s.trouble.TryLock() {
 			hit = append(hit, s)
@@ -123,11 +123,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err := r.launch(s); err != nil {
-		r.p.Say("          %v", err)
+		r.p.Logf("          %v", err)
 	}
 }
 
-func (r *runner) callersWith(t Trouble, on, off func(*standin.ClientPool)) func() {
+func (r *runner) callersWith(t Fault, on, off func(*standin.ClientPool)) func() {
 	each := func(f func(*standin.ClientPool)) {
 		for z, c := range r.callers {
 			if t.Zone < 0 || t.Zone == z {
@@ -139,7 +139,7 @@
 	return func() { each(off) }
 }
 
-func (r *runner) workersWith(t Trouble, on, off func(*standin.Worker)) func() {
+func (r *runner) workersWith(t Fault, on, off func(*standin.Worker)) func() {
 	hit := r.fleet.some(t.First, t.Count, t.Zone)
 	for _, w := range hit {
 		w.Set(on)
@@ -152,7 +152,7 @@
 }
 
 // neighbour has another program take part of some machines, on and off.
-func (r *runner) neighbour(t Trouble) func() {
+func (r *runner) neighbour(t Fault) func() {
 	hit := r.fleet.some(t.First, t.Count, t.Zone)
 	done := make(chan struct{})
 	var over sync.WaitGroup
@@ -164,14 +164,14 @@
 				w.Set(func(w *standin.Worker) {
 					w.SlowFactor = 1
 					if on {
-						w.SlowFactor = t.Size
+						w.SlowFactor = t.Magnitude
 					}
 				})
 			}
 			select {
 			case <-done:
 				return
-			case <-time.After(span(t.Span) * 5):
+			case <-time.After(span(t.Delay) * 5):
 			}
 		}
 	}()
@@ -186,7 +186,7 @@
 
 // reload rewrites sentries' files every so often, each other time with a fault in it, and at the end as they were. Every
 // third time the sentry is told by SIGHUP at once; else it finds out by itself.
-func (r *runner) reload(t Trouble) func() {
+func (r *runner) reload(t Fault) func() {
 	hit := r.pick(t)
 	whole := make([][]byte, len(hit))
 	for i, s := range hit {
@@ -209,7 +209,7 @@
 			select {
 			case <-done:
 				return
-			case <-time.After(span(t.Span)):
+			case <-time.After(span(t.Delay)):
 			}
 		}
 	})
@@ -232,13 +232,13 @@
 }
 
 // shift moves a share of one zone's traffic to the next zone.
-func (r *runner) shift(t Trouble) func() {
+func (r *runner) shift(t Fault) func() {
 	from := max(0, t.Zone)
 	to := (from + 1) % len(r.callers)
 	was, other := r.callers[from].LoadShare(), r.callers[to].LoadShare()
 	if from != to {
-		r.callers[from].SetLoadShare(was * (1 - t.Size))
-		r.callers[to].SetLoadShare(other + was*t.Size)
+		r.callers[from].SetLoadShare(was * (1 - t.Magnitude))
+		r.callers[to].SetLoadShare(other + was*t.Magnitude)
 	}
 	return func() {
 		r.callers[from].SetLoadShare(was)
@@ -247,7 +247,7 @@
 }
 
 // links sets the weather between a zone and all others: on the way out of it, and back.
-func (r *runner) links(t Trouble, delay time.Duration, cut, both bool) func() {
+func (r *runner) links(t Fault, delay time.Duration, cut, both bool) func() {
 	z := max(0, t.Zone)
 	set := func(delay time.Duration, cut bool) {
 		for other := range r.weather {
@@ -260,5 +260,5 @@
 		}
 	}
 	set(delay, cut)
-	return func() { set(span(r.d.Fleet.Link), false) }
+	return func() { set(span(r.d.Fleet.LinkDelay), false) }
 }
--- a/internal/drill/trouble_test.go
+++ b/internal/drill/trouble_test.go
@@ -21,14 +21,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &runner{d: d, p: Plan{Say: t.Logf}, reach: map[string]string{}, peers: &standin.Impairment{}}
+	r := &runner{d: d, p: Options{Logf: t.Logf}, reach: map[string]string{}, peers: &standin.Impairment{}}
 	r.prepare()
 	defer r.close()
 	if err := r.services(); err != nil {
 		t.Fatal(err)
 	}
-	for i := range d.Sheet.Zones {
-		r.callers = append(r.callers, standin.NewClientPool(r.stage, "", d.Load, 1/float64(len(d.Sheet.Zones)), nil, nil, int64(i)))
+	for i := range d.Settings.Zones {
+		r.callers = append(r.callers, standin.NewClientPool(r.stage, "", d.Workload, 1/float64(len(d.Settings.Zones)), nil, nil, int64(i)))
 	}
 	worker := func(f func(w *standin.Worker) bool) func() bool {
 		return func() (so bool) {
@@ -46,7 +46,7 @@
 	link := func(from, to int, delay time.Duration, cut bool) func() bool {
 		return func() bool { d, c := r.weather[from][to].Current(); return d == delay && c == cut }
 	}
-	usual := span(d.Fleet.Link)
+	usual := span(d.Fleet.LinkDelay)
 	cases := []struct {
 		kind, how string
 		acts      []func() bool
@@ -54,11 +54,11 @@
 		{"burst", "", []func() bool{caller(func(c *standin.ClientPool) bool { return c.LoadFactor == 3 })}},
 		{"hot_key", "", []func() bool{caller(func(c *standin.ClientPool) bool { return c.HotKeyShare == 3 })}},
 		{"hot_caller", "", []func() bool{caller(func(c *standin.ClientPool) bool { return c.HotAccountShare == 3 }),
-			func() bool { return len(d.Load.AccountShares) > 1 }}},
+			func() bool { return len(d.Workload.AccountShares) > 1 }}},
 		{"shift", "", []func() bool{func() bool { return r.callers[1].LoadShare() < 0 && r.callers[2].LoadShare() > 0.5 }}},
 		{"control_down", "quiet", []func() bool{desk(func(d *standin.ControlPlane) bool { return d.Silent && !d.Deny })}},
 		{"control_down", "deny", []func() bool{desk(func(d *standin.ControlPlane) bool { return d.Deny && !d.Silent })}},
-		{"control_down", "late", []func() bool{desk(func(x *standin.ControlPlane) bool { return x.Delay > span(d.Fleet.NewsLate) })}},
+		{"control_down", "late", []func() bool{desk(func(x *standin.ControlPlane) bool { return x.Delay > span(d.Fleet.StatusDelay) })}},
 		{"crash", "", []func() bool{func() bool { up, _, _ := r.fleet.all[2].RunState(); return !up }}},
 		{"fast_errors", "", []func() bool{worker(func(w *standin.Worker) bool { return w.FastErrorShare == 3 })}},
 		{"handshake_slow", "", []func() bool{worker(func(w *standin.Worker) bool { return w.HandshakeDelay == 7*time.Millisecond })}},
@@ -94,7 +94,7 @@
 			return n
 		}
 		before := holds()
-		end := r.begin(Trouble{Kind: c.kind, How: c.how, Count: 3, First: 1, Size: 3, Span: 7000, Zone: zoneOf(c.kind)})
+		end := r.begin(Fault{Kind: c.kind, Mode: c.how, Count: 3, First: 1, Magnitude: 3, Delay: 7000, Zone: zoneOf(c.kind)})
 		if during := holds(); during != len(c.acts) || before == len(c.acts) {
 			t.Errorf("%s %s: %d of %d signs before it, %d while it lasts", c.kind, c.how, before, len(c.acts), during)
 		}
@@ -107,7 +107,7 @@
 		}
 	}
 	processes := []string{"bad_build", "balancer_crash", "balancer_roll", "balancer_stall", "reload"}
-	for _, k := range Kinds {
+	for _, k := range FaultKinds {
 		if !tried[k] && !slices.Contains(processes, k) {
 			t.Errorf("%s was not tried", k)
 		}
--- a/internal/plan/calendar.go
+++ b/internal/plan/calendar.go
@@ -16,21 +16,21 @@
 	Days     [7]bool // by time.Weekday: on which it opens
 	From, To int     // minutes from midnight; To before or at From is on the next day
 	Zone     *time.Location
-	Except   []Span // dates on which it is shut
+	Except   []DateRange // dates on which it is shut
 }
 
 // Span is dates, both included, as year*10000 + month*100 + day.
-type Span struct{ First, Last int }
+type DateRange struct{ First, Last int }
 
 const day = 24 * 60
 
 func date(t time.Time) int { return t.Year()*10000 + int(t.Month())*100 + t.Day() }
 
 // Open says whether a moment lies in the window.
-func (w *Window) Open(t time.Time) bool {
+func (w *Window) IsOpen(t time.Time) bool {
 	t = t.In(w.Zone)
 	today := date(t)
-	if slices.ContainsFunc(w.Except, func(s Span) bool { return s.First <= today && today <= s.Last }) {
+	if slices.ContainsFunc(w.Except, func(s DateRange) bool { return s.First <= today && today <= s.Last }) {
 		return false
 	}
 	minute, on := t.Hour()*60+t.Minute(), int(t.Weekday())
@@ -44,9 +44,9 @@
 const horizon = 3 * 366 * 24 * time.Hour
 
 // Next is the first moment from t on at which the window is open, or shut. False if there is none in three years.
-func (w *Window) Next(t time.Time, open bool) (time.Time, bool) {
+func (w *Window) NextTime(t time.Time, open bool) (time.Time, bool) {
 	for end := t.Add(horizon); t.Before(end); t = w.boundary(t) {
-		if w.Open(t) == open {
+		if w.IsOpen(t) == open {
 			return t, true
 		}
 	}
@@ -72,7 +72,7 @@
 }
 
 // ParseClock reads 09:30 as minutes from midnight; 24:00 is the end of the day.
-func ParseClock(s string) (int, error) {
+func ParseTimeOfDay(s string) (int, error) {
 	if s == "24:00" {
 		return day, nil
 	}
@@ -84,7 +84,7 @@
 }
 
 // ParseSpan reads a date as 2026-12-24, or two with " to " between.
-func ParseSpan(s string) (Span, error) {
+func ParseDateRange(s string) (DateRange, error) {
 	var dates [2]int
 	first, last, two := s, "", false
 	if len(s) == 24 && s[10:14] == " to " {
@@ -97,12 +97,12 @@
 		}
 		t, err := time.Parse("2006-01-02", part)
 		if err != nil {
-			return Span{}, fmt.Errorf("found %q, expected a date as 2026-12-24, or two with \" to \" between", s)
+			return DateRange{}, fmt.Errorf("found %q, expected a date as 2026-12-24, or two with \" to \" between", s)
 		}
 		dates[i] = date(t)
 	}
 	if dates[1] < dates[0] {
-		return Span{}, fmt.Errorf("found %q, expected its second date not before its first", s)
+		return DateRange{}, fmt.Errorf("found %q, expected its second date not before its first", s)
 	}
-	return Span{dates[0], dates[1]}, nil
+	return DateRange{dates[0], dates[1]}, nil
 }
--- a/internal/plan/calendar_test.go
+++ b/internal/plan/calendar_test.go
@@ -16,7 +16,7 @@
 }
 
 func clock(t *testing.T, s string) int {
-	m, err := ParseClock(s)
+	m, err := ParseTimeOfDay(s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +44,8 @@
 		{Window{Days: friday, From: clock(t, "22:00"), To: clock(t, "02:00"), Zone: time.UTC}, "2026-12-05T01:59:59Z", true},
 		{Window{Days: friday, From: clock(t, "22:00"), To: clock(t, "02:00"), Zone: time.UTC}, "2026-12-05T02:00:00Z", false},
 		{Window{Days: friday, From: clock(t, "22:00"), To: clock(t, "02:00"), Zone: time.UTC}, "2026-12-04T01:00:00Z", false},
-		{Window{Days: friday, From: clock(t, "22:00"), To: clock(t, "24:00"), Zone: time.UTC, Except: []Span{{20261204, 20261204}}}, "2026-12-04T23:00:00Z", false},
-		{Window{Days: friday, From: clock(t, "22:00"), To: clock(t, "24:00"), Zone: time.UTC, Except: []Span{{20261203, 20261203}}}, "2026-12-04T23:59:59Z", true},
+		{Window{Days: friday, From: clock(t, "22:00"), To: clock(t, "24:00"), Zone: time.UTC, Except: []DateRange{{20261204, 20261204}}}, "2026-12-04T23:00:00Z", false},
+		{Window{Days: friday, From: clock(t, "22:00"), To: clock(t, "24:00"), Zone: time.UTC, Except: []DateRange{{20261203, 20261203}}}, "2026-12-04T23:59:59Z", true},
 		// The date is that of the zone: in Kingston it is still Friday.
 		{Window{Days: friday, From: 0, To: clock(t, "24:00"), Zone: zone(t, "America/Jamaica")}, "2026-12-05T04:59:59Z", true},
 		{Window{Days: friday, From: 0, To: clock(t, "24:00"), Zone: zone(t, "America/Jamaica")}, "2026-12-05T05:00:00Z", false},
@@ -54,12 +54,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := x.w.Open(at); got != x.open {
+		if got := x.w.IsOpen(at); got != x.open {
 			t.Errorf("%s of %d to %d in %v: open %v", x.at, x.w.From, x.w.To, x.w.Zone, got)
 		}
 	}
-	never := Window{Days: friday, From: 0, To: 60, Zone: time.UTC, Except: []Span{{20200101, 20990101}}}
-	if at, is := never.Next(time.Unix(1_800_000_000, 0), true); is {
+	never := Window{Days: friday, From: 0, To: 60, Zone: time.UTC, Except: []DateRange{{20200101, 20990101}}}
+	if at, is := never.NextTime(time.Unix(1_800_000_000, 0), true); is {
 		t.Errorf("a window that is always shut opens at %v", at)
 	}
 }
@@ -82,12 +82,12 @@
 		start := rapid.SampledFrom(changes).Draw(t, "change").Add(time.Duration(rapid.IntRange(-2*day, day).Draw(t, "minutes")) * time.Minute)
 		if rapid.Bool().Draw(t, "except") {
 			on := start.AddDate(0, 0, rapid.IntRange(0, 2).Draw(t, "on"))
-			w.Except = []Span{{date(on), date(on)}}
+			w.Except = []DateRange{{date(on), date(on)}}
 		}
 		want := rapid.Bool().Draw(t, "open")
-		at, is := w.Next(start, want)
+		at, is := w.NextTime(start, want)
 		for m := start; m.Before(start.Add(4 * day * time.Minute)); m = m.Add(time.Minute) {
-			if w.Open(m) == want {
+			if w.IsOpen(m) == want {
 				if !is || !at.Equal(m) {
 					t.Fatalf("next %v at %v %v, by minutes at %v", want, at, is, m)
 				}
@@ -106,13 +106,13 @@
 
 func TestParse(t *testing.T) {
 	for s, want := range map[string]int{"00:00": 0, "09:30": 570, "24:00": day, "24:01": -1, "9:30": -1, "": -1, "12:60": -1, "noon": -1} {
-		if m, err := ParseClock(s); (err != nil) != (want < 0) || err == nil && m != want {
+		if m, err := ParseTimeOfDay(s); (err != nil) != (want < 0) || err == nil && m != want {
 			t.Errorf("%q: %d %v", s, m, err)
 		}
 	}
-	for s, want := range map[string]Span{"2026-12-24": {20261224, 20261224}, "2026-12-24 to 2027-01-02": {20261224, 20270102},
+	for s, want := range map[string]DateRange{"2026-12-24": {20261224, 20261224}, "2026-12-24 to 2027-01-02": {20261224, 20270102},
 		"2026-12-24 to 2026-12-23": {}, "2026-02-30": {}, "2026-12-24 to ": {}, "": {}} {
-		if s2, err := ParseSpan(s); (err != nil) != (want == Span{}) || s2 != want {
+		if s2, err := ParseDateRange(s); (err != nil) != (want == DateRange{}) || s2 != want {
 			t.Errorf("%q: %v %v", s, s2, err)
 		}
 	}
--- a/internal/plan/event.go
+++ b/internal/plan/event.go
@@ -9,14 +9,14 @@
 type EventKind string
 
 const (
-	Ticked   EventKind = "tick"
-	Reached  EventKind = "reached"
-	Heard    EventKind = "heard"
-	Voted    EventKind = "vote"
-	Approved EventKind = "approve"
-	Held     EventKind = "hold"
-	Resumed  EventKind = "resume"
-	Backed   EventKind = "back"
+	EventTick         EventKind = "tick"
+	EventFleetShare   EventKind = "reached"
+	EventCapConfirmed EventKind = "heard"
+	EventVote         EventKind = "vote"
+	EventApproval     EventKind = "approve"
+	EventHold         EventKind = "hold"
+	EventResume       EventKind = "resume"
+	EventRollBack     EventKind = "back"
 )
 
 // Event is one thing that happened, as it is kept on disk. Which fields count depends on its kind.
@@ -28,31 +28,31 @@
 	Verdict  Verdict   `json:"verdict,omitempty"`
 	Approval string    `json:"approval,omitempty"`
 	Member   Member    `json:"member,omitempty"`
-	Name     string    `json:"name,omitempty"` // of the approval given, its own
+	GrantID  string    `json:"name,omitempty"` // of the approval given, its own
 	Share    float64   `json:"share,omitempty"`
 }
 
 // Step takes an event. The same events from the same state give the same effects and state. One that is refused changes
 // nothing but the clock.
-func (r *Release) Step(e *Event) ([]Effect, error) {
+func (r *Release) Apply(e *Event) ([]Action, error) {
 	switch e.Kind {
-	case Ticked:
+	case EventTick:
 		return r.Tick(e.At), nil
-	case Reached:
-		return r.Reached(e.At, e.Share), nil
-	case Heard:
-		return r.Heard(e.At, e.Share), nil
-	case Voted:
+	case EventFleetShare:
+		return r.UpdateFleetShare(e.At, e.Share), nil
+	case EventCapConfirmed:
+		return r.ConfirmCap(e.At, e.Share), nil
+	case EventVote:
 		return r.Vote(e.At, e.Sentry, e.Wave, e.Verdict)
-	case Approved:
-		return r.Approve(e.At, e.Approval, e.Member, e.Name)
-	case Held:
+	case EventApproval:
+		return r.Approve(e.At, e.Approval, e.Member, e.GrantID)
+	case EventHold:
 		r.Hold(e.At)
 		return nil, nil
-	case Resumed:
+	case EventResume:
 		return r.Resume(e.At), nil
-	case Backed:
-		return r.Back(e.At)
+	case EventRollBack:
+		return r.RollBack(e.At)
 	}
 	return nil, fmt.Errorf("found an event of kind %q, expected one that is known", e.Kind)
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -53,25 +53,25 @@
 }
 
 // Fault is what is wrong with a part of a plan: a kind of block, which one of them, and its attribute.
-type Fault struct {
-	Kind      string
-	At        int
+type Problem struct {
+	BlockType string
+	Index     int
 	Attribute string // empty: the block as a whole
 	Text      string
 }
 
-func (f Fault) String() string {
-	return fmt.Sprintf("%s %d, %s: %s", f.Kind, f.At, f.Attribute, f.Text)
+func (f Problem) String() string {
+	return fmt.Sprintf("%s %d, %s: %s", f.BlockType, f.Index, f.Attribute, f.Text)
 }
 
 // Check finds all that a plan can never come to, as of a moment.
-func (p *Plan) Check(now time.Time) (faults []Fault) {
+func (p *Plan) Check(now time.Time) (faults []Problem) {
 	add := func(kind string, at int, attribute, format string, args ...any) {
-		faults = append(faults, Fault{kind, at, attribute, fmt.Sprintf(format, args...)})
+		faults = append(faults, Problem{kind, at, attribute, fmt.Sprintf(format, args...)})
 	}
 	for i := range p.Windows {
 		w := &p.Windows[i]
-		if _, opens := w.Next(now, true); !opens {
+		if _, opens := w.NextTime(now, true); !opens {
 			add("window", i, "", "found a window that does not open in three years, expected days, hours and dates that leave it some time")
 		}
 	}
@@ -119,7 +119,7 @@
 		if w.Back > p.Sentries {
 			add("wave", i, "back_votes", "found %d, expected at most the %d sentries: they can never come", w.Back, p.Sentries)
 		}
-		if _, opens := p.Begin(i, now); !opens {
+		if _, opens := p.WaveStart(i, now); !opens {
 			add("wave", i, "windows", "found a wave that no window can reach, expected one that opens")
 		}
 	}
@@ -131,14 +131,14 @@
 }
 
 // Begin is the first moment from t on at which a wave's windows let it begin. False if none does.
-func (p *Plan) Begin(wave int, t time.Time) (time.Time, bool) {
+func (p *Plan) WaveStart(wave int, t time.Time) (time.Time, bool) {
 	w := &p.Waves[wave]
 	if len(w.Windows) == 0 {
 		return t, true
 	}
 	var moments []time.Time
 	for _, at := range w.Windows {
-		if m, opens := p.Windows[at].Next(t, true); opens {
+		if m, opens := p.Windows[at].NextTime(t, true); opens {
 			moments = append(moments, m)
 		}
 	}
@@ -150,10 +150,10 @@
 
 // Earliest is when each wave begins and when the release is whole, if votes and approvals come at once and every wave
 // takes no longer than its bake.
-func (p *Plan) Earliest(from time.Time) (begins []time.Time, whole time.Time) {
+func (p *Plan) EarliestSchedule(from time.Time) (begins []time.Time, whole time.Time) {
 	t := from
 	for i := range p.Waves {
-		begin, ok := p.Begin(i, t)
+		begin, ok := p.WaveStart(i, t)
 		if !ok {
 			return begins, time.Time{}
 		}
@@ -164,7 +164,7 @@
 }
 
 // Summary says in a line what a wave waits for.
-func (p *Plan) Summary(wave int) string {
+func (p *Plan) WaveSummary(wave int) string {
 	w := &p.Waves[wave]
 	var parts []string
 	names := func(what string, all []string) {
--- a/internal/plan/release.go
+++ b/internal/plan/release.go
@@ -11,9 +11,9 @@
 type Phase int
 
 const (
-	Waiting   Phase = iota // no wave has begun
-	OnTrial                // the last wave that has begun is State.Wave
-	GoingBack              // sentries are told to send nothing, and the fleet is moved back after they have heard
+	Pending     Phase = iota // no wave has begun
+	OnTrial                  // the last wave that has begun is State.Wave
+	RollingBack              // sentries are told to send nothing, and the fleet is moved back after they have heard
 	Released
 	Withdrawn
 )
@@ -22,8 +22,8 @@
 type Verdict int
 
 const (
-	GoOn Verdict = iota + 1
-	GoBack
+	Advance Verdict = iota + 1
+	RollBack
 )
 
 type (
@@ -62,36 +62,36 @@
 }
 
 // Effect is what a step asks of the world. Effects are carried out in order, after the state is safe.
-type Effect struct {
-	Kind  EffectKind
+type Action struct {
+	Kind  ActionKind
 	Phase Phase   // Tell
 	Wave  int     // Tell
 	Cap   float64 // Tell
 	Share float64 // Move
 }
 
-type EffectKind int
+type ActionKind int
 
 const (
-	Tell EffectKind = iota // all sentries: phase, wave and cap
-	Move                   // the fleet: have this share run the build
+	SendStatus ActionKind = iota // all sentries: phase, wave and cap
+	MoveFleet                    // the fleet: have this share run the build
 )
 
 // Release is one plan on its way.
 type Release struct {
-	Plan     *Plan
-	VoteLife time.Duration
-	State    State
+	Plan         *Plan
+	VoteLifetime time.Duration
+	State        State
 }
 
 // New makes a release that has not begun.
 func New(p *Plan, voteLife time.Duration) *Release {
-	return &Release{Plan: p, VoteLife: voteLife,
+	return &Release{Plan: p, VoteLifetime: voteLife,
 		State: State{Wave: -1, Waived: -1, Votes: map[Sentry]Vote{}, Seen: map[string]bool{}}}
 }
 
 // Tick has the release do what its time has come for.
-func (r *Release) Tick(at time.Time) []Effect {
+func (r *Release) Tick(at time.Time) []Action {
 	r.clock(at)
 	return r.advance()
 }
@@ -103,47 +103,47 @@
 }
 
 // Reached says which share of the fleet runs the build.
-func (r *Release) Reached(at time.Time, share float64) []Effect {
+func (r *Release) UpdateFleetShare(at time.Time, share float64) []Action {
 	r.clock(at)
 	s := &r.State
 	s.Fleet = share
-	if s.Phase == GoingBack && s.Fleet == 0 {
+	if s.Phase == RollingBack && s.Fleet == 0 {
 		s.Phase = Withdrawn
-		return []Effect{{Kind: Tell, Phase: Withdrawn, Wave: s.Wave}}
+		return []Action{{Kind: SendStatus, Phase: Withdrawn, Wave: s.Wave}}
 	}
 	return r.advance()
 }
 
 // Heard says that no sentry may send the build more than a cap any longer. Going back moves the fleet only then.
-func (r *Release) Heard(at time.Time, most float64) []Effect {
+func (r *Release) ConfirmCap(at time.Time, most float64) []Action {
 	r.clock(at)
-	if r.State.Phase == GoingBack && most == 0 {
-		return []Effect{{Kind: Move}}
+	if r.State.Phase == RollingBack && most == 0 {
+		return []Action{{Kind: MoveFleet}}
 	}
 	return nil
 }
 
 // Vote takes a sentry's vote. A vote to go on is about one wave; one to go back is about the build.
-func (r *Release) Vote(at time.Time, from Sentry, wave int, v Verdict) ([]Effect, error) {
+func (r *Release) Vote(at time.Time, from Sentry, wave int, v Verdict) ([]Action, error) {
 	r.clock(at)
 	s := &r.State
 	switch {
 	case from < 0 || int(from) >= r.Plan.Sentries:
 		return nil, fmt.Errorf("found a vote of sentry %d, expected one of %d", from, r.Plan.Sentries)
-	case v != GoOn && v != GoBack:
+	case v != Advance && v != RollBack:
 		return nil, fmt.Errorf("found verdict %d, expected on or back", v)
 	case s.Phase != OnTrial && s.Phase != Released:
 		return nil, fmt.Errorf("found a vote on a build that is not on trial, expected none")
-	case v == GoOn && wave != s.Wave:
+	case v == Advance && wave != s.Wave:
 		return nil, fmt.Errorf("found a vote on wave %d, expected one on %d", wave, s.Wave)
 	}
-	s.Votes[from] = Vote{wave, v, s.Now.Add(r.VoteLife)}
+	s.Votes[from] = Vote{wave, v, s.Now.Add(r.VoteLifetime)}
 	return r.advance(), nil
 }
 
 // Approve takes a member's yes, which carries a name of its own. It counts from now on for as long as the approval is
 // valid, once, and for the next wave that asks for it.
-func (r *Release) Approve(at time.Time, approval string, by Member, name string) ([]Effect, error) {
+func (r *Release) Approve(at time.Time, approval string, by Member, name string) ([]Action, error) {
 	r.clock(at)
 	s := &r.State
 	which := slices.IndexFunc(r.Plan.Approvals, func(a Approval) bool { return a.Name == approval })
@@ -152,7 +152,7 @@
 	}
 	a := &r.Plan.Approvals[which]
 	switch group := &r.Plan.Groups[a.Group]; {
-	case s.Phase != Waiting && s.Phase != OnTrial:
+	case s.Phase != Pending && s.Phase != OnTrial:
 		return nil, fmt.Errorf("found an approval for a release that is over, expected none")
 	case !slices.Contains(group.Members, string(by)):
 		return nil, fmt.Errorf("found an approval by %q, expected a member of %s", by, group.Name)
@@ -178,46 +178,46 @@
 }
 
 // Resume lifts the hold, and that of the next wave's own.
-func (r *Release) Resume(at time.Time) []Effect {
+func (r *Release) Resume(at time.Time) []Action {
 	r.clock(at)
 	r.State.Held, r.State.Waived = false, r.State.Wave+1
 	return r.advance()
 }
 
 // Back begins the way back by hand.
-func (r *Release) Back(at time.Time) ([]Effect, error) {
+func (r *Release) RollBack(at time.Time) ([]Action, error) {
 	r.clock(at)
-	if p := r.State.Phase; p == GoingBack || p == Withdrawn {
+	if p := r.State.Phase; p == RollingBack || p == Withdrawn {
 		return nil, fmt.Errorf("found a release that goes back already, expected one that does not")
 	}
 	return r.back(), nil
 }
 
-func (r *Release) back() []Effect {
+func (r *Release) back() []Action {
 	s := &r.State
-	s.Phase, s.Cap, s.Grants = GoingBack, 0, nil
+	s.Phase, s.Cap, s.Grants = RollingBack, 0, nil
 	clear(s.Votes)
-	return []Effect{{Kind: Tell, Phase: GoingBack, Wave: s.Wave}} // first the cap; the fleet moves when it is heard
+	return []Action{{Kind: SendStatus, Phase: RollingBack, Wave: s.Wave}} // first the cap; the fleet moves when it is heard
 }
 
 // advance goes as far as votes, approvals, windows and the fleet allow.
-func (r *Release) advance() (effects []Effect) {
+func (r *Release) advance() (effects []Action) {
 	s := &r.State
 	if s.Phase == OnTrial || s.Phase == Released {
-		if r.votes(GoBack) >= r.Plan.Waves[s.Wave].Back {
+		if r.votes(RollBack) >= r.Plan.Waves[s.Wave].Back {
 			return r.back()
 		}
 	}
 	if s.Phase == OnTrial && s.Ready.IsZero() && s.Fleet >= r.Plan.Waves[s.Wave].Share { // the fleet can bear the cap now
 		s.Ready, s.Cap = s.Now, r.Plan.Waves[s.Wave].Cap
-		effects = append(effects, Effect{Kind: Tell, Phase: OnTrial, Wave: s.Wave, Cap: s.Cap})
+		effects = append(effects, Action{Kind: SendStatus, Phase: OnTrial, Wave: s.Wave, Cap: s.Cap})
 	}
-	if s.Phase == OnTrial && !r.done() || s.Phase != Waiting && s.Phase != OnTrial {
+	if s.Phase == OnTrial && !r.done() || s.Phase != Pending && s.Phase != OnTrial {
 		return effects
 	}
 	if s.Wave == len(r.Plan.Waves)-1 {
 		s.Phase, s.Cap = Released, 1
-		return append(effects, Effect{Kind: Tell, Phase: Released, Wave: s.Wave, Cap: 1})
+		return append(effects, Action{Kind: SendStatus, Phase: Released, Wave: s.Wave, Cap: 1})
 	}
 	if !r.mayBegin(s.Wave + 1) {
 		return effects
@@ -227,19 +227,19 @@
 	s.Grants = slices.DeleteFunc(s.Grants, func(g Grant) bool { // used, and not to be used again
 		return slices.Contains(r.Plan.Waves[s.Wave].Approvals, g.Approval)
 	})
-	effects = append(effects, Effect{Kind: Move, Share: r.Plan.Waves[s.Wave].Share})
+	effects = append(effects, Action{Kind: MoveFleet, Share: r.Plan.Waves[s.Wave].Share})
 	return append(effects, r.advance()...) // the fleet may have the share already
 }
 
 // done says that the present wave has baked and has its votes, and that the fleet has not lost its share meanwhile.
 func (r *Release) done() bool {
 	s, w := &r.State, &r.Plan.Waves[r.State.Wave]
-	return !s.Ready.IsZero() && s.Fleet >= w.Share && s.Now.Sub(s.Ready) >= w.Bake && r.votes(GoOn) >= w.On
+	return !s.Ready.IsZero() && s.Fleet >= w.Share && s.Now.Sub(s.Ready) >= w.Bake && r.votes(Advance) >= w.On
 }
 
 func (r *Release) votes(v Verdict) (n int) {
 	for _, x := range r.State.Votes {
-		if x.Verdict == v && r.State.Now.Before(x.Until) && (v == GoBack || x.Wave == r.State.Wave) {
+		if x.Verdict == v && r.State.Now.Before(x.Until) && (v == RollBack || x.Wave == r.State.Wave) {
 			n++
 		}
 	}
@@ -251,7 +251,7 @@
 	if s.Held || w.Hold && s.Waived != wave {
 		return false
 	}
-	if len(w.Windows) > 0 && !slices.ContainsFunc(w.Windows, func(at int) bool { return r.Plan.Windows[at].Open(s.Now) }) {
+	if len(w.Windows) > 0 && !slices.ContainsFunc(w.Windows, func(at int) bool { return r.Plan.Windows[at].IsOpen(s.Now) }) {
 		return false
 	}
 	for _, a := range w.Approvals {
@@ -269,14 +269,14 @@
 }
 
 // Standing is what holds at present: what a desk that comes back tells again and asks of the fleet again.
-func (r *Release) Standing() []Effect {
+func (r *Release) CurrentActions() []Action {
 	s := &r.State
-	tell := Effect{Kind: Tell, Phase: s.Phase, Wave: s.Wave, Cap: s.Cap}
+	tell := Action{Kind: SendStatus, Phase: s.Phase, Wave: s.Wave, Cap: s.Cap}
 	switch s.Phase {
 	case OnTrial, Released:
-		return []Effect{tell, {Kind: Move, Share: r.Plan.Waves[s.Wave].Share}}
-	case GoingBack, Withdrawn: // the fleet is moved when Heard says so
-		return []Effect{tell}
+		return []Action{tell, {Kind: MoveFleet, Share: r.Plan.Waves[s.Wave].Share}}
+	case RollingBack, Withdrawn: // the fleet is moved when Heard says so
+		return []Action{tell}
 	}
 	return nil
 }
--- a/internal/plan/release_test.go
+++ b/internal/plan/release_test.go
@@ -22,10 +22,10 @@
 
 func at(minutes float64) time.Time { return start.Add(time.Duration(minutes * float64(time.Minute))) }
 
-func show(effects []Effect) string {
+func show(effects []Action) string {
 	var all []string
 	for _, e := range effects {
-		if e.Kind == Move {
+		if e.Kind == MoveFleet {
 			all = append(all, fmt.Sprintf("move %g", e.Share))
 		} else {
 			all = append(all, fmt.Sprintf("tell %d/%d %g", e.Phase, e.Wave, e.Cap))
@@ -37,46 +37,46 @@
 // One release from its first wave to the last, each step waiting for what it must.
 func TestAWholeRelease(t *testing.T) {
 	r := New(testPlan(), time.Hour)
-	approve := func(m float64, by Member, name string) func() ([]Effect, error) {
-		return func() ([]Effect, error) { return r.Approve(at(m), "two", by, name) }
+	approve := func(m float64, by Member, name string) func() ([]Action, error) {
+		return func() ([]Action, error) { return r.Approve(at(m), "two", by, name) }
 	}
-	vote := func(m float64, s Sentry, wave int, v Verdict) func() ([]Effect, error) {
-		return func() ([]Effect, error) { return r.Vote(at(m), s, wave, v) }
+	vote := func(m float64, s Sentry, wave int, v Verdict) func() ([]Action, error) {
+		return func() ([]Action, error) { return r.Vote(at(m), s, wave, v) }
 	}
-	good := func(f func() []Effect) func() ([]Effect, error) { return func() ([]Effect, error) { return f(), nil } }
+	good := func(f func() []Action) func() ([]Action, error) { return func() ([]Action, error) { return f(), nil } }
 	for i, x := range []struct {
-		step        func() ([]Effect, error)
+		step        func() ([]Action, error)
 		want, fault string
 	}{
-		{vote(0, 1, 0, GoOn), "", "not on trial"},
-		{good(func() []Effect { return r.Tick(at(0)) }), "move 0.1", ""},
-		{good(func() []Effect { return r.Tick(at(30)) }), "", ""}, // the fleet has not moved: no cap, no bake
-		{good(func() []Effect { return r.Reached(at(31), 0.1) }), "tell 1/0 0.2", ""},
-		{vote(32, 9, 0, GoOn), "", "one of 4"}, {vote(32, 1, 1, GoOn), "", "one on 0"}, {vote(32, 1, 0, 7), "", "expected on or back"},
-		{vote(32, 1, 0, GoOn), "", ""},
+		{vote(0, 1, 0, Advance), "", "not on trial"},
+		{good(func() []Action { return r.Tick(at(0)) }), "move 0.1", ""},
+		{good(func() []Action { return r.Tick(at(30)) }), "", ""}, // the fleet has not moved: no cap, no bake
+		{good(func() []Action { return r.UpdateFleetShare(at(31), 0.1) }), "tell 1/0 0.2", ""},
+		{vote(32, 9, 0, Advance), "", "one of 4"}, {vote(32, 1, 1, Advance), "", "one on 0"}, {vote(32, 1, 0, 7), "", "expected on or back"},
+		{vote(32, 1, 0, Advance), "", ""},
 		{approve(33, "d", "n1"), "", "a member of g"}, {approve(33, "a", "n2"), "", ""}, {approve(33, "a", "n2"), "", "twice"},
-		{good(func() []Effect { return r.Tick(at(42)) }), "", ""}, // baked, but one approval short
+		{good(func() []Action { return r.Tick(at(42)) }), "", ""}, // baked, but one approval short
 		{approve(43, "a", "n3"), "", ""},                          // the same member once more
-		{func() ([]Effect, error) { return r.Approve(at(43), "of another plan", "b", "n4") }, "", "one of this plan"},
-		{good(func() []Effect { r.Hold(at(44)); return nil }), "", ""}, {approve(44, "b", "n5"), "", ""}, // all there, but held at that moment
-		{good(func() []Effect { return r.Resume(at(45)) }), "move 0.5", ""},
-		{good(func() []Effect { return r.Reached(at(50), 0.5) }), "tell 1/1 0.6", ""},
+		{func() ([]Action, error) { return r.Approve(at(43), "of another plan", "b", "n4") }, "", "one of this plan"},
+		{good(func() []Action { r.Hold(at(44)); return nil }), "", ""}, {approve(44, "b", "n5"), "", ""}, // all there, but held at that moment
+		{good(func() []Action { return r.Resume(at(45)) }), "move 0.5", ""},
+		{good(func() []Action { return r.UpdateFleetShare(at(50), 0.5) }), "tell 1/1 0.6", ""},
 		{approve(51, "c", "n6"), "", "no wave to come"},
-		{vote(51, 1, 1, GoOn), "", ""}, {vote(51, 1, 1, GoOn), "", ""}, // one sentry is one vote
-		{good(func() []Effect { return r.Tick(at(60)) }), "", ""},
-		{good(func() []Effect { return r.Tick(at(20)) }), "", ""}, // a clock set back
-		{vote(20, 2, 1, GoOn), "", ""},                            // counts as of 60; the next wave holds by itself
-		{good(func() []Effect { return r.Resume(at(61)) }), "move 1", ""},
-		{good(func() []Effect { return r.Reached(at(62), 0.9) }), "", ""},
-		{good(func() []Effect { return r.Reached(at(63), 1) }), "tell 1/2 1", ""},
-		{good(func() []Effect { return r.Tick(at(73)) }), "tell 3/2 1", ""},
+		{vote(51, 1, 1, Advance), "", ""}, {vote(51, 1, 1, Advance), "", ""}, // one sentry is one vote
+		{good(func() []Action { return r.Tick(at(60)) }), "", ""},
+		{good(func() []Action { return r.Tick(at(20)) }), "", ""}, // a clock set back
+		{vote(20, 2, 1, Advance), "", ""},                         // counts as of 60; the next wave holds by itself
+		{good(func() []Action { return r.Resume(at(61)) }), "move 1", ""},
+		{good(func() []Action { return r.UpdateFleetShare(at(62), 0.9) }), "", ""},
+		{good(func() []Action { return r.UpdateFleetShare(at(63), 1) }), "tell 1/2 1", ""},
+		{good(func() []Action { return r.Tick(at(73)) }), "tell 3/2 1", ""},
 		{approve(74, "a", "n7"), "", "over"},
-		{vote(75, 3, 2, GoBack), "tell 2/2 0", ""}, // released, and back all the same
-		{good(func() []Effect { r.Hold(at(75)); return r.Resume(at(75)) }), "", ""},
-		{vote(75, 3, 2, GoBack), "", "not on trial"},
-		{func() ([]Effect, error) { return r.Back(at(76)) }, "", "goes back already"},
-		{good(func() []Effect { return r.Heard(at(76), 0.6) }), "", ""}, {good(func() []Effect { return r.Heard(at(77), 0) }), "move 0", ""},
-		{good(func() []Effect { return r.Reached(at(78), 0.3) }), "", ""}, {good(func() []Effect { return r.Reached(at(79), 0) }), "tell 4/2 0", ""},
+		{vote(75, 3, 2, RollBack), "tell 2/2 0", ""}, // released, and back all the same
+		{good(func() []Action { r.Hold(at(75)); return r.Resume(at(75)) }), "", ""},
+		{vote(75, 3, 2, RollBack), "", "not on trial"},
+		{func() ([]Action, error) { return r.RollBack(at(76)) }, "", "goes back already"},
+		{good(func() []Action { return r.ConfirmCap(at(76), 0.6) }), "", ""}, {good(func() []Action { return r.ConfirmCap(at(77), 0) }), "move 0", ""},
+		{good(func() []Action { return r.UpdateFleetShare(at(78), 0.3) }), "", ""}, {good(func() []Action { return r.UpdateFleetShare(at(79), 0) }), "tell 4/2 0", ""},
 	} {
 		effects, err := x.step()
 		if show(effects) != x.want || (err == nil) != (x.fault == "") || err != nil && !strings.Contains(err.Error(), x.fault) {
@@ -104,7 +104,7 @@
 	problem string
 }
 
-func (w *watcher) see(effects []Effect) {
+func (w *watcher) see(effects []Action) {
 	fail := func(format string, args ...any) { w.problem = fmt.Sprintf(format, args...) }
 	count := func(m map[Sentry]time.Time) (n int) {
 		for _, until := range m {
@@ -116,11 +116,11 @@
 	}
 	for _, e := range effects {
 		switch {
-		case e.Kind == Move && w.back:
+		case e.Kind == MoveFleet && w.back:
 			if e.Share != 0 || !w.heard {
 				fail("the fleet moves to %g going back, heard %v", e.Share, w.heard)
 			}
-		case e.Kind == Move: // a wave begins
+		case e.Kind == MoveFleet: // a wave begins
 			if w.wave >= 0 {
 				done := !w.since.IsZero() && w.now.Sub(w.since) >= w.p.Waves[w.wave].Bake && count(w.yes) >= w.p.Waves[w.wave].On
 				if !done {
@@ -129,7 +129,7 @@
 			}
 			w.wave++
 			next := &w.p.Waves[w.wave]
-			if w.held || next.Hold && w.waived != w.wave || len(next.Windows) > 0 && !w.p.Windows[0].Open(w.now) || e.Share != next.Share {
+			if w.held || next.Hold && w.waived != w.wave || len(next.Windows) > 0 && !w.p.Windows[0].IsOpen(w.now) || e.Share != next.Share {
 				fail("wave %d begins held, outside its window or with share %g", w.wave, e.Share)
 			}
 			if len(next.Approvals) > 0 {
@@ -153,7 +153,7 @@
 			if w.cap, w.over = e.Cap, e.Phase == Released; !w.over {
 				w.since = w.now
 			}
-		case e.Phase == GoingBack:
+		case e.Phase == RollingBack:
 			w.back, w.cap, w.heard = true, 0, false
 		case e.Phase == Withdrawn && !w.back:
 			fail("withdrawn without going back")
@@ -187,7 +187,7 @@
 			if now.After(w.now) {
 				w.now = now
 			}
-			var effects []Effect
+			var effects []Action
 			var err error
 			what := rapid.IntRange(0, 15).Draw(t, "what")
 			if what == 10 && rapid.IntRange(0, 5).Draw(t, "rarely") > 0 {
@@ -198,16 +198,16 @@
 				effects = r.Tick(now)
 			case 3, 4, 5, 6:
 				w.fleet = rapid.SampledFrom([]float64{0, 0.1, 0.5, 1, 1}).Draw(t, "share")
-				effects = r.Reached(now, w.fleet)
+				effects = r.UpdateFleetShare(now, w.fleet)
 			case 7, 8, 9:
 				from, wave := Sentry(rapid.IntRange(0, 3).Draw(t, "from")), rapid.IntRange(max(0, w.wave-1), max(0, w.wave)).Draw(t, "wave")
-				if effects, err = r.Vote(now, from, wave, GoOn); err == nil {
+				if effects, err = r.Vote(now, from, wave, Advance); err == nil {
 					w.yes[from] = w.now.Add(20 * time.Minute)
 					delete(w.no, from)
 				}
 			case 10:
 				from := Sentry(rapid.IntRange(0, 3).Draw(t, "from"))
-				if effects, err = r.Vote(now, from, 0, GoBack); err == nil {
+				if effects, err = r.Vote(now, from, 0, RollBack); err == nil {
 					w.no[from] = w.now.Add(20 * time.Minute)
 					delete(w.yes, from)
 				}
@@ -233,9 +233,9 @@
 			case 15:
 				most := rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "most")
 				w.heard = w.heard || w.back && most == 0
-				effects = r.Heard(now, most)
+				effects = r.ConfirmCap(now, most)
 				if rapid.IntRange(0, 19).Draw(t, "by hand") == 0 {
-					effects, _ = r.Back(now)
+					effects, _ = r.RollBack(now)
 				}
 			}
 			if w.see(effects); w.problem != "" {
--- a/internal/release/kill_test.go
+++ b/internal/release/kill_test.go
@@ -31,13 +31,13 @@
 			fmt.Println("fault", err)
 			os.Exit(1)
 		}
-		chance, names := rand.New(rand.NewSource(time.Now().UnixNano())), int(s.Events())
-		fmt.Println("at", s.Events(), state(r))
+		chance, names := rand.New(rand.NewSource(time.Now().UnixNano())), int(s.EventCount())
+		fmt.Println("at", s.EventCount(), state(r))
 		for i := 0; ; i++ {
-			if _, _, err := s.Step(draw(chance, now.Add(time.Duration(s.Events())*time.Minute), &names, r)); err != nil {
+			if _, _, err := s.Apply(draw(chance, now.Add(time.Duration(s.EventCount())*time.Minute), &names, r)); err != nil {
 				panic(err)
 			}
-			fmt.Println("at", s.Events(), state(r))
+			fmt.Println("at", s.EventCount(), state(r))
 		}
 	}
 	flag.Parse()
@@ -88,9 +88,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Events() < said {
-		t.Errorf("%d events at the end, %d said", s.Events(), said)
+	if s.EventCount() < said {
+		t.Errorf("%d events at the end, %d said", s.EventCount(), said)
 	}
-	t.Logf("%d kills, %d events, wave %d, phase %d", *kills, s.Events(), r.State.Wave, r.State.Phase)
+	t.Logf("%d kills, %d events, wave %d, phase %d", *kills, s.EventCount(), r.State.Wave, r.State.Phase)
 	_ = s.Close()
 }
--- a/internal/release/read.go
+++ b/internal/release/read.go
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	for _, x := range r.p.Check(now) {
-		b := r.blocks[x.Kind][x.At]
+		b := r.blocks[x.BlockType][x.Index]
 		if x.Attribute == "" {
 			b.Errorf("%s", x.Text)
 		} else {
@@ -130,7 +130,7 @@
 		if text == "" {
 			continue
 		}
-		minute, err := plan.ParseClock(text)
+		minute, err := plan.ParseTimeOfDay(text)
 		if err != nil {
 			b.AttributeErrorf(name, "%v", err)
 		}
@@ -145,7 +145,7 @@
 	w.Zone = zone
 	if b.Has("except") {
 		for _, text := range b.Texts("except", true) {
-			s, err := plan.ParseSpan(text)
+			s, err := plan.ParseDateRange(text)
 			if err != nil {
 				b.AttributeErrorf("except", "%v", err)
 			}
--- a/internal/release/read_test.go
+++ b/internal/release/read_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	begins, whole := p.Earliest(now)
+	begins, whole := p.EarliestSchedule(now)
 	for i, want := range []string{"2026-12-01 14:00", "2026-12-01 14:30", "2026-12-02 14:00"} { // 09:00 in Kingston; the second misses the day
 		if got := begins[i].Format("2006-01-02 15:04"); got != want {
 			t.Errorf("wave %d begins at %s, expected %s", i, got, want)
@@ -31,7 +31,7 @@
 	if got := whole.Format("2006-01-02 15:04"); got != "2026-12-02 16:00" {
 		t.Errorf("whole at %s", got)
 	}
-	if s := p.Summary(1); s != "in office hours; after two of the owners; without handover" {
+	if s := p.WaveSummary(1); s != "in office hours; after two of the owners; without handover" {
 		t.Error(s)
 	}
 }
@@ -80,7 +80,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		p, err := Parse("f.hcl", []byte(text), now)
 		if err == nil {
-			p.Earliest(now)
+			p.EarliestSchedule(now)
 		}
 	})
 }
--- a/internal/release/store.go
+++ b/internal/release/store.go
@@ -28,10 +28,10 @@
 }
 
 // StoreFault says that a file can't be relied on, and what to do.
-type StoreFault struct{ File, Found string }
+type CorruptStoreError struct{ File, Problem string }
 
-func (f *StoreFault) Error() string {
-	return fmt.Sprintf("%s: found %s, expected a whole file; put back a copy of it, or move it away and begin the plan anew", f.File, f.Found)
+func (f *CorruptStoreError) Error() string {
+	return fmt.Sprintf("%s: found %s, expected a whole file; put back a copy of it, or move it away and begin the plan anew", f.File, f.Problem)
 }
 
 var (
@@ -61,7 +61,7 @@
 	}()
 	if data, bad := os.ReadFile(file); bad == nil {
 		if bad := checkPages(data); bad != nil {
-			return s, &StoreFault{file, bad.Error()}
+			return s, &CorruptStoreError{file, bad.Error()}
 		}
 	} else if !errors.Is(bad, os.ErrNotExist) {
 		return s, bad
@@ -70,7 +70,7 @@
 		if errors.Is(err, bbolt.ErrTimeout) {
 			return s, fmt.Errorf("%s: found it in use by another desk, expected it free", file)
 		}
-		return s, &StoreFault{file, err.Error()}
+		return s, &CorruptStoreError{file, err.Error()}
 	}
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		events, err := tx.CreateBucketIfNotExists(eventsBucket)
@@ -83,7 +83,7 @@
 		}
 		if head.Get(snapshotKey) == nil {
 			if k, _ := events.Cursor().First(); k != nil {
-				return &StoreFault{file, "events without the snapshot before them"}
+				return &CorruptStoreError{file, "events without the snapshot before them"}
 			}
 			return s.snapshot(tx)
 		}
@@ -109,7 +109,7 @@
 	text := head.Get(snapshotKey)
 	var snap snapshot
 	if len(text) < 8 || binary.BigEndian.Uint64(text) != xxh3.Hash(text[8:]) || json.Unmarshal(text[8:], &snap) != nil {
-		return &StoreFault{file, "a snapshot that does not agree with its sum"}
+		return &CorruptStoreError{file, "a snapshot that does not agree with its sum"}
 	}
 	if snap.Plan != s.plan {
 		return fmt.Errorf("%s: found the state of another plan, expected that of %s; a plan that has begun is not changed", file, s.release.Plan.Name)
@@ -120,10 +120,10 @@
 		var e plan.Event
 		if len(k) != 8 || binary.BigEndian.Uint64(k) != s.next || len(v) < 8 || binary.BigEndian.Uint64(v) != chain(s.sum, v[8:]) ||
 			json.Unmarshal(v[8:], &e) != nil {
-			return &StoreFault{file, fmt.Sprintf("event %d missing or not in agreement with its sum", s.next)}
+			return &CorruptStoreError{file, fmt.Sprintf("event %d missing or not in agreement with its sum", s.next)}
 		}
-		if _, err := s.release.Step(&e); err != nil {
-			return &StoreFault{file, fmt.Sprintf("event %d that the plan refuses (%v)", s.next, err)}
+		if _, err := s.release.Apply(&e); err != nil {
+			return &CorruptStoreError{file, fmt.Sprintf("event %d that the plan refuses (%v)", s.next, err)}
 		}
 		s.sum = binary.BigEndian.Uint64(v)
 		s.next++
@@ -141,19 +141,19 @@
 
 // Step takes events in their order. Those that the plan refuses, and ticks that come to nothing, are not kept; the others are on disk when their effects
 // come back. If the disk does not take them the release stands where it stood, and nothing may be told.
-func (s *Store) Step(all ...*plan.Event) (effects []plan.Effect, refused []error, err error) {
+func (s *Store) Apply(all ...*plan.Event) (effects []plan.Action, refused []error, err error) {
 	before, next, sum, since := s.release.State.Clone(), s.next, s.sum, s.since
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		events := tx.Bucket(eventsBucket)
 		for _, e := range all {
 			now := s.release.State.Now
-			es, no := s.release.Step(e)
+			es, no := s.release.Apply(e)
 			if no != nil {
 				s.release.State.Now = now // a refusal leaves no trace, so that a replay without it comes to the same
 				refused = append(refused, no)
 				continue
 			}
-			if e.Kind == plan.Ticked && len(es) == 0 {
+			if e.Kind == plan.EventTick && len(es) == 0 {
 				s.release.State.Now = now // nothing but time has passed: not worth a write
 				continue
 			}
@@ -204,7 +204,7 @@
 }
 
 // Events is how many have been kept so far.
-func (s *Store) Events() uint64 { return s.next }
+func (s *Store) EventCount() uint64 { return s.next }
 
 // Close gives the file free.
 func (s *Store) Close() error { return s.db.Close() }
--- a/internal/release/store_test.go
+++ b/internal/release/store_test.go
@@ -34,20 +34,20 @@
 	e := &plan.Event{At: at}
 	switch chance.Intn(12) {
 	case 0, 1, 2:
-		e.Kind = plan.Ticked
+		e.Kind = plan.EventTick
 	case 3, 4, 5:
-		e.Kind, e.Share = plan.Reached, []float64{0.1, 0.5, 1}[chance.Intn(3)]
+		e.Kind, e.Share = plan.EventFleetShare, []float64{0.1, 0.5, 1}[chance.Intn(3)]
 	case 6, 7, 8:
-		e.Kind, e.Sentry, e.Wave, e.Verdict = plan.Voted, plan.Sentry(chance.Intn(5)), r.State.Wave, plan.GoOn
+		e.Kind, e.Sentry, e.Wave, e.Verdict = plan.EventVote, plan.Sentry(chance.Intn(5)), r.State.Wave, plan.Advance
 		if chance.Intn(30) == 0 {
-			e.Verdict = plan.GoBack
+			e.Verdict = plan.RollBack
 		}
 	case 9, 10:
 		*names += chance.Intn(2)
-		e.Kind, e.Approval, e.Member, e.Name = plan.Approved, "two of the owners", plan.Member([]string{"release-1", "release-2", "nobody"}[chance.Intn(3)]),
+		e.Kind, e.Approval, e.Member, e.GrantID = plan.EventApproval, "two of the owners", plan.Member([]string{"release-1", "release-2", "nobody"}[chance.Intn(3)]),
 			string(rune('a'+*names%26))+time.Duration(*names).String()
 	default:
-		e.Kind = []plan.EventKind{plan.Held, plan.Resumed, plan.Resumed}[chance.Intn(3)]
+		e.Kind = []plan.EventKind{plan.EventHold, plan.EventResume, plan.EventResume}[chance.Intn(3)]
 	}
 	return e
 }
@@ -68,11 +68,11 @@
 			at = at.Add(time.Duration(chance.Intn(3600)-120) * time.Second)
 			e := draw(chance, at, &names, twin)
 			before := twin.State.Now
-			want, no := twin.Step(e)
-			if no != nil || e.Kind == plan.Ticked && len(want) == 0 {
+			want, no := twin.Apply(e)
+			if no != nil || e.Kind == plan.EventTick && len(want) == 0 {
 				twin.State.Now = before
 			}
-			got, refused, err := s.Step(e)
+			got, refused, err := s.Apply(e)
 			if err != nil || (len(refused) > 0) != (no != nil) || len(got) != len(want) {
 				t.Fatalf("%+v: %v, refused %v, %v; expected %v %v", e, got, refused, err, want, no)
 			}
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	for i := range 150 {
-		if _, _, err := s.Step(draw(chance, now.Add(time.Duration(i)*time.Minute), &names, r)); err != nil {
+		if _, _, err := s.Apply(draw(chance, now.Add(time.Duration(i)*time.Minute), &names, r)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -139,7 +139,7 @@
 			_ = s.Close()
 			return false
 		}
-		var f *StoreFault
+		var f *CorruptStoreError
 		if !errors.As(err, &f) || !strings.Contains(err.Error(), "put back a copy") || !strings.Contains(err.Error(), found) {
 			t.Errorf("%s: %v, expected %q", what, err, found)
 		}
@@ -198,12 +198,12 @@
 	s.db.MaxSize = 64 << 10
 	chance, names, failed := rand.New(rand.NewSource(5)), 0, 0
 	for i := range 3000 {
-		before, next := state(r), s.Events()
-		effects, _, err := s.Step(draw(chance, now.Add(time.Duration(i)*time.Second), &names, r))
+		before, next := state(r), s.EventCount()
+		effects, _, err := s.Apply(draw(chance, now.Add(time.Duration(i)*time.Second), &names, r))
 		if err == nil {
 			continue
 		}
-		if failed++; state(r) != before || s.Events() != next || len(effects) > 0 {
+		if failed++; state(r) != before || s.EventCount() != next || len(effects) > 0 {
 			t.Fatalf("%v, and yet %v was done", err, effects)
 		}
 		if failed == 3 {
--- a/internal/sentry/switch_test.go
+++ b/internal/sentry/switch_test.go
@@ -113,7 +113,7 @@
 	load := standin.Workload{PerSecond: 300, KeyCount: 500, ZipfExponent: 0.7, MaxRetries: 1, Backoff: 20 * time.Millisecond, TryTimeoutShare: 0.9,
 		Profiles: []standin.ProfileLoad{{Share: 0.4, MeanWork: 4_000}, {Share: 0.3, MeanWork: 4_000}, {Share: 0.3, MeanWork: 4_000}}}
 	clients := standin.NewClientPool(r.environment, "c/", load, 1, map[logic.SentryID]string{0: r.s.Address()}, []logic.SentryID{0}, 3)
-	r.environment.Record(audit.Event{Kind: audit.SentryUp})
+	r.environment.Record(audit.Event{Kind: audit.SentryStarted})
 	clients.Start()
 	alternative := r.settingsWith(`free         = 2`, `free         = 1`, `window       = "2s"`, "window = \"1s\"\n  by_profile = true",
 		`hand_offs     = 3`, `hand_offs     = 2`, `drain_grace   = "500ms"`, `drain_grace = "100ms"`,
@@ -140,7 +140,7 @@
 		settings, err := orders.LoadUpdate(file, r.s.Settings())
 		if from := r.environment.Now(); err == nil {
 			err = r.s.Reload(settings)
-			r.environment.RecordAt(audit.Event{Kind: audit.Ordered, At: from, Span: r.environment.Now() - from, Orders: &settings.Policy})
+			r.environment.RecordAt(audit.Event{Kind: audit.ConfigChanged, At: from, Duration: r.environment.Now() - from, Config: &settings.Policy})
 		}
 		if r.s.RecordReload(settings, err); (err == nil) != (want == "") ||
 			err != nil && !(strings.Contains(err.Error(), want) && strings.Contains(err.Error(), "orders.hcl:")) {
@@ -160,11 +160,11 @@
 	early := append([]audit.Event(nil), events...)
 	for i := range early {
 		switch e := &early[i]; {
-		case e.Kind == audit.Got && e.Build == 11:
+		case e.Kind == audit.HandOffReceived && e.Build == 11:
 			seen["to the trial"]++
-		case e.Kind == audit.Ordered:
-			e.Orders = &strict
-		case e.Kind == audit.ListTold && e.State == logic.Draining:
+		case e.Kind == audit.ConfigChanged:
+			e.Config = &strict
+		case e.Kind == audit.ListEntrySent && e.WorkerState == logic.Draining:
 			e.At -= 1_000_000
 		}
 	}
@@ -173,14 +173,14 @@
 			seen["loads without a number"]++
 		}
 	}
-	t.Logf("%d transactions, %d answered, %d hand-offs, %v", findings.Asked, findings.Answered, findings.HandOffs, seen)
-	if n := r.s.CounterValues("orders_refused_total")["0"]; n != 100 || findings.Unclosed > 0 || len(findings.Breaches) > 0 {
-		t.Errorf("%v refused, %d unclosed, breaches %v", n, findings.Unclosed, findings.Breaches[:min(3, len(findings.Breaches))])
+	t.Logf("%d transactions, %d answered, %d hand-offs, %v", findings.TriesSent, findings.TriesAnswered, findings.HandOffs, seen)
+	if n := r.s.CounterValues("orders_refused_total")["0"]; n != 100 || findings.TriesUnclosed > 0 || len(findings.Violations) > 0 {
+		t.Errorf("%v refused, %d unclosed, breaches %v", n, findings.TriesUnclosed, findings.Violations[:min(3, len(findings.Violations))])
 	}
-	if broken := audit.Check(&strict, 60_000, early).Rules(); !slices.Equal(broken, []int{3, 5}) {
+	if broken := audit.Check(&strict, 60_000, early).ViolatedRules(); !slices.Equal(broken, []int{3, 5}) {
 		t.Errorf("rules %v found broken, expected rules 3 and 5", broken)
 	}
-	if findings.Answered < 400 || seen["to the trial"] < 50 || seen["loads without a number"] < 50 || r.seen(input.CountsReceived) < 10 {
+	if findings.TriesAnswered < 400 || seen["to the trial"] < 50 || seen["loads without a number"] < 50 || r.seen(input.CountsReceived) < 10 {
 		t.Errorf("too few events for this test to be meaningful: %d counts, %v", r.seen(input.CountsReceived), seen)
 	}
 }
--- a/standin/client.go
+++ b/standin/client.go
@@ -295,7 +295,7 @@
 	conn.lastID++
 	t := &clientTry{name: fmt.Sprintf("%s.%d", transaction.token, transaction.Tries), transaction: transaction, conn: conn, id: conn.lastID}
 	conn.open[t.id], conn.tryNames[t.id] = t, t.name
-	c.env.Record(audit.Event{Kind: audit.Asked, Sentry: conn.sentry, Try: t.name, Profile: transaction.Profile, Key: transaction.key, Span: timeout})
+	c.env.Record(audit.Event{Kind: audit.TrySent, Sentry: conn.sentry, Try: t.name, Profile: transaction.Profile, Key: transaction.key, Duration: timeout})
 	m := &wire.Ask{ID: t.id, Timeout: uint64(timeout), ExpectedWork: uint64(transaction.work), Retry: transaction.Tries > 1,
 		Payload: []byte(fmt.Sprintf("%s %d", t.name, int(transaction.work)))}
 	if c.workload.UseAttributes {
@@ -340,7 +340,7 @@
 		return
 	}
 	c.close(t)
-	c.env.Record(audit.Event{Kind: audit.Left, Sentry: t.conn.sentry, Try: t.name})
+	c.env.Record(audit.Event{Kind: audit.TryAbandoned, Sentry: t.conn.sentry, Try: t.name})
 	t.conn.link.Put(wire.KindLeave, &wire.IDMessage{ID: t.id})
 	t.conn.link.Flush()
 	t.transaction.Outcomes[3]++
@@ -365,7 +365,7 @@
 	}
 	for _, t := range conn.open {
 		c.close(t)
-		c.env.Record(audit.Event{Kind: audit.Left, Sentry: conn.sentry, Try: t.name})
+		c.env.Record(audit.Event{Kind: audit.TryAbandoned, Sentry: conn.sentry, Try: t.name})
 		t.transaction.Outcomes[3]++
 		c.retry(t.transaction, false)
 	}
@@ -385,18 +385,18 @@
 	t := conn.open[m.ID]
 	if t == nil {
 		// A second answer, or an answer to an abandoned try; the auditor finds it in the record.
-		c.env.Record(audit.Event{Kind: audit.Answered, Sentry: conn.sentry, Try: conn.tryNames[m.ID], Outcome: audit.Outcome(m.Outcome % 3)})
+		c.env.Record(audit.Event{Kind: audit.TryAnswered, Sentry: conn.sentry, Try: conn.tryNames[m.ID], Outcome: audit.Outcome(m.Outcome % 3)})
 		return nil
 	}
 	c.close(t)
 	transaction := t.transaction
 	if m.Outcome == uint32(pb.Outcome_NOT_TAKEN) || m.Outcome == uint32(pb.Outcome_NO_ROUTE) {
-		c.env.Record(audit.Event{Kind: audit.NotTaken, Sentry: conn.sentry, Try: t.name})
+		c.env.Record(audit.Event{Kind: audit.TryNotTaken, Sentry: conn.sentry, Try: t.name})
 		transaction.Outcomes[3]++
 		c.retry(transaction, true)
 		return nil
 	}
-	c.env.Record(audit.Event{Kind: audit.Answered, Sentry: conn.sentry, Try: t.name, Outcome: audit.Outcome(m.Outcome % 3)})
+	c.env.Record(audit.Event{Kind: audit.TryAnswered, Sentry: conn.sentry, Try: t.name, Outcome: audit.Outcome(m.Outcome % 3)})
 	transaction.Outcomes[m.Outcome%3]++
 	if m.Outcome == uint32(pb.Outcome_SATISFIED) {
 		if transaction.SatisfiedAfter == 0 {
--- a/standin/control_plane.go
+++ b/standin/control_plane.go
@@ -241,7 +241,7 @@
 // sendStatus sends a release status to a sentry, as the answer to a vote if vote is not 0.
 func (c *ControlPlane) sendStatus(l *wire.Link, status logic.ReleaseStatus, since logic.Micros, vote uint64, result pb.News_Fate) {
 	if status.Valid {
-		c.env.Record(audit.Event{Kind: audit.NewsTold, Sentry: c.links[l], News: status})
+		c.env.Record(audit.Event{Kind: audit.StatusSent, Sentry: c.links[l], Status: status})
 	}
 	l.Send(wire.KindNews, &pb.News{Vote: vote, Valid: status.Valid, Build: uint32(status.Build), Stage: uint32(status.Stage),
 		Phase: uint32(status.Phase), Cap: status.Cap, Age: uint64(c.env.Now() - since), Fate: result})
--- a/standin/discovery.go
+++ b/standin/discovery.go
@@ -110,8 +110,8 @@
 			d.entries = append(d.entries, entry)
 		}
 		entry.line, entry.started, entry.version = line, started, d.version
-		d.env.Record(audit.Event{Kind: audit.Listed, Worker: logic.WorkerID(line.Id), Build: logic.BuildID(line.Build),
-			State: logic.WorkerState(line.State)})
+		d.env.Record(audit.Event{Kind: audit.WorkerListed, Worker: logic.WorkerID(line.Id), Build: logic.BuildID(line.Build),
+			WorkerState: logic.WorkerState(line.State)})
 	}
 	for link, s := range d.subscribers {
 		if s.watching {
@@ -139,13 +139,13 @@
 					return err
 				}
 				if d.RefuseRequests {
-					d.env.Record(audit.Event{Kind: audit.AskFailed, Sentry: s.sentry})
+					d.env.Record(audit.Event{Kind: audit.ListRequestFailed, Sentry: s.sentry})
 					link.Send(wire.KindReport, &pb.Report{Refused: true})
 					return nil
 				}
-				request := audit.Event{Kind: audit.Fetched, Sentry: s.sentry}
+				request := audit.Event{Kind: audit.ListFetched, Sentry: s.sentry}
 				if m.Follow {
-					request.Kind = audit.Followed
+					request.Kind = audit.ListWatched
 				}
 				d.env.Record(request)
 				s.watching, s.sentVersion = s.watching || m.Follow, m.Version
@@ -155,7 +155,7 @@
 		}, func(link *wire.Link, _ error) {
 			d.mu.Lock()
 			if s.watching {
-				d.env.Record(audit.Event{Kind: audit.AskFailed, Sentry: s.sentry})
+				d.env.Record(audit.Event{Kind: audit.ListRequestFailed, Sentry: s.sentry})
 			}
 			delete(d.subscribers, link)
 			d.mu.Unlock()
@@ -176,8 +176,8 @@
 			line.Young, line.Age = true, uint64(now-entry.started)
 		}
 		report.Lines = append(report.Lines, line)
-		d.env.Record(audit.Event{Kind: audit.ListTold, Sentry: to.sentry, Worker: logic.WorkerID(line.Id),
-			Build: logic.BuildID(line.Build), State: logic.WorkerState(line.State)})
+		d.env.Record(audit.Event{Kind: audit.ListEntrySent, Sentry: to.sentry, Worker: logic.WorkerID(line.Id),
+			Build: logic.BuildID(line.Build), WorkerState: logic.WorkerState(line.State)})
 	}
 	to.sentVersion = d.version
 	link.Send(wire.KindReport, report)
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -103,11 +103,11 @@
 	w.server, w.Address, w.up, w.draining, w.overloaded = server, server.Address, true, false, false
 	w.busyCores, w.queue, w.arrivals, w.running = 0, nil, nil, map[*job]struct{}{}
 	w.started = w.env.Now()
-	e := audit.Event{Kind: audit.WorkerUp, Worker: w.Entry.ID, Build: w.Entry.Build, Speed: w.Speed * float64(w.Cores),
-		From: w.ColdSpeedShare, Warm: w.WarmUp}
+	e := audit.Event{Kind: audit.WorkerStarted, Worker: w.Entry.ID, Build: w.Entry.Build, Speed: w.Speed * float64(w.Cores),
+		ColdSpeedShare: w.ColdSpeedShare, WarmUp: w.WarmUp}
 	if warm {
 		w.started -= w.WarmUp
-		e.Warm = 0
+		e.WarmUp = 0
 	}
 	w.env.Record(e)
 	return nil
@@ -124,7 +124,7 @@
 	w.up, w.server = false, nil
 	w.runNumber++
 	w.mu.Unlock()
-	w.env.Record(audit.Event{Kind: audit.WorkerDown, Worker: w.Entry.ID})
+	w.env.Record(audit.Event{Kind: audit.WorkerStopped, Worker: w.Entry.ID})
 	server.Close()
 }
 
@@ -208,12 +208,12 @@
 			for _, j := range w.queue {
 				if j.link == l && !j.ended {
 					j.ended = true
-					w.env.Record(j.event(audit.Dropped))
+					w.env.Record(j.event(audit.HandOffDropped))
 				}
 			}
 			for j := range w.running { // it runs to its end, but the sentry no longer waits for it
 				if j.link == l {
-					w.env.Record(j.event(audit.Dropped))
+					w.env.Record(j.event(audit.HandOffDropped))
 				}
 			}
 		}
@@ -226,7 +226,7 @@
 }
 
 func (j *job) event(k audit.Kind) audit.Event {
-	return audit.Event{Kind: k, Try: j.try, Worker: j.w.Entry.ID, HandOff: j.number, Sentry: j.sentry, Profile: j.profile}
+	return audit.Event{Kind: k, Try: j.try, Worker: j.w.Entry.ID, HandOffNumber: j.number, Sentry: j.sentry, Profile: j.profile}
 }
 
 // handleWork handles a hand-off. The payload consists of the client's try and the work, in microseconds on a core of speed one.
@@ -245,14 +245,14 @@
 	}
 	w.handOffCount++
 	j.number = w.handOffCount
-	e := j.event(audit.Got)
-	e.Key, e.Span, e.Work, e.Build = logic.Key(message.Key), logic.Micros(message.Timeout), logic.Micros(j.work), w.Entry.Build
+	e := j.event(audit.HandOffReceived)
+	e.Key, e.Duration, e.Work, e.Build = logic.Key(message.Key), logic.Micros(message.Timeout), logic.Micros(j.work), w.Entry.Build
 	e.Zone, e.Cell = w.Entry.Zone, w.Entry.Cell
 	w.env.Record(e)
 	now := w.env.Now()
 	if w.isOverloaded(now, j.work) {
 		w.overloaded = true
-		w.env.Record(audit.Event{Kind: audit.Fell, Worker: w.Entry.ID})
+		w.env.Record(audit.Event{Kind: audit.WorkerOverloaded, Worker: w.Entry.ID})
 		go w.Stop()
 		return nil
 	}
@@ -312,7 +312,7 @@
 	delete(w.running, j)
 	profile := &w.env.Config.Profiles[j.profile]
 	if profile.Repeatability != logic.Deduplicated || w.env.isFirstRun(w.dedupGroup(profile), j.token, profile.DedupWindow) {
-		w.env.Record(j.event(audit.Ran))
+		w.env.Record(j.event(audit.HandOffExecuted))
 	}
 	if failed {
 		w.endJob(j, pb.Ended_ERRORED)
@@ -326,7 +326,7 @@
 		case next.ended:
 		case w.env.Now() >= next.deadline: // the sentry no longer waits for it
 			next.ended = true
-			w.env.Record(next.event(audit.Dropped))
+			w.env.Record(next.event(audit.HandOffDropped))
 		default:
 			w.runJob(next)
 		}
@@ -347,11 +347,11 @@
 // endJob reports the end of a hand-off to the sentry. The lock is held.
 func (w *Worker) endJob(j *job, ending pb.Ended) {
 	j.ended = true
-	e := j.event(audit.Ended)
+	e := j.event(audit.HandOffAnswered)
 	if ending == pb.Ended_TURNED_AWAY {
-		e.Kind = audit.Turned
+		e.Kind = audit.HandOffTurnedAway
 	}
-	e.Good, e.Build = ending == pb.Ended_ANSWERED, w.Entry.Build
+	e.Satisfied, e.Build = ending == pb.Ended_ANSWERED, w.Entry.Build
 	w.env.Record(e)
 	now := w.env.Now()
 	w.env.countHandOff(w.Entry.Build, j.profile, ending != pb.Ended_ANSWERED, now-j.receivedAt)
@@ -375,7 +375,7 @@
 	for _, j := range w.queue {
 		if j.link == l && j.id == id && !j.ended {
 			j.ended = true
-			w.env.Record(j.event(audit.Dropped))
+			w.env.Record(j.event(audit.HandOffDropped))
 		}
 	}
 }
--- a/standin/worker_test.go
+++ b/standin/worker_test.go
@@ -84,16 +84,16 @@
 			t.Errorf("ended %v", got)
 		}
 	}
-	if n := countEvents(env, audit.Ran); n != 1 {
+	if n := countEvents(env, audit.HandOffExecuted); n != 1 {
 		t.Errorf("ran %d times within the window", n)
 	}
 	time.Sleep(200 * time.Millisecond)
 	sendHandOffs(t, workers[0], newWork("m", 1, 1000))
-	if n := countEvents(env, audit.Ran); n != 2 {
+	if n := countEvents(env, audit.HandOffExecuted); n != 2 {
 		t.Errorf("ran %d times, expected once more after the window", n)
 	}
 	sendHandOffs(t, workers[0], newWork("m", 0, 1000), newWork("m", 0, 1000))
-	if n := countEvents(env, audit.Ran); n != 4 {
+	if n := countEvents(env, audit.HandOffExecuted); n != 4 {
 		t.Errorf("ran %d times, expected an idempotent transaction to run each time", n)
 	}
 }
@@ -118,7 +118,7 @@
 		}
 		ended := sendHandOffs(t, w, handOffs...)
 		time.Sleep(20 * time.Millisecond)
-		if n := countEvents(env, audit.Fell); n != c.crashes {
+		if n := countEvents(env, audit.WorkerOverloaded); n != c.crashes {
 			t.Errorf("warm %v, %d us each: crashed %d times", c.warm, c.us, n)
 		}
 		if up, _, _ := w.RunState(); up != (c.crashes == 0) {
