--- a/internal/platform/breach.go
+++ b/internal/platform/breach.go
@@ -8,25 +8,25 @@
 	"scalechute/internal/wire"
 )
 
-// Breach has the process break one promise to its clients on purpose, so that the soak's auditor can be shown to find it.
-// Nothing else in the program uses it.
+// Breach is a promise to clients that the process violates on purpose. The soak test injects breaches to show that its
+// auditor finds them; nothing else uses them.
 type Breach uint8
 
-// The breaches.
+// The breaches that can be injected.
 const (
 	NoBreach    Breach = iota
-	CloseEarly         // a connection is closed with requests open on it
-	SkipReply          // an answer is not written
-	SwapReplies        // two answers are written in each other's place
+	CloseEarly         // close a connection that has open requests
+	SkipReply          // do not write a reply
+	SwapReplies        // write two replies in each other's place
 )
 
-// breachNames are the words for a Breach, from CloseEarly on.
+// breachWords are the command line's words for the breaches, from CloseEarly on.
 var breachWords = []string{"close", "skip", "swap"}
 
-// breachEvery is one in how many occasions is taken.
+// breachInterval is the number of opportunities per injected breach.
 const breachInterval = 40
 
-// ParseBreach finds the breach of a word, none for an empty one.
+// ParseBreach returns the breach that a word names, NoBreach for an empty word.
 func ParseBreach(word string) (Breach, error) {
 	if word == "" {
 		return NoBreach, nil
@@ -38,22 +38,22 @@
 	return Breach(index + 1), nil
 }
 
-// breaker counts the occasions for a breach.
+// trigger selects the opportunities at which a breach is injected.
 type trigger struct {
 	breach Breach
 	checks atomic.Int64
 }
 
-// takes says whether this occasion is taken.
+// isDue counts an opportunity for a breach and reports whether to inject it now.
 func (t *trigger) isDue(b Breach) bool { return t.breach == b && t.checks.Add(1)%breachInterval == 0 }
 
-// Break has a promise broken from now on.
+// SetBreach sets the breach to inject. It is called before Listen.
 func (p *Platform) SetBreach(b Breach) { p.breachTrigger.breach = b }
 
-// breachBefore breaks a promise as the first of a client's replies is to be written. The lock is held.
+// applyBreach may inject a breach when the first of a client's replies is about to be written. The caller holds c.mu.
 func (c *clientConn) applyBreach(replies []reply) {
 	first := &replies[0]
-	switch t := &c.p.breachTrigger; {
+	switch t := &c.platform.breachTrigger; {
 	case t.breach == NoBreach || first.requestID == "":
 	case t.isDue(SkipReply):
 		first.skipped = true
@@ -61,14 +61,14 @@
 	case t.breach == SwapReplies && replies[1].ready && t.isDue(SwapReplies):
 		second := &replies[1]
 		extraBytes := len(second.text) - len(first.text)
-		if first.reserved {
+		if first.counted {
 			c.AddBuffered(extraBytes)
 		}
-		if second.reserved {
+		if second.counted {
 			c.AddBuffered(-extraBytes)
 		}
 		first.text, second.text = second.text, first.text
 	case !replies[1].ready && t.isDue(CloseEarly):
-		go c.Close(wire.ErrClosed) // its end takes the lock
+		go c.Close(wire.ErrClosed) // closing takes c.mu
 	}
 }
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -14,63 +14,66 @@
 )
 
 const (
-	// A client that has sent no whole command so long after connecting, or after beginning one, gets a close.
+	// The time a client has from connecting to its first complete command, and, while the sentry drains, from the first byte of
+	// any command to its last.
 	firstCommandTimeout = 2700 * time.Millisecond
-	// One that has sent commands may take so long over another.
+	// The time from the first byte of a later command to its last.
 	commandTimeout = 6 * time.Second
-	// A connection with nothing open may be closed after this.
+	// A connection without open commands may be closed after this time.
 	idleTimeout = 10 * time.Second
-	// Commands of one connection that wait for their answers at the most.
+	// Commands of one connection that may await their replies; further ones get BUSY.
 	maxOpenCommands     = 64
 	clientSweepInterval = 100 * time.Millisecond
-	// A client for which more waits is read no further until half of it has gone, in bytes.
+	// When more bytes than this wait to be written to a client, reading from it pauses until half of this is left.
 	maxUnwrittenBytes = 1 << 20
-	// Over how many answers the mean of their bytes is taken.
+	// Number of replies over which the mean reply size is averaged, exponentially.
 	meanReplyWindow = 16
-	// What an entry of a client's queue takes beside its text, in bytes.
+	// Memory of a queued reply beside its text.
 	replyOverheadBytes = 64
 )
 
-// clientConn is one client's connection. Its commands are answered in their order.
+// clientConn is a client's connection. Replies are written in the order of the commands.
 type clientConn struct {
 	*wire.Link
-	p       *Platform
-	handler sentry.ClientHandler
-	reader  resp.Reader
+	platform *Platform
+	handler  sentry.ClientHandler
+	reader   resp.Reader
 
 	mu             sync.Mutex
-	replies        []reply // the first unanswered one first
-	firstNumber    uint64  // number of that one
+	replies        []reply // one for each command without a written reply, the oldest first
+	firstReplyID   uint64  // transaction ID that belongs to replies[0]; each reply has the next one
 	lastUsed       time.Time
-	partialSince   time.Time // the command in hand, or the connection where none has come whole
-	hasSentCommand bool      // a whole command has come
-	closing        bool      // what comes is not taken any more
-	overLimit      bool      // it came beyond the bound: it closes once nothing is owed on it
-	readStopped    bool      // nothing is read beyond the command in part
-	finishing      bool      // nothing is owed on it, and its end has begun
+	partialSince   time.Time // start of the partial command, or of a connection without a complete one; else zero
+	hasSentCommand bool      // a complete command has arrived
+	closing        bool      // further commands are ignored
+	overLimit      bool      // accepted beyond the client limit: closed once it has no open commands
+	readStopped    bool      // nothing is read after the partial command
+	finishing      bool      // all replies are queued for writing, and the close has begun
 	payloadBuffer  []byte
-	// of a client that is idle and has yet to take an answer; the poller's
+	// progress of an idle client that has unread replies; used only on the poller
 	writeProgress wire.ReadProgress
 }
 
+// reply is the reply to one command, possibly still awaited.
 type reply struct {
-	requestID string // of the transaction, empty if it is none
+	requestID string // empty if the command is not a transaction
 	text      []byte
 	ready     bool
-	reserved  bool // its link was told of it
+	counted   bool // its size is counted as buffered on the link
 
-	skipped bool // it is not to be written: a breach on purpose
+	skipped bool // not written, because of an injected breach
 }
 
+// size returns the memory that the reply takes, in bytes.
 func (r *reply) size() int { return replyOverheadBytes + len(r.text) }
 
-// Open listens for clients.
+// Listen accepts clients of the sentry and returns the listener's address.
 func (p *Platform) Listen(s *sentry.Sentry) (string, error) {
 	p.sentry = s
 	server, err := wire.ServeRaw(p.config.Load().Settings.Endpoints.Listen, wire.Limits{MaxFrameBytes: maxValueBytes, MaxPendingBytes: maxUnwrittenBytes, Budget: p.replyBudget},
 		func(l *wire.Link) (wire.DataHandler, func(*wire.Link, error)) {
 			now := time.Now()
-			c := &clientConn{Link: l, p: p, lastUsed: now, partialSince: now, reader: resp.Reader{Limits: commandLimits, CommandsOnly: true}}
+			c := &clientConn{Link: l, platform: p, lastUsed: now, partialSince: now, reader: resp.Reader{Limits: commandLimits, CommandsOnly: true}}
 			c.handler = s.AddClient(c)
 			p.admit(c)
 			return c.read, func(*wire.Link, error) {
@@ -86,9 +89,9 @@
 	return server.Address, nil
 }
 
-// admit books a client, and closes one where there are too many: one that has said nothing, else the longest idle; never one
-// that has sent something which is not answered, nor one whose answer waits. If there is none, the new one is let go as soon as
-// nothing is owed on it. It runs on the poller.
+// admit registers a new client. Beyond the client limit it closes another one: first those that have sent no command, then the
+// longest idle, but never one that has open commands, unread data or unwritten replies. If there is none to close, the new
+// client is closed as soon as it has no open commands. It runs on the poller.
 func (p *Platform) admit(c *clientConn) {
 	p.mu.Lock()
 	p.clients[c] = struct{}{}
@@ -121,23 +124,24 @@
 			return
 		}
 	}
-	// All have something open. What this one may have sent is owed an answer: it closes once that is given.
+	// All others are in use. The new client may have sent a command already, so it is closed only after the reply.
 	c.mu.Lock()
 	c.overLimit = true
 	c.mu.Unlock()
 	wire.RunOnPoller(c.closeIfDue)
 }
 
-// shouldClose says whether a client is to close as soon as nothing is owed to it. The lock is held.
-func (c *clientConn) shouldClose() bool { return c.closing || c.overLimit || c.p.shouldCloseClients() }
+// shouldClose reports whether the client is to be closed once it has all its replies. The caller holds c.mu.
+func (c *clientConn) shouldClose() bool { return c.closing || c.overLimit || c.platform.closingAll() }
 
-// clientList lists the clients.
+// listClients returns the connected clients.
 func (p *Platform) listClients() []*clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Collect(maps.Keys(p.clients))
 }
 
+// removeClient unregisters a client and releases the ids of its open requests.
 func (p *Platform) removeClient(c *clientConn) {
 	c.mu.Lock()
 	ids := make([]string, 0, len(c.replies))
@@ -156,7 +160,8 @@
 	}
 }
 
-// watchClients has those clients closed that say nothing and, once the sentry is to stop, all of them.
+// sweepClientsUntilDone closes idle clients periodically and, while the sentry drains, all clients. It also logs steps of the
+// wall clock.
 func (p *Platform) sweepClientsUntilDone() {
 	for range p.ticks(clientSweepInterval) {
 		if step := p.wallClock.DetectStep(); step != 0 {
@@ -166,7 +171,7 @@
 	}
 }
 
-// idle says whether a client may be closed if nothing has come of it by then.
+// isIdle reports whether the client may be closed for inactivity, provided that no unread data has arrived by then.
 func (c *clientConn) isIdle(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,8 +186,9 @@
 	return now.Sub(c.partialSince) > commandTimeout
 }
 
-// closeIfDue closes a client that is idle or is to leave, on the poller: there a command that was read is in the queue, and one that
-// comes later is not read, so that the client sends it again. One in part, or unread, is given its time.
+// closeIfDue closes a client that is idle or that shouldClose selects. It runs on the poller, where every command that was read
+// is in c.replies; a command that arrives later stays unread, so the client can safely send it again. A command that is partial
+// or unread keeps its time limit.
 func (c *clientConn) closeIfDue() {
 	c.mu.Lock()
 	shouldClose := c.shouldClose()
@@ -203,7 +209,7 @@
 	}
 }
 
-// read takes the commands that have come. A client that is to leave is read no further than that.
+// read handles the commands that have arrived. It reads no further once the connection is closing.
 func (c *clientConn) read(_ *wire.Link, data []byte) ([]byte, error) {
 	defer c.afterRead()
 	for len(data) > 0 {
@@ -215,7 +221,7 @@
 		}
 		message, rest, complete, err := c.reader.Next(data)
 		if err != nil {
-			c.replyLine("-ERR Protocol error: "+err.Error(), true)
+			c.replyWithLine("-ERR Protocol error: "+err.Error(), true)
 			return nil, nil
 		}
 		c.mu.Lock()
@@ -230,8 +236,8 @@
 		c.lastUsed, c.partialSince, c.hasSentCommand = now, time.Time{}, true
 		openCommands := len(c.replies)
 		c.mu.Unlock()
-		if openCommands >= maxOpenCommands { // read, so it is owed an answer; a close would lose those behind it too
-			c.replyLine("-BUSY", false)
+		if openCommands >= maxOpenCommands { // it was read, so it gets a reply; closing would also drop the commands after it
+			c.replyWithLine("-BUSY", false)
 			data = rest
 			continue
 		}
@@ -241,11 +247,11 @@
 	return nil, nil
 }
 
-// refuse answers with a line, in its turn, and may close then.
-func (c *clientConn) replyLine(line string, closeAfter bool) {
+// replyWithLine queues a one-line reply after those of earlier commands. With closeAfter it then closes the connection.
+func (c *clientConn) replyWithLine(line string, closeAfter bool) {
 	c.mu.Lock()
 	c.replies = append(c.replies, reply{text: resp.AppendLine(nil, resp.Kind(line[0]), line[1:]), ready: true})
-	c.reserve(&c.replies[len(c.replies)-1])
+	c.countBuffered(&c.replies[len(c.replies)-1])
 	if closeAfter {
 		c.closing = true
 	}
@@ -254,52 +260,54 @@
 	c.Flush()
 }
 
+// handleCommand replies to a command or passes its transaction to the sentry.
 func (c *clientConn) handleCommand(message []resp.Value) {
 	switch string(message[1].Text) {
 	case "Q.ASK", "Q.DO":
 	case "PING":
-		c.replyLine("+PONG", false)
+		c.replyWithLine("+PONG", false)
 		return
 	case "CLIENT", "SELECT":
-		c.replyLine("+OK", false)
+		c.replyWithLine("+OK", false)
 		return
 	case "QUIT":
-		c.replyLine("+OK", true)
+		c.replyWithLine("+OK", true)
 		return
 	default:
-		c.replyLine("-ERR unknown command", false)
+		c.replyWithLine("-ERR unknown command", false)
 		return
 	}
-	parsed, problem := c.p.config.Load().parseCommand(message, c.payloadBuffer[:0])
+	parsed, problem := c.platform.config.Load().parseCommand(message, c.payloadBuffer[:0])
 	if problem != "" {
-		c.replyLine("-ERR "+problem, false)
+		c.replyWithLine("-ERR "+problem, false)
 		return
 	}
 	c.payloadBuffer = parsed.transaction.Payload
-	if !c.p.hasReplyBudget() {
-		c.replyLine("-BUSY", false)
+	if !c.platform.hasReplyBudget() {
+		c.replyWithLine("-BUSY", false)
 		return
 	}
 	id := string(parsed.requestID)
-	if !c.p.claimRequestID(id) {
-		c.replyLine("-ERR found the id of an open request, expected a new one", false)
+	if !c.platform.claimRequestID(id) {
+		c.replyWithLine("-ERR found the id of an open request, expected a new one", false)
 		return
 	}
 	c.mu.Lock()
-	parsed.transaction.ID = c.firstNumber + uint64(len(c.replies))
+	parsed.transaction.ID = c.firstReplyID + uint64(len(c.replies))
 	c.replies = append(c.replies, reply{requestID: id})
 	c.mu.Unlock()
 	c.handler.TransactionReceived(&parsed.transaction)
 }
 
-// fits says whether the answers that wait for clients and those that are to be expected leave room for one more.
+// hasReplyBudget reports whether the memory for replies has room for one more: for those that wait to be written, and for
+// those of open requests at the mean size.
 func (p *Platform) hasReplyBudget() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return int64(len(p.openRequests)+1)*p.meanReplyBytes <= p.replyBudget.Remaining()
 }
 
-// answered forgets an open id, and learns how great answers are.
+// finishRequest releases the id of an open request and updates the mean reply size.
 func (p *Platform) finishRequest(id string, replyBytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -307,7 +315,7 @@
 	p.meanReplyBytes += (int64(replyBytes) - p.meanReplyBytes) / meanReplyWindow
 }
 
-// claim books an id that is not in use.
+// claimRequestID registers the id of a request. It returns false if a request with that id is open.
 func (p *Platform) claimRequestID(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -318,10 +326,11 @@
 	return true
 }
 
-// Answer answers a transaction; what was asked before it goes first.
+// Answer queues the reply to a transaction and writes it once all earlier commands have their replies. It returns false if
+// the connection has ended or awaits no such reply.
 func (c *clientConn) Answer(a *wire.Answer) bool {
 	c.mu.Lock()
-	index := a.ID - c.firstNumber
+	index := a.ID - c.firstReplyID
 	if index >= uint64(len(c.replies)) || c.replies[index].ready || c.Dead() {
 		c.mu.Unlock()
 		return false
@@ -338,18 +347,18 @@
 			line += " " + strconv.FormatUint(max(1, a.RetryAfter/1000), 10)
 		}
 		r.text = resp.AppendLine(r.text, resp.Error, line)
-	case pb.Outcome_NOT_TAKEN: // nothing of it was handed off
+	case pb.Outcome_NOT_TAKEN: // no hand-off was made, so a retry is safe
 		r.text = resp.AppendLine(r.text, resp.Error, "BUSY")
 	default:
 		r.text = resp.AppendLine(r.text, resp.Error, "ERR written off")
 	}
-	c.reserve(r)
+	c.countBuffered(r)
 	size := len(r.text)
 	c.lastUsed = time.Now()
 	written := c.writeReady()
 	closes := len(c.replies) == 0 && !c.readStopped && c.shouldClose()
 	c.mu.Unlock()
-	c.p.finishRequest(id, size)
+	c.platform.finishRequest(id, size)
 	if closes {
 		c.WhenWritten(func() { wire.RunOnPoller(c.closeIfDue) })
 	}
@@ -357,22 +366,22 @@
 	return written
 }
 
-// hold tells the link of an answer that has to wait for those before it. The lock is held.
-func (c *clientConn) reserve(r *reply) {
+// countBuffered counts a reply that has to wait for earlier ones as buffered on the link. The caller holds c.mu.
+func (c *clientConn) countBuffered(r *reply) {
 	if r != &c.replies[0] {
-		r.reserved = true
+		r.counted = true
 		c.AddBuffered(r.size())
 	}
 }
 
-// write gives the link the answers whose turn it is. The lock is held.
+// writeReady passes the leading replies that are ready to the link. The caller holds c.mu.
 func (c *clientConn) writeReady() (ok bool) {
 	written := 0
 	ok = true
 	for written < len(c.replies) && c.replies[written].ready {
 		c.applyBreach(c.replies[written:])
 		r := &c.replies[written]
-		if r.reserved {
+		if r.counted {
 			c.AddBuffered(-r.size())
 		}
 		if !r.skipped {
@@ -380,7 +389,7 @@
 		}
 		written++
 	}
-	c.firstNumber += uint64(written)
+	c.firstReplyID += uint64(written)
 	c.replies = slices.Delete(c.replies, 0, written)
 	return ok
 }
--- a/internal/platform/command.go
+++ b/internal/platform/command.go
@@ -10,26 +10,27 @@
 	"scalechute/logic"
 )
 
-// mostValue is the greatest value, in bytes.
+// maxValueBytes bounds the body of a command.
 const maxValueBytes = 64 << 10
 
 var commandLimits = resp.Limits{MaxLineBytes: 64, MaxBulkBytes: maxValueBytes, MaxValues: 16, MaxDepth: 1, MaxMessageBytes: maxValueBytes + 4096}
 
-// command is one transaction as a client wrote it.
+// command is a client's Q.ASK or Q.DO command, parsed.
 type command struct {
 	transaction wire.Ask
 	requestID   []byte
 }
 
-// parse reads a transaction's command. What is wrong with it is told in a line.
-func (config *Config) parseCommand(message []resp.Value, payload []byte) (c command, problem string) {
-	if n := len(message) - 1; n != 4 && n != 5 { // the array itself stands first
-		return c, "found " + strconv.Itoa(n) + " words, expected a command, key, id, facts and a body or none"
+// parseCommand parses a Q.ASK or Q.DO command and appends its packed form to payload. problem describes an invalid command in
+// one line, as the client gets it; it is empty for a valid one.
+func (c *Config) parseCommand(message []resp.Value, payload []byte) (cmd command, problem string) {
+	if n := len(message) - 1; n != 4 && n != 5 { // message[0] is the array itself
+		return cmd, "found " + strconv.Itoa(n) + " words, expected a command, key, id, facts and a body or none"
 	}
 	isAsk := string(message[1].Text) == "Q.ASK"
-	c.requestID = message[3].Text
-	if len(c.requestID) == 0 || len(c.requestID) > 128 || len(message[2].Text) > 1024 {
-		return c, "found no id that can be one, expected up to 128 bytes, and up to 1024 of a key"
+	cmd.requestID = message[3].Text
+	if len(cmd.requestID) == 0 || len(cmd.requestID) > 128 || len(message[2].Text) > 1024 {
+		return cmd, "found no id that can be one, expected up to 128 bytes, and up to 1024 of a key"
 	}
 	fields := message[4].Text
 	profile, timeoutStart, timeoutEnd, hasToken := logic.ProfileID(-1), -1, -1, false
@@ -41,61 +42,65 @@
 		}
 		field := fields[offset : offset+end]
 		if len(field) < 2 || field[1] != '=' || seen[field[0]] {
-			return c, "found facts that can't be read, expected names and values, each name once"
+			return cmd, "found facts that can't be read, expected names and values, each name once"
 		}
 		seen[field[0]] = true
 		value := field[2:]
 		switch field[0] {
 		case 'c':
-			id, known := config.names.Profiles[string(value)]
+			id, known := c.names.Profiles[string(value)]
 			if !known {
-				return c, "found a class that there is not, expected one of the settings"
+				return cmd, "found a class that there is not, expected one of the settings"
 			}
 			profile = id
 		case 't':
-			id, known := config.names.Accounts[string(value)]
+			id, known := c.names.Accounts[string(value)]
 			if !known {
-				return c, "found a tenant that there is not, expected one of the settings"
+				return cmd, "found a tenant that there is not, expected one of the settings"
 			}
-			c.transaction.Account = uint32(id) + 1
+			cmd.transaction.Account = uint32(id) + 1
 		case 'd':
 			ms, err := strconv.ParseUint(string(value), 10, 31)
 			if err != nil || ms == 0 {
-				return c, "found no time to wait, expected milliseconds"
+				return cmd, "found no time to wait, expected milliseconds"
 			}
-			c.transaction.Timeout = ms * 1000
+			cmd.transaction.Timeout = ms * 1000
 			timeoutStart, timeoutEnd = offset+2, offset+end
 		case 'k':
 			hasToken = len(value) > 0
 		case 'r':
-			c.transaction.Retry = string(value) == "1"
+			cmd.transaction.Retry = string(value) == "1"
 		}
 		offset += end + 1
 	}
 	if profile < 0 || timeoutStart < 0 {
-		return c, "found no class or no time to wait, expected both"
+		return cmd, "found no class or no time to wait, expected both"
 	}
-	repeat := config.Settings.Policy.Profiles[profile].Repeatability
+	repeatability := c.Settings.Policy.Profiles[profile].Repeatability
 	switch {
-	case isAsk != (repeat == logic.Idempotent):
-		return c, "found a command that does not serve this class, expected Q.ASK for those safe to repeat, else Q.DO"
-	case hasToken != (repeat == logic.Deduplicated):
-		return c, "found a mark where none belongs or none where one does, expected k in keyed classes alone"
+	case isAsk != (repeatability == logic.Idempotent):
+		return cmd, "found a command that does not serve this class, expected Q.ASK for those safe to repeat, else Q.DO"
+	case hasToken != (repeatability == logic.Deduplicated):
+		return cmd, "found a mark where none belongs or none where one does, expected k in keyed classes alone"
 	}
-	c.transaction.Profile, c.transaction.Key = uint32(profile), message[2].Text
-	c.transaction.Payload = packCommand(payload, message, timeoutStart, timeoutEnd)
-	return c, ""
+	cmd.transaction.Profile, cmd.transaction.Key = uint32(profile), message[2].Text
+	cmd.transaction.Payload = packCommand(payload, message, timeoutStart, timeoutEnd)
+	return cmd, ""
 }
 
-// pack keeps a command so that it can be written again with another time to wait: the facts before and after that time,
-// each with its length, how long what comes before the facts is, that, and what comes after them.
+// packCommand appends a command to dst in a form from which appendCommand can write it with another timeout. The fields are the
+// command's fourth word (the facts), and the timeout is the part of them from timeoutStart to timeoutEnd. The form is:
+//
+//   - the fields before the timeout, and those after it, each preceded by its length as a uvarint
+//   - the length of the encoded command before the fields, in 2 bytes, and that part of the command
+//   - the encoded command after the fields
 func packCommand(dst []byte, message []resp.Value, timeoutStart, timeoutEnd int) []byte {
 	fields := message[4].Text
 	for _, part := range [][]byte{fields[:timeoutStart], fields[timeoutEnd:]} {
 		dst = append(binary.AppendUvarint(dst, uint64(len(part))), part...)
 	}
 	prefixStart := len(dst)
-	dst = resp.AppendArrayHeader(append(dst, 0, 0), message[0].ArrayLen) // at most some kilobytes: words, a key and an id
+	dst = resp.AppendArrayHeader(append(dst, 0, 0), message[0].ArrayLen) // a few kilobytes at most, since key and id are bounded: the length fits 2 bytes
 	for _, value := range message[1:4] {
 		dst = resp.AppendBulkString(dst, value.Text)
 	}
@@ -106,7 +111,7 @@
 	return dst
 }
 
-// unpack writes a command again, with the time that the sentry will wait.
+// appendCommand appends a packed command to dst, with the time that the sentry waits for the answer as its timeout.
 func appendCommand(dst, packed []byte, timeout logic.Micros) []byte {
 	var fields [2][]byte
 	for i := range fields {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -42,11 +42,11 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := parseConfig(raw)
+	config, err := parseConfig(raw)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	return p, nil
+	return config, nil
 }
 
 // news is where a build stands, as the configuration and the desk's lines tell it alike.
@@ -66,10 +66,10 @@
 			MemoryMB int64 `json:"memory_mb"`
 			Sockets  int
 		}
-		PeerListen string `json:"peer_listen"`
-		Peers      []string
-		PeersAll   string `json:"peers_all"`
-		Desk       struct {
+		PeerListen   string `json:"peer_listen"`
+		Peers        []string
+		PeersAll     string `json:"peers_all"`
+		ControlPlane struct {
 			Address string
 			News    *releaseStatus
 		} `json:"release_api"`
@@ -80,7 +80,7 @@
 		return nil, fmt.Errorf("found no configuration, expected one in JSON: %w", err)
 	}
 	for _, endpoint := range []struct{ name, address string }{{"listen", file.Listen}, {"discovery", file.Discovery},
-		{"release_api.address", file.Desk.Address}} {
+		{"release_api.address", file.ControlPlane.Address}} {
 		if _, _, err := net.SplitHostPort(endpoint.address); err != nil {
 			return nil, fmt.Errorf("%s: found %q, expected an address and a port", endpoint.name, endpoint.address)
 		}
@@ -89,24 +89,24 @@
 		return nil, fmt.Errorf("limits: found %+v, expected cores, megabytes, and at least %d sockets", file.Limits, 4*reservedSockets)
 	}
 	zones := map[string]logic.ZoneID{}
-	decisions, names, err := facts.DecodeConfig(file.Settings, zones)
+	policy, names, err := facts.DecodeConfig(file.Settings, zones)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if len(names.Profiles) == 0 || decisions.Position < 0 || int(decisions.Position) >= decisions.Sentries ||
-		decisions.MaxHandOffs < 1 || decisions.ConnectTimeout < 1 {
+	if len(names.Profiles) == 0 || policy.Position < 0 || int(policy.Position) >= policy.Sentries ||
+		policy.MaxHandOffs < 1 || policy.ConnectTimeout < 1 {
 		return nil, fmt.Errorf("settings: found %d classes, position %d of %d, %d attempts, %d us to connect, expected each",
-			len(names.Profiles), decisions.Position, decisions.Sentries, decisions.MaxHandOffs, decisions.ConnectTimeout)
+			len(names.Profiles), policy.Position, policy.Sentries, policy.MaxHandOffs, policy.ConnectTimeout)
 	}
-	if err := validateSettings(decisions, names); err != nil {
+	if err := validateSettings(policy, names); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	decisions.ListChangeDelay = logic.Micros(noticeDelay / time.Microsecond)
+	policy.ListChangeDelay = logic.Micros(listChangeDelay / time.Microsecond)
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("seed: found %q, expected a number of 16 digits", file.Seed)
 	}
-	config := &Config{Name: file.Name, DiscoveryAddress: file.Discovery, ControlPlaneAddress: file.Desk.Address, PeerListenAddress: file.PeerListen, PeerAddresses: file.Peers,
+	config := &Config{Name: file.Name, DiscoveryAddress: file.Discovery, ControlPlaneAddress: file.ControlPlane.Address, PeerListenAddress: file.PeerListen, PeerAddresses: file.Peers,
 		PeerBroadcastAddress: file.PeersAll, MemoryMB: file.Limits.MemoryMB, Cores: file.Limits.Cores, MaxSockets: file.Limits.Sockets, names: names,
 		InitialList: &pb.Report{Whole: true}, wallClock: clock.NewWallClock()}
 	if file.Known != nil {
@@ -114,12 +114,12 @@
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	if file.Desk.News != nil {
-		if config.ReleaseStatus, err = file.Desk.News.toProto(); err != nil {
+	if file.ControlPlane.News != nil {
+		if config.ReleaseStatus, err = file.ControlPlane.News.toProto(); err != nil {
 			return nil, fmt.Errorf("release_api: %w", err)
 		}
 	}
-	config.Settings = &orders.Settings{Policy: decisions, Endpoints: orders.Endpoints{Listen: file.Listen, Seed: int64(seed)},
+	config.Settings = &orders.Settings{Policy: policy, Endpoints: orders.Endpoints{Listen: file.Listen, Seed: int64(seed)},
 		ProfileNames: namesByIndex(names.Profiles), AccountNames: namesByIndex(names.Accounts), Zones: namesByIndex(zones)}
 	maxWorkerConns := config.MaxSockets - config.maxClients() - reservedSockets
 	config.Settings.Bounds = orders.Bounds{InboxEvents: 1024, OpenTransactions: config.MaxSockets, ConnectionsPerWorker: maxWorkerConns, HandOffsPerConnection: max(1, names.StreamsPerConnection),
@@ -162,7 +162,7 @@
 func (c *Config) maxClients() int { return c.MaxSockets / 3 }
 
 // noticeWithin is how long after discovery had a change it counts as told, whether or not it arrived (PROTOCOL, Figures).
-const noticeDelay = 6 * time.Second
+const listChangeDelay = 6 * time.Second
 
 // targets is what discovery tells.
 type targetList struct {
--- a/internal/platform/control_plane.go
+++ b/internal/platform/control_plane.go
@@ -24,7 +24,7 @@
 
 // desk takes votes and tells the news, over one connection.
 type controlPlane struct {
-	p              *Platform
+	platform       *Platform
 	mu             sync.Mutex
 	address        string
 	link           *wire.Link
@@ -35,7 +35,7 @@
 
 // run keeps a connection open.
 func (d *controlPlane) run() {
-	for delay := minRetryDelay; !d.p.isDone(); {
+	for delay := minRetryDelay; !d.platform.isDone(); {
 		d.mu.Lock()
 		address := d.address
 		d.mu.Unlock()
@@ -45,7 +45,7 @@
 			delay = min(max(2*delay, minRetryDelay), maxRetryDelay)
 		}
 		select {
-		case <-d.p.done:
+		case <-d.platform.done:
 		case <-d.addressChanged:
 			delay = 0
 		case <-time.After(delay/2 + rand.N(delay+1)):
@@ -59,7 +59,7 @@
 	link, err := wire.DialRaw(address, dialTimeout, wire.Limits{MaxFrameBytes: maxLineBytes, MaxPendingBytes: maxValueBytes}, d.read,
 		func(*wire.Link, error) { close(ended) })
 	if err != nil {
-		d.p.log.Warn().Err(err).Msg("desk")
+		d.platform.log.Warn().Err(err).Msg("desk")
 		return false
 	}
 	d.mu.Lock()
@@ -71,7 +71,7 @@
 		select {
 		case <-ended:
 			open = false
-		case <-d.p.done:
+		case <-d.platform.done:
 			link.Close(wire.ErrClosed)
 		case <-d.addressChanged: // another address
 			link.Close(wire.ErrClosed)
@@ -87,7 +87,7 @@
 	unanswered := d.pendingReplies
 	d.link, d.pendingReplies = nil, nil
 	d.mu.Unlock()
-	d.p.sentry.VotesTimedOut(unanswered)
+	d.platform.sentry.VotesTimedOut(unanswered)
 	return !slices.Contains(unanswered, 0)
 }
 
@@ -96,7 +96,7 @@
 	d.mu.Lock()
 	d.lastReceived = time.Now()
 	d.mu.Unlock()
-	return d.readLines(data, d.p.sentry.ReleaseUpdated)
+	return d.readLines(data, d.platform.sentry.ReleaseUpdated)
 }
 
 // lines takes whole lines and tells the news in them.
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -32,7 +32,7 @@
 	keepaliveTime = 2 * time.Second // discovery says so often on a watch that it is there
 	maxListBytes  = 8 << 20         // bytes of a list
 	// What discovery has to tell counts as told so long after a new configuration, whatever it names (DAYS, New configurations).
-	addressChangeNotice = 4 * time.Second
+	addressChangeDelay = 4 * time.Second
 	// A list that has begun to come is whole within this, or it is in doubt.
 	listReadTimeout = 250 * time.Millisecond
 )
@@ -45,7 +45,7 @@
 // discovery asks for the list. Its fields belong to the loop, which also judges each report in its turn (takes): what an
 // outdated call has told, or a version older than the one at hand, is dropped there.
 type discovery struct {
-	p            *Platform
+	platform     *Platform
 	client       http.Client
 	address      string
 	listsPushed  bool          // lists are pushed: a watch stands without being asked for
@@ -69,7 +69,7 @@
 }
 
 func newDiscovery(p *Platform, addr string) *discovery {
-	return &discovery{p: p, address: addr, client: http.Client{Transport: &http.Transport{
+	return &discovery{platform: p, address: addr, client: http.Client{Transport: &http.Transport{
 		DialContext:       func(_ context.Context, _, addr string) (net.Conn, error) { return wire.DialConn(addr, dialTimeout) },
 		DisableKeepAlives: true,
 		ReadBufferSize:    4 << 10, WriteBufferSize: 1 << 10}}}
@@ -77,7 +77,7 @@
 
 // ask asks for the whole list once or sees to it that a watch stands. It is called on the loop, as are all but read.
 func (d *discovery) startCall(watch bool, since uint64) {
-	if d.p.isDone() || watch && d.watch != nil {
+	if d.platform.isDone() || watch && d.watch != nil {
 		return
 	}
 	url := "http://" + d.address + "/api/targets"
@@ -94,17 +94,17 @@
 	go func() {
 		defer cancel()
 		started := time.Now()
-		if err := d.readLists(ctx, c, url); err != nil && !d.p.isDone() {
-			d.p.log.Warn().Uint64("call", c.id).Bool("watch", watch).Uint64("from", c.fromVersion).Dur("took_ms", time.Since(started)).
+		if err := d.readLists(ctx, c, url); err != nil && !d.platform.isDone() {
+			d.platform.log.Warn().Uint64("call", c.id).Bool("watch", watch).Uint64("from", c.fromVersion).Dur("took_ms", time.Since(started)).
 				Err(err).Msg("discovery call ended")
-			d.p.sentry.ListRequestFailed(errors.As(err, new(statusError)), func() bool { return d.acceptFailure(c) })
+			d.platform.sentry.ListRequestFailed(errors.As(err, new(statusError)), func() bool { return d.acceptFailure(c) })
 		}
 	}()
 }
 
 // tell has the loop take what a call has brought, unless it is outdated by then.
 func (d *discovery) deliver(c *call, report *pb.Report) {
-	d.p.sentry.ListReceived(report, func() bool { return d.acceptReport(c, report) })
+	d.platform.sentry.ListReceived(report, func() bool { return d.acceptReport(c, report) })
 }
 
 // takes says whether the loop is to take a report now.
@@ -113,11 +113,11 @@
 	case c.addressEpoch != d.addressEpoch || c.watch && c != d.watch: // gone on from
 		return false
 	case report.Version < d.lastVersion && !c.acceptsAnyVersion: // a later call has told more
-		d.p.log.Warn().Uint64("call", c.id).Uint64("version", report.Version).Uint64("held", d.lastVersion).Msg("outdated list dropped")
+		d.platform.log.Warn().Uint64("call", c.id).Uint64("version", report.Version).Uint64("held", d.lastVersion).Msg("outdated list dropped")
 		return false
 	}
 	if report.Version != d.lastVersion || len(report.Lines) > 0 {
-		d.p.log.Info().Uint64("call", c.id).Uint64("version", report.Version).Uint64("before", d.lastVersion).Bool("whole", report.Whole).
+		d.platform.log.Info().Uint64("call", c.id).Uint64("version", report.Version).Uint64("before", d.lastVersion).Bool("whole", report.Whole).
 			Int("lines", len(report.Lines)).Msg("list taken")
 	}
 	d.lastVersion, c.acceptsAnyVersion, d.retryDelay = report.Version, false, 0
@@ -151,7 +151,7 @@
 	d.retryDelay = min(max(2*d.retryDelay, minRetryDelay), maxRetryDelay)
 	since := d.lastVersion
 	time.AfterFunc(d.retryDelay/2+rand.N(d.retryDelay), func() {
-		d.p.sentry.Inspect(func() { d.startCall(true, since) })
+		d.platform.sentry.Inspect(func() { d.startCall(true, since) })
 	})
 }
 
@@ -188,7 +188,7 @@
 			if err := json.Unmarshal(text, &list); err != nil {
 				return err
 			}
-			if report, err = list.toReport(d.p.wallClock); err != nil {
+			if report, err = list.toReport(d.platform.wallClock); err != nil {
 				return err
 			}
 			if report.Version < version {
@@ -215,7 +215,7 @@
 // come whole, or not soon.
 func (d *discovery) readList(c *call, body *bufio.Reader, started time.Time) ([]byte, error) {
 	reportIncomplete := func() {
-		d.p.sentry.ListPartlyReceived(time.Since(started), func() bool { return c.addressEpoch == d.addressEpoch && (!c.watch || c == d.watch) })
+		d.platform.sentry.ListPartlyReceived(time.Since(started), func() bool { return c.addressEpoch == d.addressEpoch && (!c.watch || c == d.watch) })
 	}
 	timer := time.AfterFunc(listReadTimeout, reportIncomplete)
 	text, err := readObject(body, maxListBytes)
@@ -279,7 +279,7 @@
 	d.close()
 	d.address, d.watch, d.lastVersion, d.fetchAll = address, nil, 0, true
 	d.addressEpoch++
-	d.p.sentry.ListMayBeStale(d.p.sentry.Now() + logic.Micros(addressChangeNotice/time.Microsecond))
+	d.platform.sentry.ListMayBeStale(d.platform.sentry.Now() + logic.Micros(addressChangeDelay/time.Microsecond))
 	d.startCall(true, 0)
 }
 
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -55,7 +55,7 @@
 }
 
 // drained says whether clients are to go.
-func (p *Platform) shouldCloseClients() bool { return p.drainingFor(stopReadingDelay) }
+func (p *Platform) closingAll() bool { return p.drainingFor(stopReadingDelay) }
 
 // sweepClients has those clients closed that are idle or to leave. Once none is left, a process that is to stop stops.
 func (p *Platform) sweepClients() {
--- a/internal/platform/list_staleness_test.go
+++ b/internal/platform/list_staleness_test.go
@@ -67,8 +67,8 @@
 		t.Fatal(err)
 	}
 	env.waitFor("the time", func() bool { return len(env.staleReports) == 1 })
-	if after := env.staleReports[0].StaleSince - env.staleReports[0].At; after != logic.Micros(addressChangeNotice/time.Microsecond) {
-		t.Errorf("counts as told %d us after, expected %v", after, addressChangeNotice)
+	if after := env.staleReports[0].StaleSince - env.staleReports[0].At; after != logic.Micros(addressChangeDelay/time.Microsecond) {
+		t.Errorf("counts as told %d us after, expected %v", after, addressChangeDelay)
 	}
 }
 
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -12,7 +12,7 @@
 
 // peers are told by datagrams.
 type peers struct {
-	p         *Platform
+	platform  *Platform
 	conn      *net.UDPConn
 	broadcast *net.UDPAddr
 	addresses []*net.UDPAddr
@@ -20,7 +20,7 @@
 }
 
 func newPeers(p *Platform) (*peers, error) {
-	ps := &peers{p: p, senders: map[string]logic.SentryID{}}
+	ps := &peers{platform: p, senders: map[string]logic.SentryID{}}
 	config := p.config.Load()
 	if config.PeerListenAddress == "" || !config.Settings.Policy.MayMessage {
 		return ps, nil
@@ -55,13 +55,13 @@
 	for {
 		n, from, err := ps.conn.ReadFromUDP(buffer)
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) || ps.p.isDone() {
+			if errors.Is(err, net.ErrClosed) || ps.platform.isDone() {
 				return
 			}
 			continue
 		}
 		if id, known := ps.senders[from.String()]; known && n <= sentry.MaxPeerMessageBytes {
-			ps.p.sentry.PeerMessageReceived(id, append([]byte(nil), buffer[:n]...))
+			ps.platform.sentry.PeerMessageReceived(id, append([]byte(nil), buffer[:n]...))
 		}
 	}
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -48,7 +48,7 @@
 	p.config.Store(config)
 	p.replyBudget = wire.NewBufferBudget(config.MemoryMB << 20 / replyMemoryDivisor)
 	p.discovery = newDiscovery(p, config.DiscoveryAddress)
-	p.controlPlane = &controlPlane{p: p, address: config.ControlPlaneAddress, addressChanged: make(chan struct{}, 1)}
+	p.controlPlane = &controlPlane{platform: p, address: config.ControlPlaneAddress, addressChanged: make(chan struct{}, 1)}
 	var err error
 	p.peers, err = newPeers(p)
 	return p, err
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -26,9 +26,9 @@
 // way is a connection to a worker. Answers come in the order of the hand-offs.
 type workerConn struct {
 	*wire.Link
-	p       *Platform
-	handler sentry.WorkerConnHandler
-	reader  resp.Reader
+	platform *Platform
+	handler  sentry.WorkerConnHandler
+	reader   resp.Reader
 
 	mu            sync.Mutex
 	pending       []sentHandOff // hand-offs whose answers are still to come
@@ -49,7 +49,7 @@
 
 // Dial opens a way to a worker.
 func (p *Platform) Dial(handler sentry.WorkerConnHandler, address string, limit time.Duration) (sentry.WorkerConn, error) {
-	w := &workerConn{p: p, handler: handler, reader: resp.Reader{Limits: answerLimits}}
+	w := &workerConn{platform: p, handler: handler, reader: resp.Reader{Limits: answerLimits}}
 	link, err := wire.DialRaw(address, limit, wire.Limits{MaxFrameBytes: maxValueBytes, MaxPendingBytes: 4 * maxValueBytes}, w.read,
 		func(_ *wire.Link, reason error) {
 			w.stopStallTimer()
@@ -172,9 +172,9 @@
 	defer w.mu.Unlock()
 	switch w.partialAnswer = partial; {
 	case partial && w.stallTimer == nil:
-		w.stallTimer = time.AfterFunc(w.p.config.Load().answerStallTimeout(), w.closeIfStalled)
+		w.stallTimer = time.AfterFunc(w.platform.config.Load().answerStallTimeout(), w.closeIfStalled)
 	case partial:
-		w.stallTimer.Reset(w.p.config.Load().answerStallTimeout())
+		w.stallTimer.Reset(w.platform.config.Load().answerStallTimeout())
 	case !partial && w.stallTimer != nil:
 		w.stallTimer.Stop()
 		w.stallTimer = nil
@@ -190,7 +190,7 @@
 	case w.IsReadIdle():
 		go w.Close(errStalledAnswer) // its end takes the lock
 	default:
-		w.stallTimer.Reset(w.p.config.Load().answerStallTimeout())
+		w.stallTimer.Reset(w.platform.config.Load().answerStallTimeout())
 	}
 }
 
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,5 +1,6 @@
-// Package resp reads and writes RESP2 in bounds that are set beforehand, from bytes that come in any pieces. It knows no
-// sockets and keeps nothing of a message once the next is read.
+// Package resp implements an incremental parser and an encoder for RESP2, the Redis protocol. A Reader parses messages from
+// a byte stream that arrives in any pieces, within configured limits. The package does no I/O, and a Reader keeps nothing of
+// a message once the next one is read.
 package resp
 
 import (
@@ -8,9 +9,10 @@
 	"strconv"
 )
 
-// Kind is what a value is.
+// Kind is the type of a value. For all kinds but Null it is the byte that begins the value on the wire.
 type Kind byte
 
+// The kinds of values.
 const (
 	SimpleString Kind = '+'
 	Error        Kind = '-'
@@ -20,46 +22,47 @@
 	Null         Kind = '0' // a null bulk string or array
 )
 
-// Value is one value of a message. Those of an array follow it.
+// Value is one value of a message. The elements of an array follow the array in the message's list of values.
 type Value struct {
 	Kind     Kind
-	Text     []byte // of a simple one, a fault, a whole number or a bulk string; points into the data that was read
-	ArrayLen int    // of an array
+	Text     []byte // for all kinds but Array and Null; points into the data passed to Next
+	ArrayLen int    // number of elements of an array
 }
 
-// Bounds are what a message may have at the most.
+// Limits bounds the size of a message. A message beyond a limit is a ProtocolError.
 type Limits struct {
-	MaxLineBytes    int // bytes of a line
-	MaxBulkBytes    int // bytes of a bulk string
-	MaxValues       int // values, all arrays' together
-	MaxDepth        int // arrays within one another
-	MaxMessageBytes int // of the whole message
+	MaxLineBytes    int // of a line, without its type byte and its CRLF
+	MaxBulkBytes    int // of a bulk string
+	MaxValues       int // in a message; arrays and their elements all count
+	MaxDepth        int // of nested arrays
+	MaxMessageBytes int // of a whole message
 }
 
-// Malformed is what was wrong with a message.
+// ProtocolError reports a message that is malformed or exceeds a limit.
 type ProtocolError struct{ Found, Expected string }
 
 func (m *ProtocolError) Error() string { return "RESP: found " + m.Found + ", expected " + m.Expected }
 
-// Reader reads messages of one connection. It keeps how far it has come in a message that is not whole yet, and looks at
-// no byte of a bulk string twice.
+// Reader parses the messages of one connection. It remembers how far it has parsed an incomplete message, so that no byte of
+// a bulk string is examined twice.
 type Reader struct {
 	Limits       Limits
-	CommandsOnly bool // only arrays of bulk strings
+	CommandsOnly bool // accept only non-empty arrays of bulk strings, as clients send them
 
-	offset    int     // how far the message in hand was read
-	tokens    []token // its values
-	remaining []int   // values still to come, by array
+	offset    int     // bytes of the current message parsed so far
+	tokens    []token // its values parsed so far
+	remaining []int   // elements still missing of each open array, the innermost last
 	values    []Value
 }
 
+// token is a parsed value whose text is given as offsets into the message.
 type token struct {
 	kind       Kind
-	start, end int
+	start, end int // for an array, end is its number of elements
 }
 
-// Next takes the first message off data, which begins where the last message ended. Where it is not whole, ok is false,
-// and the next call brings the same bytes and more. Values are good until that call.
+// Next parses the first message of data and returns the bytes after it as rest. If the message is incomplete, ok is false,
+// and the next call must pass the same bytes followed by more. The returned values are valid until that call.
 func (r *Reader) Next(data []byte) (message []Value, rest []byte, ok bool, err error) {
 	for {
 		complete, needMore, err := r.readValue(data)
@@ -91,12 +94,13 @@
 	return r.values, data[consumed:], true, nil
 }
 
+// limitExceeded returns the error for a message that exceeds a limit.
 func limitExceeded(actual int, unit string, limit int) error {
 	return &ProtocolError{strconv.Itoa(actual) + " " + unit, "at most " + strconv.Itoa(limit)}
 }
 
-// Missing says how many bytes the message in part still lacks at the least, after Next has found that it is not whole: reading
-// no more than these never goes beyond its end.
+// MissingBytes returns a lower bound, at least 1, of the bytes that an incomplete message still lacks, after Next has found it
+// incomplete. Reading that many bytes never reads past the end of the message.
 func (r *Reader) MissingBytes(data []byte) int {
 	if r.offset >= len(data) || Kind(data[r.offset]) != BulkString {
 		return 1
@@ -112,7 +116,7 @@
 	return max(1, nextOffset+n+len("\r\n")-len(data))
 }
 
-// value reads one value; done says that the message is whole with it, more that bytes are missing.
+// readValue parses one value. complete reports that it ends the message, needMore that data ends within the value.
 func (r *Reader) readValue(data []byte) (complete, needMore bool, err error) {
 	if r.offset >= len(data) {
 		return false, true, nil
@@ -192,7 +196,8 @@
 	return true, false, nil
 }
 
-// line gives what stands on the line after the first byte of a value, and where the next begins, 0 if it is not whole.
+// readLine returns the line after the type byte of the current value and the offset after its CRLF, or 0 if the line is
+// incomplete.
 func (r *Reader) readLine(data []byte) (line []byte, nextOffset int, err error) {
 	rest := data[r.offset+1:]
 	searched := rest[:min(len(rest), r.Limits.MaxLineBytes+1)]
@@ -210,7 +215,7 @@
 	return rest[:lineEnd], r.offset + 1 + lineEnd + 2, nil
 }
 
-// length reads a length; -1 is a null's.
+// parseLength parses the length of a bulk string or an array. It returns -1 for a null.
 func parseLength(line []byte) (int, error) {
 	if string(line) == "-1" {
 		return -1, nil
@@ -228,18 +233,18 @@
 	return n, nil
 }
 
-// AppendArray begins an array.
+// AppendArrayHeader appends the header of an array of length elements to dst. The caller appends the elements.
 func AppendArrayHeader(dst []byte, length int) []byte {
 	return append(strconv.AppendInt(append(dst, '*'), int64(length), 10), '\r', '\n')
 }
 
-// AppendBulk adds a bulk string.
+// AppendBulkString appends a bulk string to dst.
 func AppendBulkString(dst, text []byte) []byte {
 	dst = append(strconv.AppendInt(append(dst, '$'), int64(len(text)), 10), '\r', '\n')
 	return append(append(dst, text...), '\r', '\n')
 }
 
-// AppendLine adds a simple string or a fault. What would end the line early is written as a space.
+// AppendLine appends a simple string or an error to dst. A CR or LF in the text is written as a space.
 func AppendLine(dst []byte, kind Kind, text string) []byte {
 	dst = append(dst, byte(kind))
 	for i := range len(text) {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -10,6 +10,7 @@
 
 var testLimits = Limits{MaxLineBytes: 64, MaxBulkBytes: 100, MaxValues: 9, MaxDepth: 2, MaxMessageBytes: 300}
 
+// formatMessage writes the values of a message in one line.
 func formatMessage(message []Value) string {
 	var b strings.Builder
 	for _, value := range message {
@@ -18,7 +19,7 @@
 	return b.String()
 }
 
-// read gives data in pieces, as a connection does, and tells the messages and what ended them.
+// readPieces passes data to a Reader in pieces, as a connection does. It returns the messages and the error that ended them.
 func readPieces(commands bool, pieces ...[]byte) (messages []string, err error) {
 	reader := Reader{Limits: testLimits, CommandsOnly: commands}
 	var data []byte
@@ -44,7 +45,7 @@
 	for _, test := range []struct {
 		in       string
 		commands bool
-		want     string // messages; then what is wrong
+		want     string // the messages, or a part of the error
 	}{
 		{"*2\r\n$4\r\nPING\r\n$0\r\n\r\n*1\r\n$1\r\na\r\n", true, "*2|$PING0|$0|;*1|$a0|;"},
 		{"*3\r\n$2\r\nab\r\n$-1\r\n$3\r\nx=1\r\n", false, "*3|$ab0|00|$x=10|;"},
@@ -63,7 +64,7 @@
 		{"*4\r\n" + strings.Repeat("$100\r\n"+maxBulkText+"\r\n", 4), false, "at most 300"},
 	} {
 		splits := [][][]byte{bytes.SplitAfter([]byte(test.in), nil)}
-		for cut := range len(test.in) { // whole, and in two at every byte
+		for cut := range len(test.in) { // in one piece, and in two pieces cut at every byte
 			splits = append(splits, [][]byte{[]byte(test.in[:cut]), []byte(test.in[cut:])})
 		}
 		for _, pieces := range splits {
@@ -82,7 +83,7 @@
 	}
 }
 
-// Whatever comes, in whatever pieces, is read alike, and what is written is read back.
+// Data is parsed the same way however it is cut into pieces, and encoded values are parsed back.
 func FuzzNext(f *testing.F) {
 	f.Add([]byte("*2\r\n$4\r\nPING\r\n$0\r\n\r\n"), int64(1), true)
 	f.Add([]byte("*3\r\n$2\r\nab\r\n$-1\r\n$3\r\nx=1\r\n-BUSY\r\n"), int64(2), false)
@@ -96,19 +97,19 @@
 		}
 		fromPieces, err2 := readPieces(commands, pieces...)
 		if fmt.Sprint(fromWhole) != fmt.Sprint(fromPieces) || (err == nil) != (err2 == nil) {
-			t.Fatalf("whole %v %v, in pieces %v %v", fromWhole, err, fromPieces, err2)
+			t.Fatalf("in one piece: %v %v, in several: %v %v", fromWhole, err, fromPieces, err2)
 		}
 		if len(data) <= testLimits.MaxBulkBytes {
 			line := AppendLine(nil, Error, string(data[:min(len(data), testLimits.MaxLineBytes)]))
 			encoded := append(AppendBulkString(AppendArrayHeader(nil, 1), data), line...)
 			if messages, err := readPieces(false, encoded); err != nil || len(messages) != 2 || messages[0] != "*1|$"+string(data)+"0|" {
-				t.Fatalf("wrote %q, read %v %v", encoded, messages, err)
+				t.Fatalf("encoded %q, parsed %v %v", encoded, messages, err)
 			}
 		}
 	})
 }
 
-// Reading no more than what is missing takes a message to its end and never beyond, wherever it was cut.
+// Reading MissingBytes at a time ends exactly at the end of the message, wherever it was cut.
 func TestMissing(t *testing.T) {
 	const message, next = "*3\r\n$5\r\nQ.ASK\r\n$0\r\n\r\n$12\r\n0123456789ab\r\n", "*1\r\n$4\r\nPING\r\n"
 	stream := []byte(message + next)
