--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,5 +1,7 @@
-// Package platform is the ends of a sentry on the operators' platform: clients and workers in RESP2, discovery over
-// HTTP, votes and news in lines of text, peers in datagrams. It decides nothing.
+// Package platform implements sentry.Transport for the operators' platform and reads the platform's configuration. Clients
+// and workers use RESP2 over TCP, discovery serves the list of servers over HTTP, the control plane takes votes and reports the
+// release status in lines of text over TCP, and peers exchange UDP datagrams. A Platform connects one sentry to all of them; it
+// makes no routing or release decisions.
 package platform
 
 import (
@@ -18,25 +20,25 @@
 	"scalechute/logic"
 )
 
-// Post is what the platform's configuration tells a sentry.
+// Config is the platform's configuration for one sentry.
 type Config struct {
 	Name                 string
 	DiscoveryAddress     string
 	ControlPlaneAddress  string
 	PeerListenAddress    string
 	PeerBroadcastAddress string
-	PeerAddresses        []string // by position
+	PeerAddresses        []string // by the peers' positions
 	MemoryMB             int64
 	Cores                float64
-	MaxSockets           int
-	ReleaseStatus        *pb.News
-	InitialList          *pb.Report
+	MaxSockets           int        // file descriptors of the process
+	ReleaseStatus        *pb.News   // as of the configuration; nil if it has none
+	InitialList          *pb.Report // the worker list as of the configuration
 	Settings             *orders.Settings
 	names                *facts.Names
 	wallClock            *clock.WallClock
 }
 
-// ReadPost reads the configuration that the environment names.
+// ReadConfig reads the configuration from a JSON file.
 func ReadConfig(file string) (*Config, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -49,7 +51,7 @@
 	return config, nil
 }
 
-// news is where a build stands, as the configuration and the desk's lines tell it alike.
+// releaseStatus is the state of a release, as both the configuration and the control plane's lines give it.
 type releaseStatus struct {
 	Build uint32
 	Stage uint32
@@ -58,6 +60,7 @@
 	AgeMS float64 `json:"age_ms"`
 }
 
+// parseConfig parses and checks the JSON text of a configuration.
 func parseConfig(raw []byte) (*Config, error) {
 	var file struct {
 		Name, Listen, Discovery, Seed string
@@ -127,7 +130,7 @@
 	return config, nil
 }
 
-// sound refuses settings that contradict themselves.
+// validateSettings checks that each class and tenant has a name of its own, and that each class has its times.
 func validateSettings(config logic.Config, names *facts.Names) error {
 	for _, count := range [...]struct {
 		what         string
@@ -145,7 +148,7 @@
 	return nil
 }
 
-// byPlace lists names by their numbers.
+// namesByIndex turns a map from names to indexes into a slice of names.
 func namesByIndex[ID ~int](names map[string]ID) []string {
 	list := make([]string, len(names))
 	for name, i := range names {
@@ -154,17 +157,18 @@
 	return list
 }
 
-// ownSockets are descriptors for all but clients and workers: the listener, pollers, discovery, desk, peers, standard ones,
-// and connections that close while others are accepted.
+// reservedSockets is the number of descriptors for other uses than clients and workers: the listener, pollers, discovery, the
+// control plane, peers, standard streams, and connections that are closing while others are accepted.
 const reservedSockets = 40
 
-// clientLimit is how many clients may be connected: those that ask need a third of the descriptors at the most.
+// maxClients returns the limit on client connections. Clients that send requests need at most a third of the descriptors.
 func (c *Config) maxClients() int { return c.MaxSockets / 3 }
 
-// noticeWithin is how long after discovery had a change it counts as told, whether or not it arrived (PROTOCOL, Figures).
+// listChangeDelay is the time after a change at discovery from which a sentry counts as notified of it, whether or not the
+// change arrived (PROTOCOL page, Figures).
 const listChangeDelay = 6 * time.Second
 
-// targets is what discovery tells.
+// targetList is a response of discovery: the list of servers, or what changed in it.
 type targetList struct {
 	Rev     uint64
 	All     bool
@@ -180,9 +184,10 @@
 	}
 }
 
+// targetStates maps discovery's states of a server to those of a worker.
 var targetStates = map[string]pb.Line_State{"active": pb.Line_READY, "leaving": pb.Line_DRAINING, "left": pb.Line_GONE}
 
-// report gives what discovery told in the sentry's terms. A server's start comes as a stamp of the platform's clock.
+// toReport converts a response to the sentry's form. Discovery gives a server's start time by the platform's clock.
 func (t *targetList) toReport(wall *clock.WallClock) (*pb.Report, error) {
 	report := &pb.Report{Whole: t.All, Version: t.Rev}
 	for _, target := range t.Targets {
@@ -194,7 +199,7 @@
 			return nil, fmt.Errorf("target %q: found endpoint %q, expected an id and an address with a port", target.UID, target.Endpoint)
 		}
 		line := &pb.Line{Id: target.UID, Address: target.Endpoint, Build: target.Release, Zone: target.AZ, Cell: target.PodGroup, Size: target.Hint,
-			State: state, Life: uint64(target.BootMS)<<20 ^ uint64(target.Release)} // another build is another life
+			State: state, Life: uint64(target.BootMS)<<20 ^ uint64(target.Release)} // with another build it is another process
 		if target.BootMS > 0 {
 			line.Young, line.Age = true, uint64(wall.Age(time.UnixMilli(target.BootMS))/time.Microsecond)
 		}
@@ -203,19 +208,20 @@
 	return report, nil
 }
 
+// phasesByName maps the platform's names for the phases of a release.
 var phasesByName = map[string]logic.Phase{"Progressing": logic.OnTrial, "Aborting": logic.RollingBack, "Healthy": logic.Released,
 	"Aborted": logic.Withdrawn}
 
-// told is the news, if it holds together.
-func (n *releaseStatus) toProto() (*pb.News, error) {
-	phase, known := phasesByName[n.Phase]
-	if !known || !(n.Cap >= 0 && n.Cap <= 1) || !(n.AgeMS >= 0 && n.AgeMS < 1e12) {
-		return nil, fmt.Errorf("news: found %+v, expected a phase, a cap from 0 to 1 and an age", *n)
+// toProto converts the status to the sentry's form and checks its values.
+func (s *releaseStatus) toProto() (*pb.News, error) {
+	phase, known := phasesByName[s.Phase]
+	if !known || !(s.Cap >= 0 && s.Cap <= 1) || !(s.AgeMS >= 0 && s.AgeMS < 1e12) {
+		return nil, fmt.Errorf("news: found %+v, expected a phase, a cap from 0 to 1 and an age", *s)
 	}
-	return &pb.News{Valid: true, Build: n.Build, Stage: n.Stage, Phase: uint32(phase), Cap: n.Cap, Age: uint64(n.AgeMS * 1000)}, nil
+	return &pb.News{Valid: true, Build: s.Build, Stage: s.Stage, Phase: uint32(phase), Cap: s.Cap, Age: uint64(s.AgeMS * 1000)}, nil
 }
 
-// readNews reads a line's words: build, stage, phase, cap and age.
+// parseReleaseStatus parses the words of a line: build, stage, phase, cap and age in milliseconds.
 func parseReleaseStatus(words []string) (*pb.News, error) {
 	if len(words) != 5 {
 		return nil, fmt.Errorf("news: found %d words, expected 5", len(words))
--- a/internal/platform/control_plane.go
+++ b/internal/platform/control_plane.go
@@ -1,6 +1,6 @@
 package platform
 
-// The control plane: votes and news of the release in lines of text, over one connection.
+// The client of the control plane, which takes votes and reports the release status in lines of text over one connection.
 
 import (
 	"bytes"
@@ -18,89 +18,89 @@
 )
 
 const (
-	keepaliveTimeout = 3 * time.Second // a sign of life comes every second
-	maxLineBytes     = 8 << 10         // bytes of a line
+	keepaliveTimeout = 3 * time.Second // the control plane sends a keepalive line every second
+	maxLineBytes     = 8 << 10         // of a line with its CRLF
 )
 
-// desk takes votes and tells the news, over one connection.
+// controlPlane keeps a connection to the control plane, sends votes over it, and passes the release status to the sentry.
 type controlPlane struct {
 	platform       *Platform
 	mu             sync.Mutex
 	address        string
 	link           *wire.Link
-	pendingReplies []uint64 // what the next answers are to, 0 for the watch
+	pendingReplies []uint64 // vote IDs in the order of the replies to come, 0 for WATCH
 	lastReceived   time.Time
 	addressChanged chan struct{}
 }
 
-// run keeps a connection open.
-func (d *controlPlane) run() {
-	for delay := minRetryDelay; !d.platform.isDone(); {
-		d.mu.Lock()
-		address := d.address
-		d.mu.Unlock()
-		if d.runConn(address) {
+// run keeps a connection open until the platform is closed. It retries with an exponential, randomized delay.
+func (cp *controlPlane) run() {
+	for delay := minRetryDelay; !cp.platform.isDone(); {
+		cp.mu.Lock()
+		address := cp.address
+		cp.mu.Unlock()
+		if cp.runConn(address) {
 			delay = minRetryDelay
 		} else {
 			delay = min(max(2*delay, minRetryDelay), maxRetryDelay)
 		}
 		select {
-		case <-d.platform.done:
-		case <-d.addressChanged:
+		case <-cp.platform.done:
+		case <-cp.addressChanged:
 			delay = 0
 		case <-time.After(delay/2 + rand.N(delay+1)):
 		}
 	}
 }
 
-// serve holds one connection until it ends, and says whether it was of any use.
-func (d *controlPlane) runConn(address string) (useful bool) {
+// runConn dials address and serves the connection until it ends. useful reports whether WATCH was answered on it.
+func (cp *controlPlane) runConn(address string) (useful bool) {
 	ended := make(chan struct{})
-	link, err := wire.DialRaw(address, dialTimeout, wire.Limits{MaxFrameBytes: maxLineBytes, MaxPendingBytes: maxValueBytes}, d.read,
+	link, err := wire.DialRaw(address, dialTimeout, wire.Limits{MaxFrameBytes: maxLineBytes, MaxPendingBytes: maxValueBytes}, cp.read,
 		func(*wire.Link, error) { close(ended) })
 	if err != nil {
-		d.platform.log.Warn().Err(err).Msg("desk")
+		cp.platform.log.Warn().Err(err).Msg("desk")
 		return false
 	}
-	d.mu.Lock()
-	d.link, d.pendingReplies, d.lastReceived = link, []uint64{0}, time.Now()
+	cp.mu.Lock()
+	cp.link, cp.pendingReplies, cp.lastReceived = link, []uint64{0}, time.Now()
 	link.PutRaw([]byte("WATCH\r\n"))
-	d.mu.Unlock()
+	cp.mu.Unlock()
 	link.Flush()
 	for open := true; open; {
 		select {
 		case <-ended:
 			open = false
-		case <-d.platform.done:
+		case <-cp.platform.done:
 			link.Close(wire.ErrClosed)
-		case <-d.addressChanged: // another address
+		case <-cp.addressChanged: // run connects to the new address
 			link.Close(wire.ErrClosed)
 		case <-time.After(keepaliveTimeout / 6):
-			d.mu.Lock()
-			if time.Since(d.lastReceived) > keepaliveTimeout {
+			cp.mu.Lock()
+			if time.Since(cp.lastReceived) > keepaliveTimeout {
 				link.Close(wire.ErrClosed)
 			}
-			d.mu.Unlock()
+			cp.mu.Unlock()
 		}
 	}
-	d.mu.Lock()
-	unanswered := d.pendingReplies
-	d.link, d.pendingReplies = nil, nil
-	d.mu.Unlock()
-	d.platform.sentry.VotesTimedOut(unanswered)
+	cp.mu.Lock()
+	unanswered := cp.pendingReplies
+	cp.link, cp.pendingReplies = nil, nil
+	cp.mu.Unlock()
+	cp.platform.sentry.VotesTimedOut(unanswered)
 	return !slices.Contains(unanswered, 0)
 }
 
-// read takes what has come. What can't be read ends the connection.
-func (d *controlPlane) read(_ *wire.Link, data []byte) ([]byte, error) {
-	d.mu.Lock()
-	d.lastReceived = time.Now()
-	d.mu.Unlock()
-	return d.readLines(data, d.platform.sentry.ReleaseUpdated)
+// read handles data that has arrived. A line that can't be parsed ends the connection.
+func (cp *controlPlane) read(_ *wire.Link, data []byte) ([]byte, error) {
+	cp.mu.Lock()
+	cp.lastReceived = time.Now()
+	cp.mu.Unlock()
+	return cp.readLines(data, cp.platform.sentry.ReleaseUpdated)
 }
 
-// lines takes whole lines and tells the news in them.
-func (d *controlPlane) readLines(data []byte, onStatus func(*pb.News)) ([]byte, error) {
+// readLines handles complete lines, calls onStatus for each release status in them, and returns the incomplete rest.
+func (cp *controlPlane) readLines(data []byte, onStatus func(*pb.News)) ([]byte, error) {
 	for {
 		end := bytes.IndexByte(data, '\n')
 		if end < 0 && len(data) < maxLineBytes {
@@ -109,7 +109,7 @@
 		if end < 1 || data[end-1] != '\r' {
 			return nil, errors.New("found a line that can't be read, expected one that ends in CRLF")
 		}
-		status, err := d.readLine(string(data[:end-1]))
+		status, err := cp.readLine(string(data[:end-1]))
 		if err != nil {
 			return nil, err
 		}
@@ -120,37 +120,38 @@
 	}
 }
 
-// line reads a line: news that it tells, or the answer to a vote.
-func (d *controlPlane) readLine(line string) (*pb.News, error) {
+// readLine handles one line: an event, which begins with *, or the reply to a vote or to WATCH. It returns the release status
+// that the line carries, or nil.
+func (cp *controlPlane) readLine(line string) (*pb.News, error) {
 	words := strings.Split(line, " ")
 	if words[0] == "*" {
 		switch {
-		case len(words) == 1 || words[1] == "counts" || words[1] == "report": // a sign of life, or not for this sentry
+		case len(words) == 1 || words[1] == "counts" || words[1] == "report": // a keepalive, or an event that is not for sentries
 			return nil, nil
 		case words[1] == "news":
 			return parseReleaseStatus(words[2:])
 		}
-		return nil, fmt.Errorf("found %.80q, expected news", line)
+		return nil, fmt.Errorf("found %.80q, expected an event of a known kind", line)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.pendingReplies) == 0 {
-		return nil, fmt.Errorf("found %.80q, expected no answer", line)
+	cp.mu.Lock()
+	defer cp.mu.Unlock()
+	if len(cp.pendingReplies) == 0 {
+		return nil, fmt.Errorf("found %.80q, expected no reply", line)
 	}
-	status, err := parseVoteReply(d.pendingReplies[0], line, words)
+	status, err := parseReply(cp.pendingReplies[0], line, words)
 	if err == nil {
-		d.pendingReplies = d.pendingReplies[1:]
+		cp.pendingReplies = cp.pendingReplies[1:]
 	}
 	return status, err
 }
 
-// readAnswer reads the answer to a vote, or with 0 to the watch.
-func parseVoteReply(vote uint64, line string, words []string) (status *pb.News, err error) {
+// parseReply parses the reply to a vote, or with voteID 0 to WATCH. Any other reply is an error.
+func parseReply(voteID uint64, line string, words []string) (status *pb.News, err error) {
 	switch {
-	case vote == 0 && line == "OK":
+	case voteID == 0 && line == "OK":
 		return nil, nil
-	case vote == 0:
-		return nil, fmt.Errorf("found %.80q, expected to be told the news", line)
+	case voteID == 0:
+		return nil, fmt.Errorf("found %.80q, expected OK in reply to WATCH", line)
 	case words[0] == "OK":
 		if status, err = parseReleaseStatus(words[1:]); err != nil {
 			return nil, err
@@ -162,37 +163,40 @@
 	default:
 		return nil, fmt.Errorf("found %.80q, expected OK or ERR with a known word", line)
 	}
-	status.Vote = vote
+	status.Vote = voteID
 	return status, nil
 }
 
+// verdictWords are the protocol's words for the verdicts.
 var verdictWords = [...]string{logic.NoVerdict: "clear", logic.Advance: "approve", logic.Hold: "wait", logic.RollBack: "reject"}
 
-func (d *controlPlane) sendVote(m *pb.Vote) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.link == nil || int(m.Verdict) >= len(verdictWords) {
+// sendVote sends a vote. It returns false if there is no connection or the vote can't be written to it.
+func (cp *controlPlane) sendVote(vote *pb.Vote) bool {
+	cp.mu.Lock()
+	defer cp.mu.Unlock()
+	if cp.link == nil || int(vote.Verdict) >= len(verdictWords) {
 		return false
 	}
-	line := fmt.Sprintf("VOTE %d %d %s\r\n", m.Build, m.Stage, verdictWords[m.Verdict])
-	if !d.link.PutRaw([]byte(line)) {
+	line := fmt.Sprintf("VOTE %d %d %s\r\n", vote.Build, vote.Stage, verdictWords[vote.Verdict])
+	if !cp.link.PutRaw([]byte(line)) {
 		return false
 	}
-	d.pendingReplies = append(d.pendingReplies, m.Id)
-	d.link.Flush()
+	cp.pendingReplies = append(cp.pendingReplies, vote.Id)
+	cp.link.Flush()
 	return true
 }
 
-func (d *controlPlane) setAddress(address string) {
-	d.mu.Lock()
-	same := d.address == address
-	d.address = address
-	d.mu.Unlock()
+// setAddress changes the address to connect to, and replaces the connection if there is one.
+func (cp *controlPlane) setAddress(address string) {
+	cp.mu.Lock()
+	same := cp.address == address
+	cp.address = address
+	cp.mu.Unlock()
 	if same {
 		return
 	}
 	select {
-	case d.addressChanged <- struct{}{}:
+	case cp.addressChanged <- struct{}{}:
 	default:
 	}
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -1,6 +1,6 @@
 package platform
 
-// Discovery: the list of servers over HTTP, asked for once or watched.
+// The client of discovery, which serves the list of servers over HTTP, once or as a watch.
 
 import (
 	"bufio"
@@ -21,53 +21,58 @@
 	"scalechute/logic"
 )
 
-// Of calls to discovery and the control plane alike.
+// Limits for calls to discovery and to the control plane.
 const (
-	dialTimeout   = time.Second            // to connect to a service
-	minRetryDelay = 100 * time.Millisecond // between tries
+	dialTimeout   = time.Second
+	minRetryDelay = 100 * time.Millisecond // before randomization
 	maxRetryDelay = 800 * time.Millisecond
 )
 
 const (
-	keepaliveTime = 2 * time.Second // discovery says so often on a watch that it is there
-	maxListBytes  = 8 << 20         // bytes of a list
-	// What discovery has to tell counts as told so long after a new configuration, whatever it names (DAYS, New configurations).
+	keepaliveTime = 2 * time.Second // interval of the blank lines that discovery sends on a watch
+	maxListBytes  = 8 << 20         // of a list in JSON
+	// The time after a new configuration from which the sentry counts as notified of the list at the new address, whatever
+	// address that is (DAYS page, New configurations).
 	addressChangeDelay = 4 * time.Second
-	// A list that has begun to come is whole within this, or it is in doubt.
+	// A list that is still incomplete this long after its first byte is reported as such: it counts as received, since it may
+	// hold a change that the sentry does not know.
 	listReadTimeout = 250 * time.Millisecond
 )
 
-// quietMost is how long a call may say nothing whole. What a watch misses counts as told 6 s after it fell silent, and by
-// then the next call has to be made, to have waited its turn for up to 2 s, and to be answered: so the time is little more
-// than one sign of life. It is drawn for each call, since all watches may fall silent at once.
+// silenceTimeout returns the time after which a call without a complete object or blank line is given up. The sentry counts as
+// notified of what a watch misses 6 s after the watch fell silent. By then the next call must have been made, which may wait
+// up to 2 s at discovery, and been answered, so the timeout is little more than one keepalive. It is random, since all
+// watches may fall silent at once.
 func silenceTimeout() time.Duration { return keepaliveTime + keepaliveTime/8 + rand.N(keepaliveTime/2) }
 
-// discovery asks for the list. Its fields belong to the loop, which also judges each report in its turn (takes): what an
-// outdated call has told, or a version older than the one at hand, is dropped there.
+// discovery requests the list of servers. Its fields belong to the sentry's event loop. The loop also decides whether to accept
+// each response when it handles it (acceptReport): responses of superseded calls, and versions older than the last one, are
+// dropped there.
 type discovery struct {
 	platform     *Platform
 	client       http.Client
 	address      string
-	listsPushed  bool          // lists are pushed: a watch stands without being asked for
-	watch        *call         // nil if there is none
-	addressEpoch int           // to other addresses
-	lastVersion  uint64        // the newest version taken from this address
-	fetchAll     bool          // the next watch asks for all of the list
-	retryDelay   time.Duration // before a pushed watch is opened again
-	callCount    uint64        // made so far
+	listsPushed  bool          // by the settings: a watch is kept open without requests by the sentry
+	watch        *call         // the open watch, or nil
+	addressEpoch int           // number of address changes
+	lastVersion  uint64        // last version accepted from this address
+	fetchAll     bool          // the next watch requests the whole list
+	retryDelay   time.Duration // before a watch for pushed lists is reopened
+	callCount    uint64
 }
 
-// call is one question to discovery and what comes of it.
+// call is one HTTP request to discovery: for the list once, or for a watch.
 type call struct {
-	id                uint64 // in the log, from 1
+	id                uint64 // for the log, from 1
 	watch             bool
-	addressEpoch      int
-	fromVersion       uint64
-	acceptsAnyVersion bool // nothing was taken from it yet, and it asked for all: any version goes
-	versionWentBack   bool // its versions went back
+	addressEpoch      int    // of discovery when the call was made
+	fromVersion       uint64 // of a watch; 0 requests the whole list
+	acceptsAnyVersion bool   // a watch for the whole list, until its first response is accepted
+	versionWentBack   bool   // a response had an older version than the one before it
 	cancel            context.CancelFunc
 }
 
+// newDiscovery creates a client of the discovery at addr. Each call uses a connection of its own.
 func newDiscovery(p *Platform, addr string) *discovery {
 	return &discovery{platform: p, address: addr, client: http.Client{Transport: &http.Transport{
 		DialContext:       func(_ context.Context, _, addr string) (net.Conn, error) { return wire.DialConn(addr, dialTimeout) },
@@ -75,7 +80,8 @@
 		ReadBufferSize:    4 << 10, WriteBufferSize: 1 << 10}}}
 }
 
-// ask asks for the whole list once or sees to it that a watch stands. It is called on the loop, as are all but read.
+// startCall requests the whole list once or, with watch, opens a watch unless one is open. It and all other methods but deliver,
+// readLists and readList run on the event loop.
 func (d *discovery) startCall(watch bool, since uint64) {
 	if d.platform.isDone() || watch && d.watch != nil {
 		return
@@ -102,17 +108,17 @@
 	}()
 }
 
-// tell has the loop take what a call has brought, unless it is outdated by then.
+// deliver passes a response to the event loop, which drops it if it is outdated by then.
 func (d *discovery) deliver(c *call, report *pb.Report) {
 	d.platform.sentry.ListReceived(report, func() bool { return d.acceptReport(c, report) })
 }
 
-// takes says whether the loop is to take a report now.
+// acceptReport reports whether the event loop is to apply a response, and records its version.
 func (d *discovery) acceptReport(c *call, report *pb.Report) bool {
 	switch {
-	case c.addressEpoch != d.addressEpoch || c.watch && c != d.watch: // gone on from
+	case c.addressEpoch != d.addressEpoch || c.watch && c != d.watch: // superseded
 		return false
-	case report.Version < d.lastVersion && !c.acceptsAnyVersion: // a later call has told more
+	case report.Version < d.lastVersion && !c.acceptsAnyVersion: // another call has brought a newer version
 		d.platform.log.Warn().Uint64("call", c.id).Uint64("version", report.Version).Uint64("held", d.lastVersion).Msg("outdated list dropped")
 		return false
 	}
@@ -124,9 +130,9 @@
 	return true
 }
 
-// failed says whether the loop is to take the end of a call now.
+// acceptFailure reports whether the event loop is to handle the failure of a call. It schedules the next watch if needed.
 func (d *discovery) acceptFailure(c *call) bool {
-	if c.addressEpoch != d.addressEpoch || c.watch && c != d.watch { // gone on from
+	if c.addressEpoch != d.addressEpoch || c.watch && c != d.watch { // superseded
 		return false
 	}
 	if c.watch {
@@ -136,14 +142,14 @@
 	return true
 }
 
-// keep sees to it that a watch stands where the settings have lists pushed.
+// ensureWatch opens a watch if the settings have lists pushed and none is open.
 func (d *discovery) ensureWatch(config *Config) {
 	if d.listsPushed = !config.Settings.Policy.ListOnRequest; d.listsPushed {
 		d.startCall(true, 0)
 	}
 }
 
-// again opens a pushed watch anew after a while: the module asks for others.
+// scheduleWatch reopens a watch for pushed lists after a delay. Other watches are requested by package logic.
 func (d *discovery) scheduleWatch() {
 	if !d.listsPushed {
 		return
@@ -155,12 +161,13 @@
 	})
 }
 
-// statusFault is an answer of discovery's that refuses the call.
+// statusError is the HTTP status of a response that refuses the call.
 type statusError int
 
-func (f statusError) Error() string { return fmt.Sprintf("found status %d, expected 200", int(f)) }
+func (s statusError) Error() string { return fmt.Sprintf("found status %d, expected 200", int(s)) }
 
-// read takes lists until the answer ends. A blank line between them says that nothing has changed.
+// readLists makes a call and delivers each list of its response: the first one, or for a watch all until the response ends. A
+// blank line between lists is a keepalive.
 func (d *discovery) readLists(ctx context.Context, c *call, url string) error {
 	silenceTimer := time.AfterFunc(silenceTimeout(), c.cancel)
 	defer silenceTimer.Stop()
@@ -177,7 +184,7 @@
 		return statusError(response.StatusCode)
 	}
 	body, version := bufio.NewReader(response.Body), c.fromVersion
-	for started := time.Now(); ; { // the header is written with the first list
+	for started := time.Now(); ; { // discovery writes the HTTP header together with the first list
 		text, err := d.readList(c, body, started)
 		if err != nil {
 			return err
@@ -211,8 +218,8 @@
 	}
 }
 
-// whole reads one object that has begun to come. What has begun counts as told, so the loop hears of it when it does not
-// come whole, or not soon.
+// readList reads one object whose first byte has arrived at started. A list that has begun to arrive counts as received, so the
+// sentry is told if the object is cut off or is incomplete after listReadTimeout.
 func (d *discovery) readList(c *call, body *bufio.Reader, started time.Time) ([]byte, error) {
 	reportIncomplete := func() {
 		d.platform.sentry.ListPartlyReceived(time.Since(started), func() bool { return c.addressEpoch == d.addressEpoch && (!c.watch || c == d.watch) })
@@ -225,8 +232,8 @@
 	return text, err
 }
 
-// readObject reads one JSON object, on one line or indented over several, in bounds. A blank line before it is given as
-// nothing.
+// readObject reads one JSON object of up to maxBytes, on one line or indented over several. For a blank line before an object it
+// returns an empty text.
 func readObject(r *bufio.Reader, maxBytes int) (text []byte, err error) {
 	depth, inString, escaped := 0, false, false
 	for {
@@ -257,7 +264,7 @@
 	}
 }
 
-// readLine reads up to a line feed, or to the end, in bounds.
+// readLine reads up to and including a line feed, or to the end of the data, and at most maxBytes.
 func readLine(r *bufio.Reader, maxBytes int) (line []byte, err error) {
 	for {
 		part, err := r.ReadSlice('\n')
@@ -271,7 +278,8 @@
 	}
 }
 
-// move goes on at another address, and asks for all there: what was told may be in no order with what that one tells.
+// setAddress changes the address of discovery and requests the whole list there, since versions of different addresses can't be
+// compared.
 func (d *discovery) setAddress(address string) {
 	if d.address == address {
 		return
@@ -283,6 +291,7 @@
 	d.startCall(true, 0)
 }
 
+// close cancels the open watch.
 func (d *discovery) close() {
 	if d.watch != nil {
 		d.watch.cancel()
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -7,23 +7,24 @@
 	"scalechute/logic"
 )
 
-// The end of a client's connection while it sends: it is read no further, all that was read is answered, and then it is ended.
-// A connection that closed only at a moment with nothing open on it would never close for a client that keeps requests open,
-// and SIGKILL would find them unanswered. logic/drain.go says when each step of a planned stop is due.
+// Draining: after SIGTERM each client connection is read no further, all commands that were read get their replies, and then
+// the connection is closed. Closing a connection only while it has no open commands would not do: a client that keeps requests
+// open would never be closed, and SIGKILL would find its requests unanswered. logic/drain.go sets the times of the steps.
 
 const (
 	stopReadingDelay = time.Duration(logic.StopReadingAfter) * time.Microsecond
-	// New connections go on coming for 0.4 s after the process was asked to stop, and may be late.
+	// New connections still arrive for 0.4 s after SIGTERM, and may be delayed.
 	listenDuration = 500 * time.Millisecond
-	// How often the clients are looked at while the process is to stop.
+	// Interval at which client connections are checked while draining.
 	drainSweepInterval = 20 * time.Millisecond
-	// A client that has acknowledged all and does not close at the end of the stream is closed after this; one that has sent
-	// what was not read may have yet to come to its answers, and has longer.
+	// After the end of the stream, a client that has acknowledged all data and does not close is closed after closeLinger. One
+	// that has sent unread data may still have to read its replies, and is closed after maxCloseLinger.
 	closeLinger    = 40 * time.Millisecond
 	maxCloseLinger = 250 * time.Millisecond
 )
 
-// Drain has the sentry serve what still comes, answer all that it has read, and stop before it is killed.
+// Drain begins a graceful stop: the sentry serves requests that still arrive, replies to all that it has read, and stops before
+// SIGKILL. Later calls have no effect.
 func (p *Platform) Drain() {
 	now := time.Now()
 	if !p.drainStart.CompareAndSwap(nil, &now) {
@@ -38,8 +39,8 @@
 	}()
 }
 
-// drainSchedule says when the steps of the stop are due. New settings may shorten the longest deadline, not lengthen it: when
-// the kill comes was settled as the stop was asked for.
+// drainSchedule returns the times of the drain steps. New settings may shorten the longest deadline but not lengthen it, since
+// the time of the SIGKILL is fixed when the drain begins.
 func (p *Platform) drainSchedule() logic.DrainSchedule {
 	longest := p.config.Load().Settings.MaxDeadline()
 	if atDrain := logic.Micros(p.drainDeadlineMicros.Load()); atDrain > 0 {
@@ -48,16 +49,17 @@
 	return logic.DrainScheduleFor(longest)
 }
 
-// drainedFor says whether the process was asked to stop so long ago.
+// drainingFor reports whether the drain began at least this long ago.
 func (p *Platform) drainingFor(duration time.Duration) bool {
 	start := p.drainStart.Load()
 	return start != nil && time.Since(*start) >= duration
 }
 
-// drained says whether clients are to go.
+// closingAll reports whether the drain has reached the step at which all client connections are to be closed.
 func (p *Platform) closingAll() bool { return p.drainingFor(stopReadingDelay) }
 
-// sweepClients has those clients closed that are idle or to leave. Once none is left, a process that is to stop stops.
+// sweepClients closes the clients that are idle or to be closed. While draining, it stops the sentry once no client is left or
+// the time is over.
 func (p *Platform) sweepClients() {
 	now := time.Now()
 	schedule := p.drainSchedule()
@@ -87,7 +89,7 @@
 	}
 }
 
-// wantsTurn says whether a client may have to be closed, which is for the poller to see.
+// mayNeedClose reports whether closeIfDue should run on the poller to decide whether the client is closed.
 func (c *clientConn) mayNeedClose(now time.Time) bool {
 	c.mu.Lock()
 	shouldClose := c.shouldClose() && !c.readStopped
@@ -95,8 +97,8 @@
 	return shouldClose || c.isIdle(now)
 }
 
-// stopReading has a client that is to leave read no further than the command in part, on the poller. One that has nothing
-// open is closed at once, unless something of it stands unread: that is read first.
+// stopReading stops reading from a client that is to be closed, after its partial command if there is one. A client without
+// open commands is closed at once instead, unless it has unread data, which is read first. It runs on the poller.
 func (c *clientConn) stopReading() {
 	c.mu.Lock()
 	hasOpen, closing, stopped := len(c.replies) > 0, c.closing, c.readStopped
@@ -107,7 +109,7 @@
 	if settled := !hasOpen && !c.HasPartialMessage(); settled && (c.CloseIfIdle(wire.ErrClosed, false) || !closing) {
 		return
 	}
-	if !c.StopReadingAtMessageEnd(c.reader.MissingBytes) { // the system is short of something: the next look tries again
+	if !c.StopReadingAtMessageEnd(c.reader.MissingBytes) { // the system lacks a resource: the next sweep retries
 		return
 	}
 	c.mu.Lock()
@@ -116,7 +118,7 @@
 	c.finishIfSettled()
 }
 
-// hasRead goes on with a client that is to leave once something of it was read.
+// afterRead continues the close of a client that is to be closed, after data of it was read.
 func (c *clientConn) afterRead() {
 	c.mu.Lock()
 	shouldClose, stopped := c.shouldClose(), c.readStopped
@@ -129,17 +131,17 @@
 	}
 }
 
-// inPart says that a command has come in part on a connection that is read no further. The lock is held.
+// needsRest reports whether the rest of a partial command is awaited after reading has stopped. The caller holds c.mu.
 func (c *clientConn) needsRest() bool { return c.readStopped && !c.closing && !c.partialSince.IsZero() }
 
-// partOver says that a command in part has had its time.
+// partialCommandExpired reports whether the time for the rest of a partial command is over.
 func (c *clientConn) partialCommandExpired(now time.Time, answersDue bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.needsRest() && (answersDue || now.Sub(c.partialSince) > firstCommandTimeout)
 }
 
-// giveUpPart ends the wait for the rest of a command: it never came whole.
+// abandonPartialCommand stops waiting for the rest of a partial command.
 func (c *clientConn) abandonPartialCommand() {
 	c.StopReadingNow()
 	c.mu.Lock()
@@ -148,7 +150,7 @@
 	c.finishIfSettled()
 }
 
-// endIfSettled ends the connection of a client that is read no further once it has all its answers.
+// finishIfSettled closes the connection of a client that is no longer read, once all its replies are passed on for writing.
 func (c *clientConn) finishIfSettled() {
 	c.mu.Lock()
 	settled := c.readStopped && !c.finishing && len(c.replies) == 0 && !c.needsRest()
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -1,6 +1,6 @@
 package platform
 
-// Peers: datagrams between the processes of a tier.
+// UDP datagrams between the sentries of a tier.
 
 import (
 	"errors"
@@ -10,15 +10,16 @@
 	"scalechute/logic"
 )
 
-// peers are told by datagrams.
+// peers sends messages to other sentries and receives theirs. Without a listen address it does neither.
 type peers struct {
 	platform  *Platform
 	conn      *net.UDPConn
-	broadcast *net.UDPAddr
-	addresses []*net.UDPAddr
-	senders   map[string]logic.SentryID
+	broadcast *net.UDPAddr              // reaches all peers; nil if there is none
+	addresses []*net.UDPAddr            // by position
+	senders   map[string]logic.SentryID // by address
 }
 
+// newPeers resolves the peers' addresses and opens the socket, if the configuration has peers.
 func newPeers(p *Platform) (*peers, error) {
 	ps := &peers{platform: p, senders: map[string]logic.SentryID{}}
 	config := p.config.Load()
@@ -46,7 +47,7 @@
 	return ps, err
 }
 
-// run hears the others.
+// receive passes messages of known peers to the sentry until the socket is closed.
 func (ps *peers) receive() {
 	if ps.conn == nil {
 		return
@@ -66,19 +67,20 @@
 	}
 }
 
-func (ps *peers) send(m logic.Message) (sent int) {
+// send sends a message to one peer or to all, and returns the number of datagrams sent.
+func (ps *peers) send(message logic.Message) (sent int) {
 	var address *net.UDPAddr
 	switch {
 	case ps.conn == nil:
-	case m.To == logic.EverySentry:
+	case message.To == logic.EverySentry:
 		address = ps.broadcast
-	case int(m.To) < len(ps.addresses):
-		address = ps.addresses[m.To]
+	case int(message.To) < len(ps.addresses):
+		address = ps.addresses[message.To]
 	}
 	if address == nil {
 		return 0
 	}
-	if _, err := ps.conn.WriteToUDP(m.Body, address); err != nil {
+	if _, err := ps.conn.WriteToUDP(message.Body, address); err != nil {
 		return 0
 	}
 	return 1
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -15,9 +15,9 @@
 	"scalechute/logic"
 )
 
-// Platform is the ends of one sentry.
+// Platform is the sentry.Transport of one sentry.
 type Platform struct {
-	config       atomic.Pointer[Config] // as read last
+	config       atomic.Pointer[Config] // the configuration in use
 	log          zerolog.Logger
 	sentry       *sentry.Sentry
 	server       *wire.Server
@@ -26,23 +26,23 @@
 	peers        *peers
 	done         chan struct{}
 
-	drainStart atomic.Pointer[time.Time] // with its monotonic reading; nil if the sentry is not to stop
-	// the longest deadline as the stop was asked for, in microseconds; 0 if it was not
+	drainStart atomic.Pointer[time.Time] // with its monotonic reading; nil unless draining
+	// longest deadline in the settings when the drain began, in microseconds; 0 unless draining
 	drainDeadlineMicros atomic.Int64
 	wallClock           *clock.WallClock
 
 	mu             sync.Mutex
 	breachTrigger  trigger
-	replyBudget    *wire.BufferBudget // of what waits for clients
+	replyBudget    *wire.BufferBudget // for replies that wait to be written
 	clients        map[*clientConn]struct{}
-	openRequests   map[string]struct{} // of open transactions
-	meanReplyBytes int64               // bytes of an answer
+	openRequests   map[string]struct{} // ids of open transactions
+	meanReplyBytes int64               // mean size of a reply
 }
 
-// answersShare is the part of the memory that answers may take which wait for clients.
+// replyMemoryDivisor sets the memory for replies that wait to be written: the process's memory divided by it.
 const replyMemoryDivisor = 4
 
-// New makes the ends that a configuration asks for.
+// New creates the Platform of a configuration. Of its sockets it opens only the one for peers.
 func New(config *Config, log zerolog.Logger) (*Platform, error) {
 	p := &Platform{log: log, wallClock: config.wallClock, done: make(chan struct{}), clients: map[*clientConn]struct{}{}, openRequests: map[string]struct{}{}}
 	p.config.Store(config)
@@ -54,6 +54,7 @@
 	return p, err
 }
 
+// isDone reports whether Close was called.
 func (p *Platform) isDone() bool {
 	select {
 	case <-p.done:
@@ -63,7 +64,7 @@
 	}
 }
 
-// ticks ticks until the end.
+// ticks returns a sequence that yields at each interval until Close is called.
 func (p *Platform) ticks(every time.Duration) func(func() bool) {
 	return func(yield func() bool) {
 		t := time.NewTicker(every)
@@ -81,7 +82,7 @@
 	}
 }
 
-// Begin connects to the services.
+// Start passes on the configured release status and connects to discovery, the control plane and peers.
 func (p *Platform) Start() {
 	if status := p.config.Load().ReleaseStatus; status != nil {
 		p.sentry.ReleaseUpdated(status)
@@ -91,7 +92,7 @@
 	go p.peers.receive()
 }
 
-// End closes everything.
+// Close closes all connections and the listener.
 func (p *Platform) Close() {
 	close(p.done)
 	p.discovery.close()
@@ -101,11 +102,11 @@
 	p.server.Close()
 }
 
-// Reload takes a configuration that was read anew: its orders by the sentry's own step, if they are others, and its
-// addresses. If the sentry can't take it, the old one stays whole.
+// Reload applies a new configuration: changed settings, by the sentry's Reload, and the addresses of discovery and the control
+// plane. If the sentry rejects the settings, the old configuration stays in use.
 func (p *Platform) Reload(updated *Config) error {
 	current := p.config.Load()
-	updated.Settings.Endpoints.Seed = current.Settings.Endpoints.Seed // it is for a start
+	updated.Settings.Endpoints.Seed = current.Settings.Endpoints.Seed // the seed only matters at the start
 	if !reflect.DeepEqual(current.Settings, updated.Settings) {
 		if err := p.sentry.Reload(updated.Settings); err != nil {
 			return err
@@ -121,10 +122,20 @@
 	return nil
 }
 
-func (p *Platform) StopListening()            { p.server.RejectConnections() }
-func (p *Platform) StopReading()              { p.server.StopReading() }
+// StopListening closes new client connections at once and keeps those that are open.
+func (p *Platform) StopListening() { p.server.RejectConnections() }
+
+// StopReading stops reading from all clients. When it returns, all data that was read has been handled.
+func (p *Platform) StopReading() { p.server.StopReading() }
+
+// UnwrittenConnections returns the number of client connections on which data waits to be written.
 func (p *Platform) UnwrittenConnections() int { return p.server.LinksWithPendingWrites() }
 
+// RequestList requests the worker list: the changes after version since, as a watch, or the whole list once.
 func (p *Platform) RequestList(follow bool, since uint64) { p.discovery.startCall(follow, since) }
-func (p *Platform) SendVote(m *pb.Vote) bool              { return p.controlPlane.sendVote(m) }
-func (p *Platform) SendMessage(m logic.Message) int       { return p.peers.send(m) }
+
+// SendVote sends a vote to the control plane. It returns false if the vote was not sent.
+func (p *Platform) SendVote(vote *pb.Vote) bool { return p.controlPlane.sendVote(vote) }
+
+// SendMessage sends a message to one or all peers and returns the number of datagrams sent.
+func (p *Platform) SendMessage(message logic.Message) int { return p.peers.send(message) }
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -17,13 +17,13 @@
 	"scalechute/logic"
 )
 
-// mostAnswer is the greatest value of an answer that is passed on. Workers give some that are several times the greatest
-// value of a command.
+// maxAnswerValueBytes bounds the value of a worker's answer. Some answers are several times larger than the largest command
+// body.
 const maxAnswerValueBytes = 2 << 20
 
 var answerLimits = resp.Limits{MaxLineBytes: 1024, MaxBulkBytes: maxAnswerValueBytes, MaxValues: 8, MaxDepth: 2, MaxMessageBytes: maxAnswerValueBytes + 4096}
 
-// way is a connection to a worker. Answers come in the order of the hand-offs.
+// workerConn is a connection to a worker. Answers come in the order of the hand-offs.
 type workerConn struct {
 	*wire.Link
 	platform *Platform
@@ -31,23 +31,23 @@
 	reader   resp.Reader
 
 	mu            sync.Mutex
-	pending       []sentHandOff // hand-offs whose answers are still to come
-	unusable      bool          // nothing may be written to it any more
-	partialAnswer bool          // an answer is not whole, or could not be read
-	stallTimer    *time.Timer
-	buffer        []byte
+	pending       []sentHandOff // hand-offs that await their answers, the oldest first
+	unusable      bool          // no further hand-off may be written
+	partialAnswer bool          // the answer to pending[0] is incomplete or can't be parsed
+	stallTimer    *time.Timer   // runs while an answer is incomplete
+	buffer        []byte        // for encoding hand-offs
 }
 
-// sent is a hand-off and where its last byte stands in what was put on the link.
+// sentHandOff is a hand-off written to the link. endOffset is the link's offset after its last byte.
 type sentHandOff struct {
 	id        uint64
 	endOffset int64
 }
 
-// Ordered says that answers come in the order of the hand-offs.
+// AnswersInOrder reports that the answers on a connection come in the order of its hand-offs.
 func (p *Platform) AnswersInOrder() bool { return true }
 
-// Dial opens a way to a worker.
+// Dial connects to a worker.
 func (p *Platform) Dial(handler sentry.WorkerConnHandler, address string, limit time.Duration) (sentry.WorkerConn, error) {
 	w := &workerConn{platform: p, handler: handler, reader: resp.Reader{Limits: answerLimits}}
 	link, err := wire.DialRaw(address, limit, wire.Limits{MaxFrameBytes: maxValueBytes, MaxPendingBytes: 4 * maxValueBytes}, w.read,
@@ -62,7 +62,7 @@
 	return w, nil
 }
 
-// ended stops the clock of a part.
+// stopStallTimer stops the timer when the connection has ended.
 func (w *workerConn) stopStallTimer() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -71,10 +71,10 @@
 	}
 }
 
-// Greet has nothing to say: a connection that stands may carry hand-offs.
+// SendHello sends nothing: RESP2 has no handshake, and the connection is ready for hand-offs.
 func (w *workerConn) SendHello() { w.handler.Ready() }
 
-// MayHave says whether the worker may have all of a hand-off.
+// MayHaveReceived reports whether the worker may have received all of a hand-off.
 func (w *workerConn) MayHaveReceived(id uint64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -82,38 +82,42 @@
 	return i < 0 || w.Link.MayHaveSent(w.pending[i].endOffset)
 }
 
-// Begun says whether a hand-off's answer has begun and is not whole, or could not be read.
+// AnswerStarted reports whether the answer to a hand-off has begun to arrive and is incomplete or can't be parsed.
 func (w *workerConn) AnswerStarted(id uint64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.partialAnswer && len(w.pending) > 0 && w.pending[0].id == id
 }
 
-func (w *workerConn) Cancel(uint64)    {} // its connection is closed
+// Cancel does nothing: RESP2 has no cancel, so the sentry closes the connection.
+func (w *workerConn) Cancel(uint64) {}
+
+// SendProbe does nothing: the platform's workers take no probes.
 func (w *workerConn) SendProbe(uint64) {}
 
-// Work writes a hand-off.
-func (w *workerConn) SendWork(m *wire.Work) bool {
+// SendWork writes a hand-off. It returns false if nothing of it will be sent.
+func (w *workerConn) SendWork(work *wire.Work) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.unusable || len(w.pending) == 0 && !w.IsReadIdle() {
 		return false
 	}
-	w.buffer = appendCommand(w.buffer[:0], m.Payload, logic.Micros(m.Timeout))
+	w.buffer = appendCommand(w.buffer[:0], work.Payload, logic.Micros(work.Timeout))
 	if !w.PutRaw(w.buffer) {
 		return false
 	}
-	w.pending = append(w.pending, sentHandOff{m.ID, w.PutOffset()})
+	w.pending = append(w.pending, sentHandOff{work.ID, w.PutOffset()})
 	if cap(w.buffer) > 8<<10 {
 		w.buffer = nil
 	}
 	return true
 }
 
-var errTrailingData = errors.New("found more than the answer, expected nothing behind it")
-var errUnexpectedAnswer = errors.New("found an answer, expected none: nothing is out")
+var errTrailingData = errors.New("found data after the answer, expected none: no hand-off is open")
+var errUnexpectedAnswer = errors.New("found an answer, expected none: no hand-off is open")
 
-// read takes the answers that have come. What can't be read ends the way, and with it what is out: it may have run.
+// read handles the answers that have arrived. An answer that can't be parsed ends the connection and its open hand-offs, which
+// may have run.
 func (w *workerConn) read(_ *wire.Link, data []byte) ([]byte, error) {
 	for len(data) > 0 {
 		w.mu.Lock()
@@ -152,10 +156,11 @@
 	return nil, nil
 }
 
-// partShare is the part of the shortest due time for which an answer that has begun may stand still: it is in memory and
-// goes over a near network.
+// answerStallDivisor sets the time for which an incomplete answer may make no progress: the shortest due time divided by it. A
+// worker has the answer in memory and sends it over a nearby network.
 const answerStallDivisor = 2
 
+// answerStallTimeout returns the time for which an incomplete answer may make no progress.
 func (c *Config) answerStallTimeout() time.Duration {
 	shortest := c.Settings.MaxDeadline()
 	for _, profile := range c.Settings.Policy.Profiles {
@@ -164,9 +169,10 @@
 	return time.Duration(shortest/answerStallDivisor) * time.Microsecond
 }
 
-var errStalledAnswer = errors.New("found a part of an answer, expected the rest of it")
+var errStalledAnswer = errors.New("found an incomplete answer, expected its rest within the stall timeout")
 
-// halt notes whether an answer has begun and is not whole. One that does not go on is as good as spoilt.
+// setPartialAnswer records whether an answer is incomplete or can't be parsed, and runs the stall timer meanwhile. An answer that
+// makes no progress is treated like one that can't be parsed.
 func (w *workerConn) setPartialAnswer(partial bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -181,22 +187,22 @@
 	}
 }
 
-// stands ends a way whose answer does not go on, unless more has come that was not read yet.
+// closeIfStalled closes a connection whose answer makes no progress, unless it has unread data.
 func (w *workerConn) closeIfStalled() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
 	case !w.partialAnswer || w.stallTimer == nil:
 	case w.IsReadIdle():
-		go w.Close(errStalledAnswer) // its end takes the lock
+		go w.Close(errStalledAnswer) // closing takes w.mu
 	default:
 		w.stallTimer.Reset(w.platform.config.Load().answerStallTimeout())
 	}
 }
 
-var errMalformedAnswer = errors.New("found another answer, expected an array of a value, a null and a load report, -ERR or -BUSY")
+var errMalformedAnswer = errors.New("found an answer of another form, expected an array of a value, a null and a load report, -ERR or -BUSY")
 
-// done reads an answer.
+// parseAnswer converts a worker's answer to the sentry's form.
 func (w *workerConn) parseAnswer(message []resp.Value) (d wire.Done, err error) {
 	switch {
 	case message[0].Kind == resp.Array && len(message) == 4 && message[1].Kind == resp.BulkString && message[2].Kind == resp.Null:
@@ -224,7 +230,7 @@
 	return d, errMalformedAnswer
 }
 
-// load reads a load report; what can't be read is not told.
+// parseLoadReport adds the fields of a load report to d. It skips fields that can't be parsed.
 func (w *workerConn) parseLoadReport(d *wire.Done, text []byte) {
 	for field := range bytes.SplitSeq(text, []byte(",")) {
 		name, value, _ := bytes.Cut(field, []byte("="))
