--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -12,7 +12,7 @@
 	"scalechute/internal/wire"
 )
 
-// heldPoller holds the poller until the test says so: what comes meanwhile stays in the system, unread and not taken up.
+// blockPoller blocks the poller until release is called. Data and connections that arrive meanwhile stay in the kernel.
 func blockPoller() (release func()) {
 	blocked, gate := make(chan struct{}), make(chan struct{})
 	wire.RunOnPoller(func() { close(blocked); <-gate })
@@ -20,12 +20,13 @@
 	return func() { close(gate) }
 }
 
-// drainedAt has a sentry asked to stop so long ago that clients with nothing open are to go.
+// drainPastStopReading starts a drain in the past, so that clients without open commands are to be closed now.
 func (e *testEnv) drainPastStopReading() {
 	start := time.Now().Add(-stopReadingDelay)
 	e.p.drainStart.Store(&start)
 }
 
+// onlyClient returns the only connected client.
 func (e *testEnv) onlyClient() *clientConn {
 	all := e.p.listClients()
 	if len(all) != 1 {
@@ -34,10 +35,10 @@
 	return all[0]
 }
 
-// The only client's connection is to be closed as idle just as a command comes on it: the command is answered, and the
-// connection closes after it. It was in the system, unread; in part; or read and in hand.
+// A command arrives just as its connection is to be closed as idle. The command gets its reply, and then the connection is
+// closed, whether the command is still in the kernel, partly read, or being handled.
 func TestCommandArrivesDuringIdleClose(t *testing.T) {
-	for _, first := range []bool{true, false} {
+	for _, checkOnce := range []bool{true, false} {
 		env := envWith(t, startWorker(t, answerValue))
 		c := env.dial(t)
 		c.send(readCmd("a"))
@@ -48,7 +49,7 @@
 		c.send(readCmd("b"))
 		time.Sleep(20 * time.Millisecond)
 		env.drainPastStopReading()
-		if !first {
+		if !checkOnce {
 			wire.RunOnPoller(client.closeIfDue)
 		}
 		release()
@@ -57,7 +58,7 @@
 	}
 }
 
-// A command of which a part has come when the sentry is to stop gets its time, at every place where it may be cut.
+// A command that is partial when the drain begins may be completed, wherever it was cut.
 func TestPartialCommandsDuringDrain(t *testing.T) {
 	env := newEnv(t, options{sockets: 1024, workers: []string{startWorker(t, answerValue)}})
 	text := func(cut int) string { return moveCmd(fmt.Sprintf("m%03d", cut)) }
@@ -68,12 +69,12 @@
 	}
 	countClientsAfterReads := func() (n int) {
 		done := make(chan int)
-		wire.RunOnPoller(func() { // what has come by now has been read, or will be by the next turn
+		wire.RunOnPoller(func() { // the inner call runs after the data that has arrived by now was read
 			wire.RunOnPoller(func() { done <- len(env.p.listClients()) })
 		})
 		return <-done
 	}
-	env.waitFor("the parts", func() bool { return countClientsAfterReads() == len(clients)-1 })
+	env.waitFor("the partial commands", func() bool { return countClientsAfterReads() == len(clients)-1 })
 	env.drainPastStopReading()
 	time.Sleep(3 * clientSweepInterval)
 	for cut := 1; cut < len(clients); cut++ {
@@ -81,22 +82,22 @@
 	}
 	for cut := 1; cut < len(clients); cut++ {
 		if got := clients[cut].readReply(); got != fmt.Sprintf("v-m%03d", cut) && !strings.HasPrefix(got, "-BUSY") {
-			t.Errorf("cut at %d: %q, expected an answer", cut, got)
+			t.Errorf("cut at %d: %q, expected a reply", cut, got)
 		}
 		clients[cut].expectReply("closed")
 	}
 }
 
-// A connection that the system has accepted when the last client leaves, and the sentry has not taken up, is served; one that
-// comes once the sentry has stopped listening is refused.
+// A connection that the kernel has accepted but the sentry has not is served, though the last client has left. A connection after
+// the sentry has closed its listener is refused.
 func TestAcceptDuringListenerClose(t *testing.T) {
 	env := envWith(t, startWorker(t, answerValue))
-	env.waitFor("looks at no clients", func() bool { return len(env.p.listClients()) == 0 })
+	env.waitFor("no clients", func() bool { return len(env.p.listClients()) == 0 })
 	release := blockPoller()
 	c := env.dial(t)
 	c.send(readCmd("late"))
 	env.drainPastStopReading()
-	time.Sleep(3 * clientSweepInterval) // it finds no clients
+	time.Sleep(3 * clientSweepInterval) // sweeps find no clients
 	release()
 	c.expectReply("v-late")
 	c.expectReply("closed")
@@ -111,8 +112,7 @@
 	}
 }
 
-// Where there are too many clients, one whose command has come and was not read yet is not the one that is closed, though it
-// has been idle for longest.
+// Beyond the client limit, a client with an unread command is not closed, even if it has been idle for longest.
 func TestClientLimitSparesUnreadCommand(t *testing.T) {
 	env := newEnv(t, options{sockets: 160, workers: []string{startWorker(t, answerValue)}})
 	clients := make([]testClient, env.p.config.Load().maxClients())
@@ -123,7 +123,7 @@
 	}
 	release := blockPoller()
 	accepted := make(chan testClient, 1)
-	wire.RunOnPoller(func() { // the oldest's command stands in the system as the new one is taken up
+	wire.RunOnPoller(func() { // the command of the oldest client is unread when the new client is accepted
 		clients[0].send(readCmd("oldest"))
 		time.Sleep(20 * time.Millisecond)
 		oldest, since := (*clientConn)(nil), time.Time{}
@@ -135,7 +135,7 @@
 			client.mu.Unlock()
 		}
 		if oldest.CloseIfIdle(wire.ErrClosed, false) {
-			t.Error("a client was closed over a command that had come")
+			t.Error("a client with an unread command was closed")
 		}
 	})
 	go func() { accepted <- env.dial(t) }()
@@ -144,11 +144,11 @@
 	c := <-accepted
 	c.send(readCmd("new"))
 	c.expectReply("v-new")
-	env.waitFor("one closed", func() bool { return len(env.p.listClients()) == len(clients) })
+	env.waitFor("the close of one client", func() bool { return len(env.p.listClients()) == len(clients) })
 }
 
-// Pipelined commands come in pieces around the stop. Those that had been read, the one in part, and whatever a worker has seen
-// are answered, in order, before the connection closes; what was not read by then is left to the client to send again.
+// Pipelined commands arrive in pieces before and after the drain begins. Commands that were read, the partial one, and all that a
+// worker has received get their replies, in order, before the connection closes. The client may send the unread ones again.
 func TestPipelineDuringDrain(t *testing.T) {
 	unblock := make(chan struct{})
 	var sentToWorker sync.Map
@@ -165,7 +165,7 @@
 		text += readCmd(fmt.Sprint("p", i))
 	}
 	c.send(text[:len(text)/2])
-	const readAtDrain = 4 // commands whole or in part in the first half
+	const readAtDrain = 4 // commands that are complete or partial in the first half of the text
 	env.waitFor("some commands", func() bool { env.p.mu.Lock(); defer env.p.mu.Unlock(); return len(env.p.openRequests) >= 3 })
 	env.drainPastStopReading()
 	c.send(text[len(text)/2:])
@@ -173,22 +173,22 @@
 	answered := 0
 	for got := c.readReply(); got != "closed"; got = c.readReply() {
 		if got != fmt.Sprint("v-p", answered) && !strings.HasPrefix(got, "-BUSY") {
-			t.Errorf("answer %d: %q", answered, got)
+			t.Errorf("reply %d: %q", answered, got)
 		}
 		answered++
 	}
 	if answered < readAtDrain {
-		t.Errorf("%d answers, expected at least those of the %d commands that had been read or were in part", answered, readAtDrain)
+		t.Errorf("%d replies, expected at least those of the %d commands that were read or partial", answered, readAtDrain)
 	}
 	for i := answered; i < 8; i++ {
 		if _, sent := sentToWorker.Load(fmt.Sprint("p", i)); sent {
-			t.Errorf("p%d was sent to a worker and has no answer", i)
+			t.Errorf("p%d was sent to a worker and has no reply", i)
 		}
 	}
 }
 
-// Where all clients have something open, a new one beyond the bound is served if it has sent something, and closed then; one
-// that has sent nothing is closed at once. Neither is read and then closed with no answer.
+// While all clients have open commands, a new client beyond the limit is served if it has sent a command and closed after the
+// reply. One that has sent nothing is closed at once. No command is read without getting a reply.
 func TestClientLimitWithAllBusy(t *testing.T) {
 	unblock := make(chan struct{})
 	env := newEnv(t, options{sockets: 160, workers: []string{startWorker(t, func(c net.Conn, n int, words []string) {
@@ -206,7 +206,7 @@
 	env.waitFor("all commands", func() bool { env.p.mu.Lock(); defer env.p.mu.Unlock(); return len(env.p.openRequests) == limit })
 	release := blockPoller()
 	late := env.dial(t)
-	late.send(longRequest("late")) // stands in the system as the connection is taken up
+	late.send(longRequest("late")) // unread when the connection is accepted
 	release()
 	env.waitFor("its command", func() bool { env.p.mu.Lock(); defer env.p.mu.Unlock(); return len(env.p.openRequests) == limit+1 })
 	silent := env.dial(t)
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -11,13 +11,13 @@
 	"scalechute/internal/input"
 )
 
-// A client keeps its pipeline full, so that there is never a moment with nothing open on its connection. After the stop the
-// connection is read no further, has its answers, and ends in bounded time; the command that it cuts is read to its end.
+// A client keeps its pipeline full, so that its connection always has open commands. After the drain begins, the connection is
+// read no further than the end of the partial command, gets its replies, and closes within a second.
 func TestFullPipelineDrains(t *testing.T) {
 	var workerCommands atomic.Int64
 	env := newEnv(t, options{decide: handOffToFirstWorker(func(*input.Input) {}), workers: []string{startWorker(t, func(c net.Conn, n int, words []string) {
 		workerCommands.Add(1)
-		time.Sleep(5 * time.Millisecond) // they come in one by one, and so do the answers
+		time.Sleep(5 * time.Millisecond) // commands and answers follow one by one
 		answerValue(c, n, words)
 	})}})
 	c := env.dial(t)
@@ -33,24 +33,23 @@
 			break
 		}
 		if got != fmt.Sprint("v-r", answered) {
-			t.Fatalf("answer %d is %q", answered, got)
+			t.Fatalf("reply %d is %q", answered, got)
 		}
 		if answered++; answered == 40 {
 			env.drainPastStopReading()
 			stopped = time.Now()
 		}
 		if !stopped.IsZero() && time.Since(stopped) > time.Second {
-			t.Fatal("the connection is still read a second after the stop")
+			t.Fatal("the connection is still read a second after the drain began")
 		}
 		send()
 	}
 	if int64(answered) != workerCommands.Load() {
-		t.Errorf("%d answers, %d commands were read and sent to the worker", answered, workerCommands.Load())
+		t.Errorf("%d replies, but %d commands were read and sent to the worker", answered, workerCommands.Load())
 	}
 }
 
-// A command in part when the sentry is to stop, whose rest does not come, holds the end up no longer than until the last
-// answers are due.
+// A partial command whose rest does not arrive delays the drain no longer than until the last replies are due.
 func TestPartialCommandAbandonedAtDrain(t *testing.T) {
 	env := newEnv(t, options{workers: []string{startWorker(t, answerValue)}, replacements: []string{`"deadline_ns":900000000`, `"deadline_ns":400000000`}})
 	c := env.dial(t)
@@ -65,14 +64,14 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("the sentry did not end")
 	}
-	const kill = 1100 * time.Millisecond // the deadline and 0.7 s
+	const kill = 1100 * time.Millisecond // SIGKILL: 0.7 s after the deadline
 	if took := time.Since(drainStart); took > kill {
 		t.Errorf("it ended after %v, expected before the kill at %v", took, kill)
 	}
 }
 
-// A client that is answered and reads nothing, with more commands unread, does not hold up the end either. What it was sent
-// is not taken back by the close.
+// A client that does not read its replies and has sent more commands does not block the drain. The close does not discard the
+// replies that were written.
 func TestRepliesAcknowledgedBeforeClose(t *testing.T) {
 	env := envWith(t, startWorker(t, answerValue))
 	c := env.dial(t)
@@ -86,7 +85,7 @@
 	}
 	c.send(text)
 	release()
-	time.Sleep(3 * clientSweepInterval) // it ends the stream, and waits for this side's end
+	time.Sleep(3 * clientSweepInterval) // the sentry ends its stream and waits for the client to close
 	c.send(readCmd("unread"))
 	for i := range 4 {
 		c.expectReply(fmt.Sprint("v-r", i))
--- a/internal/platform/edge_cases_test.go
+++ b/internal/platform/edge_cases_test.go
@@ -15,7 +15,7 @@
 	"scalechute/logic"
 )
 
-// toFirst hands each transaction off to one worker, after a look at what has come.
+// handOffToFirstWorker returns a decision module that hands each transaction off to worker w0, after it has called observe.
 func handOffToFirstWorker(observe func(in *input.Input)) func(*input.Input) logic.Result {
 	return func(in *input.Input) (out logic.Result) {
 		observe(in)
@@ -26,15 +26,15 @@
 	}
 }
 
-// nobodyBooked says that all clients have gone, as the poller sees it.
+// noClients reports whether the platform has removed all clients.
 func (e *testEnv) noClients() bool {
 	e.p.mu.Lock()
 	defer e.p.mu.Unlock()
 	return len(e.p.clients) == 0
 }
 
-// No attempt begins after its client has closed, though the loop has yet to hear of it: while the request, and one behind it
-// on the same connection, waits in the inbox; as the module rules; and as the connection for it comes up.
+// No hand-off is sent after its client has closed, even if the event loop has not handled the close yet: while the request and
+// another one on the same connection wait in the inbox, during the decision, and while a connection to the worker is dialed.
 func TestNoHandOffAfterClientCloses(t *testing.T) {
 	var received sync.Map
 	address := startWorker(t, func(c net.Conn, n int, words []string) {
@@ -43,20 +43,20 @@
 	})
 	expectNoneSent := func(t *testing.T, env *testEnv, ids ...string) {
 		t.Helper()
-		env.waitFor("the ends of all attempts", func() bool { return len(env.ends) == env.actions[logic.HandOff] })
+		env.waitFor("the ends of all hand-offs", func() bool { return len(env.ends) == env.actions[logic.HandOff] })
 		c := env.dial(t)
 		c.send(readCmd("after"))
 		c.expectReply("v-after")
 		for _, id := range ids {
 			if _, sent := received.Load(id); sent {
-				t.Errorf("%s was sent on after its client had closed", id)
+				t.Errorf("%s was sent to the worker after its client had closed", id)
 			}
 		}
 	}
 	t.Run("in the inbox", func(t *testing.T) {
 		env := newEnv(t, options{workers: []string{address}, decide: handOffToFirstWorker(func(*input.Input) {})})
 		c := env.dial(t)
-		c.send(readCmd("first")) // a connection stands
+		c.send(readCmd("first")) // opens a connection to the worker
 		c.expectReply("v-first")
 		time.Sleep(50 * time.Millisecond)
 		blocked, gate := make(chan struct{}), make(chan struct{})
@@ -69,7 +69,7 @@
 		close(gate)
 		expectNoneSent(t, env, "inbox-a", "inbox-b")
 	})
-	t.Run("as the module rules", func(t *testing.T) {
+	t.Run("during the decision", func(t *testing.T) {
 		arrived, gate := make(chan struct{}), make(chan struct{})
 		n := 0
 		env := newEnv(t, options{workers: []string{address}, decide: handOffToFirstWorker(func(in *input.Input) {
@@ -81,24 +81,24 @@
 			}
 		})})
 		c := env.dial(t)
-		c.send(readCmd("standing"))
-		c.expectReply("v-standing")
+		c.send(readCmd("before"))
+		c.expectReply("v-before")
 		time.Sleep(50 * time.Millisecond)
-		c.send(readCmd("ruled"))
+		c.send(readCmd("undecided"))
 		<-arrived
 		c.Close()
 		env.waitFor("the close", env.noClients)
 		close(gate)
-		expectNoneSent(t, env, "ruled")
+		expectNoneSent(t, env, "undecided")
 	})
-	t.Run("as its connection comes up", func(t *testing.T) {
+	t.Run("while dialing", func(t *testing.T) {
 		var env *testEnv
 		gate, ready, built := make(chan struct{}), make(chan struct{}), make(chan struct{})
 		n := 0
 		env = newEnv(t, options{workers: []string{address}, decide: handOffToFirstWorker(func(in *input.Input) {
 			if in.Kind == input.TransactionArrived {
 				<-built
-				if n++; n == 1 { // before the connection is told of
+				if n++; n == 1 { // blocks the loop before it handles the new connection
 					go env.sentry.Inspect(func() { close(ready); <-gate })
 					time.Sleep(20 * time.Millisecond)
 				}
@@ -106,23 +106,23 @@
 		})})
 		close(built)
 		c := env.dial(t)
-		c.send(readCmd("dialled"))
+		c.send(readCmd("dialed"))
 		<-ready
-		time.Sleep(50 * time.Millisecond) // the connection stands, of which the loop hears next
+		time.Sleep(50 * time.Millisecond) // the connection is open, and the loop handles it next
 		blocked, after := make(chan struct{}), make(chan struct{})
 		go env.sentry.Inspect(func() { close(blocked); <-after })
 		time.Sleep(20 * time.Millisecond)
 		close(gate)
-		<-blocked // it has greeted the worker, and hears of its welcome before it hears of the close
+		<-blocked // the loop has said hello to the worker, and handles the ready event before the close
 		c.Close()
 		env.waitFor("the close", env.noClients)
 		close(after)
-		expectNoneSent(t, env, "dialled")
+		expectNoneSent(t, env, "dialed")
 	})
 }
 
-// A worker that drains, or comes back under its id with another address or build: what waits for a connection to it is given back to
-// the module unsent, and a connection that comes up to where it was carries nothing.
+// When a worker drains, or its id gets another address or build, the hand-offs that wait for a connection to it end as unsent, and
+// a connection to the old address that is established later carries none.
 func TestQueuedHandOffsOfChangedWorker(t *testing.T) {
 	var oldCommands atomic.Int64
 	oldAddress := startWorker(t, func(c net.Conn, n int, words []string) {
@@ -136,7 +136,7 @@
 		ready, n := make(chan struct{}), 0
 		env = newEnv(t, options{workers: []string{oldAddress}, decide: handOffToFirstWorker(func(in *input.Input) {
 			if in.Kind == input.TransactionArrived {
-				if <-ready; n == 0 { // it is told while a connection is dialled
+				if <-ready; n == 0 { // the change arrives while a connection is dialed
 					env.sentry.ListReceived(&pb.Report{Version: 50, Lines: []*pb.Line{line}}, nil)
 				}
 				n++
@@ -145,7 +145,7 @@
 		close(ready)
 		c := env.dial(t)
 		c.send(readCmd("a"))
-		env.waitFor(name+": the attempt given back", func() bool { return env.countEnded(logic.Unsent) == 1 })
+		env.waitFor(name+": the unsent hand-off", func() bool { return env.countEnded(logic.Unsent) == 1 })
 		time.Sleep(50 * time.Millisecond)
 		c.Close()
 		if c = env.dial(t); name == "address" {
@@ -153,13 +153,13 @@
 			c.expectReply("v-b")
 		}
 		if n := oldCommands.Load(); n != 0 {
-			t.Errorf("%s: %d attempts where the worker was, expected none", name, n)
+			t.Errorf("%s: %d commands at the old address, expected none", name, n)
 		}
 	}
 }
 
-// A second copy of an answer that comes as the next attempt could be written is not taken for that one's answer: a
-// connection rests after an answer, and what can't wait goes to another one.
+// A duplicate of an answer that arrives when the next hand-off could be written is not taken for the answer to that one: a
+// connection is left unused for a while after an answer, and a hand-off that can't wait uses another connection.
 func TestDuplicateAnswerIgnored(t *testing.T) {
 	address := serveConns(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -168,7 +168,7 @@
 			if err != nil {
 				return
 			}
-			io.WriteString(c, previous) // once more what was answered before
+			io.WriteString(c, previous) // a duplicate of the previous answer
 			previous = newAnswer("v-" + words[2])
 			io.WriteString(c, previous)
 		}
@@ -182,15 +182,15 @@
 	env.waitFor("the answers", func() bool { return env.countEnded(logic.Answered) == 4 })
 }
 
-// What waits for the only connection that there may be is sent once it has rested; so is what would not wait, if no other
-// connection can be had.
+// A hand-off that waits for the only permitted connection is sent once the pause after an answer is over. So is a hand-off that
+// would not wait, if no other connection can be opened.
 func TestConnectionReuseAfterAnswer(t *testing.T) {
 	singleConnection := newEnv(t, options{workers: []string{startWorker(t, answerValue)}, decide: handOffToFirstWorker(func(*input.Input) {})})
 	singleConnection.sentry.Inspect(func() { singleConnection.p.config.Load().Settings.Bounds.ConnectionsPerWorker = 1 })
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
 	go func() {
 		c, err := listener.Accept()
-		listener.Close() // and no other
+		listener.Close() // accepts no other connection
 		for in := bufio.NewReader(c); err == nil; {
 			var words []string
 			if words, err = readCommand(in); err == nil {
@@ -209,8 +209,8 @@
 	}
 }
 
-// Two sentries of other customers in one process: each takes its own classes and tenants, with its own deadlines and
-// commands, and refuses the other's names; a reload of one changes nothing for the other.
+// Two sentries with different settings run in one process. Each accepts its own classes and tenants, with its own deadlines and
+// commands, and rejects the names of the other. A reload of one changes nothing for the other.
 func TestTwoSentriesInOneProcess(t *testing.T) {
 	address := startWorker(t, func(c net.Conn, n int, words []string) {
 		if words[2] != "silent" {
@@ -222,9 +222,9 @@
 	first, second := newEnv(t, options{workers: []string{address}}), newEnv(t, options{workers: []string{address}, replacements: replacements})
 	request := func(command, id, facts string) string { return encode(command, "k", id, facts) }
 	for _, step := range []struct {
-		r    *testEnv
-		say  string
-		want string
+		env     *testEnv
+		command string
+		want    string
 	}{
 		{first, request("Q.ASK", "a", "c=read,t=acme,d=800"), "v-a"}, {second, request("Q.ASK", "a", "c=look,t=river,d=800"), "v-a"},
 		{first, request("Q.ASK", "b", "c=look,t=acme,d=800"), "-ERR found a class"}, {second, request("Q.ASK", "b", "c=read,t=river,d=800"), "-ERR found a class"},
@@ -232,16 +232,16 @@
 		{first, request("Q.DO", "d", "c=move,t=acme,d=800"), "v-d"}, {second, request("Q.ASK", "d", "c=pay,t=river,d=800"), "v-d"},
 		{first, request("Q.ASK", "e", "c=move,t=acme,d=800"), "-ERR found a command"}, {second, request("Q.DO", "e", "c=pay,t=river,d=800"), "-ERR found a command"},
 	} {
-		c := step.r.dial(t)
-		c.send(step.say)
+		c := step.env.dial(t)
+		c.send(step.command)
 		c.expectReply(step.want)
 	}
 	started := time.Now()
 	c := second.dial(t)
 	c.send(request("Q.ASK", "silent", "c=look,t=river,d=5000"))
-	c.expectReply("-BUSY") // by its own deadline
+	c.expectReply("-BUSY") // at the deadline of its own class
 	if took := time.Since(started); took < 250*time.Millisecond {
-		t.Errorf("given up after %v, expected the second customer's deadline", took)
+		t.Errorf("given up after %v, expected the second sentry's deadline", took)
 	}
 	if err := second.p.Reload(must(parseConfig(configJSON(256, closedAddress(), closedAddress(), []string{address}, append(replacements, `"free":2`, `"free":7`)...)))); err != nil {
 		t.Fatal(err)
@@ -251,13 +251,13 @@
 	}
 }
 
-// A worker's connection that ends at each step of an attempt, in order or with a reset: its client gets one answer, never
-// another's, and what comes next is served.
+// A worker's connection is closed or reset at each step of a hand-off. The client gets one reply and never that of another
+// request, and the next request is served.
 func TestWorkerClosesAtEachStep(t *testing.T) {
 	command, fullAnswer := len(moveCmd("a")), newAnswer("v-a")
 	closers := map[string]func(net.Conn){
-		"in order":     func(c net.Conn) { c.Close() },
-		"with a reset": func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
+		"closed": func(c net.Conn) { c.Close() },
+		"reset":  func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 	}
 	for name, closeConn := range closers {
 		for step := 0; step <= command+len(fullAnswer); step += 3 {
@@ -281,18 +281,18 @@
 			}))
 			c := env.dial(t)
 			c.send(moveCmd("a"))
-			// What may have run is written off; a refusal says that it has not.
+			// A hand-off that may have run is written off; BUSY states that it has not run.
 			if got := c.readReply(); got != "v-a" && !strings.HasPrefix(got, "-ERR") && !(strings.HasPrefix(got, "-BUSY") && step == 0) {
-				t.Errorf("%s after %d of %d and %d bytes: answer %q", name, step, command, len(fullAnswer), got)
+				t.Errorf("%s after %d of %d and %d bytes: reply %q", name, step, command, len(fullAnswer), got)
 			}
-			if step > 0 && resent.Load() > 0 { // it was written whole, since something of it was read
+			if step > 0 && resent.Load() > 0 { // it was written completely, since the worker has read a part
 				t.Errorf("%s after %d of %d and %d bytes: sent again, though it may have run", name, step, command, len(fullAnswer))
 			}
 			c.send(encode("PING"))
 			c.expectReply("+PONG")
 			c.send(readCmd("b"))
 			if got := c.readReply(); got != "v-b" && !strings.HasPrefix(got, "-BUSY") {
-				t.Errorf("%s after %d bytes: next answer %q", name, step, got)
+				t.Errorf("%s after %d bytes: next reply %q", name, step, got)
 			}
 		}
 	}
--- a/internal/platform/env_test.go
+++ b/internal/platform/env_test.go
@@ -21,6 +21,7 @@
 	"scalechute/logic"
 )
 
+// settings are the decision settings of the test configuration.
 const settings = `{"azs":["here"],"zone":"here","replicas_of_me":2,"position":0,"registry_mode":"on_request",
  "granularity_ns":5000000,"categories":[
  {"name":"read","aim_ns":300000000,"deadline_ns":900000000,"effect":"retryable","value":1},
@@ -34,7 +35,7 @@
  "family_info":{"layout":"beside","shares":[0.5,1],"caps":[0.5,1],"free":2,"exposure_window_ns":4000000000,"no_return":true,
  "on_votes":1,"votes_to_revert":1,"vote_ttl_ns":6000000000,"answer_wait_ns":300000000}}`
 
-// rig is a sentry on the platform, with a record of what its module was told.
+// testEnv is a sentry on a Platform, with a record of the inputs and actions of its decision module.
 type testEnv struct {
 	t                *testing.T
 	sentry           *sentry.Sentry
@@ -45,11 +46,12 @@
 	lists            [][]logic.Worker
 	actions          map[logic.ActionKind]int
 	reconfigurations int
-	listFailures     int // lists
+	listFailures     int
 	staleReports     []input.Input
 	peerMessages     string
 }
 
+// target is a server in discovery's list.
 type target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -59,7 +61,7 @@
 	Release  int     `json:"release"`
 }
 
-// must gives what there is, or ends the test.
+// must returns value, or panics if there is an error.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
@@ -67,7 +69,7 @@
 	return value
 }
 
-// listen serves each connection on loopback until the test ends.
+// serveConns serves each connection to a loopback address until the test ends, and returns the address.
 func serveConns(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
@@ -85,14 +87,14 @@
 	return listener.Addr().String()
 }
 
-// closed is an address where nobody listens.
+// closedAddress returns an address where nothing listens.
 func closedAddress() string {
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
 	defer listener.Close()
 	return listener.Addr().String()
 }
 
-// configuration is the platform's, with workers known and a few fields in other words.
+// configJSON returns a configuration whose worker list has the given workers. replacements are pairs of an old and a new text.
 func configJSON(sockets int, discovery, controlPlane string, workers []string, replacements ...string) []byte {
 	known := activeTargets(workers)
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
@@ -102,6 +104,7 @@
 	return []byte(strings.NewReplacer(replacements...).Replace(text))
 }
 
+// activeTargets returns active targets w0, w1 and so on at the given addresses.
 func activeTargets(workers []string) (targets []target) {
 	for i, address := range workers {
 		targets = append(targets, target{"w" + strconv.Itoa(i), address, "here", "active", 1, 7})
@@ -109,16 +112,17 @@
 	return targets
 }
 
-// plan is what a rig has; where its module is the real one, a discovery lists the workers, for what is only remembered may not
-// be used for long. Other services that are not named have an address where nobody listens.
+// options configure a testEnv. With the real decision module a discovery lists the workers, since a list that comes only from
+// the configuration may not be used for long. Other services without an address get one where nothing listens.
 type options struct {
 	discovery, controlPlane string
 	workers                 []string
 	sockets                 int
-	decide                  func(*input.Input) logic.Result // in the module's place
-	replacements            []string                        // of the configuration, in pairs
+	decide                  func(*input.Input) logic.Result // replaces the decision module
+	replacements            []string                        // for configJSON
 }
 
+// newEnv starts a sentry and stops it at the end of the test.
 func newEnv(t *testing.T, o options) *testEnv {
 	t.Helper()
 	if o.discovery == "" && o.decide == nil && len(o.workers) > 0 {
@@ -139,9 +143,10 @@
 	return env
 }
 
-// served is a rig with workers and no services.
+// envWith returns a testEnv with workers and no other services.
 func envWith(t *testing.T, workers ...string) *testEnv { return newEnv(t, options{workers: workers}) }
 
+// record keeps the inputs and actions of the decision module.
 func (e *testEnv) record(in *input.Input, out *logic.Result) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -166,7 +171,7 @@
 	}
 }
 
-// wait polls until something holds, with the record locked.
+// waitFor polls until condition holds. It calls condition with the lock held.
 func (e *testEnv) waitFor(what string, condition func() bool) {
 	e.t.Helper()
 	for range 1000 {
@@ -178,10 +183,10 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	e.t.Fatalf("in 10 s not seen: %s; endings %v, news %v", what, e.ends, e.statuses)
+	e.t.Fatalf("not seen within 10 s: %s; endings %v, release statuses %v", what, e.ends, e.statuses)
 }
 
-// ended counts ends of a kind. The lock is held.
+// countEnded returns the number of hand-offs with an ending. The caller holds the lock.
 func (e *testEnv) countEnded(ending logic.Ending) (n int) {
 	for _, handOff := range e.ends {
 		n += map[bool]int{true: 1}[handOff.Ending == ending]
@@ -189,8 +194,8 @@
 	return n
 }
 
-// worker does with each command what the script says; n counts the commands of all its connections.
-func startWorker(t *testing.T, handle func(conn net.Conn, commands int, words []string)) string {
+// startWorker calls handle for each command that the worker receives; n counts the commands of all its connections.
+func startWorker(t *testing.T, handle func(conn net.Conn, n int, words []string)) string {
 	var commands atomic.Int64
 	return serveConns(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
@@ -204,6 +209,7 @@
 	})
 }
 
+// readCommand reads the words of a RESP command.
 func readCommand(in *bufio.Reader) (words []string, err error) {
 	var remaining, size int
 	_, err = fmt.Fscanf(in, "*%d\r\n", &remaining)
@@ -217,8 +223,10 @@
 	return words, err
 }
 
+// bulk encodes a RESP bulk string.
 func bulk(s string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(s), s) }
 
+// encode encodes a RESP command.
 func encode(words ...string) string {
 	command := fmt.Sprintf("*%d\r\n", len(words))
 	for _, word := range words {
@@ -227,11 +235,16 @@
 	return command
 }
 
+// newAnswer encodes a worker's answer with a value and a load report.
 func newAnswer(value string) string { return "*3\r\n" + bulk(value) + "$-1\r\n" + bulk("busy_reqs=3") }
 
+// answerValue handles a command by answering with v- and the request's id.
 func answerValue(c net.Conn, _ int, words []string) { io.WriteString(c, newAnswer("v-"+words[2])) }
 
+// readCmd encodes a request of the idempotent class read.
 func readCmd(id string) string { return encode("Q.ASK", "key-"+id, id, "c=read,t=acme,d=800") }
+
+// moveCmd encodes a request of the non-idempotent class move.
 func moveCmd(id string) string { return encode("Q.DO", "key-"+id, id, "c=move,t=acme,d=800", "body") }
 
 // testClient is a client's connection.
@@ -241,6 +254,7 @@
 	t  *testing.T
 }
 
+// dial connects a client to the sentry.
 func (e *testEnv) dial(t *testing.T) testClient {
 	conn := must(net.Dial("tcp", e.sentry.Address()))
 	t.Cleanup(func() { conn.Close() })
@@ -249,7 +263,7 @@
 
 func (c testClient) send(text string) { io.WriteString(c, text) }
 
-// line reads a line, or the bulk string that it begins.
+// readReply reads a one-line reply, the text of a bulk string, or closed if the connection has ended.
 func (c testClient) readReply() string {
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	line, err := c.in.ReadString('\n')
@@ -265,9 +279,10 @@
 	return line
 }
 
+// expectReply reads a reply and checks its beginning.
 func (c testClient) expectReply(prefix string) {
 	c.t.Helper()
 	if got := c.readReply(); !strings.HasPrefix(got, prefix) {
-		c.t.Errorf("answer %.100q, expected %q", got, prefix)
+		c.t.Errorf("reply %.100q, expected %q", got, prefix)
 	}
 }
--- a/internal/platform/large_answers_test.go
+++ b/internal/platform/large_answers_test.go
@@ -11,13 +11,13 @@
 	"scalechute/internal/input"
 )
 
-// A client writes many reads on one connection and reads all the time. The first answer comes 250 ms after the others, which
-// are great and have to wait for it: then all are written at once. Each answer has to arrive, in its turn.
+// A client pipelines many requests and reads all the time. The first answer comes 250 ms after the others, which are large and
+// have to wait for it; then all replies are written at once. Each reply has to arrive, in order.
 //
-// What happened: the process closed the connection, and none of the answers arrived; its log said that the other side does not
-// read. Why: the link took no more than 2 MiB that wait to be written, and all answers are put before its writer has a turn.
-// The evidence: 40 answers of 60 KiB, 60 of 40 KiB and 4 of 900 KiB failed in each run, 60 of 20 KiB and 3 of 900 KiB passed:
-// those over 2 MiB in all. It is the cause of TestFullInboxStopsReading, without any luck needed.
+// The test guards against a close of the connection as a slow reader, with all replies lost. It happened when more than 2 MiB of
+// replies became ready at once, since the link refused more than 2 MiB of pending data and its writer had no turn in between:
+// 40 answers of 60 KiB, 60 of 40 KiB and 4 of 900 KiB failed in each run, 60 of 20 KiB and 3 of 900 KiB passed. The same fault
+// caused failures of TestFullInboxStopsReading, there only by chance.
 func TestLargeAnswersBehindSlowOne(t *testing.T) {
 	for name, c := range map[string]struct{ requests, bytes int }{
 		"40 of 60 KiB": {40, 60 << 10},
@@ -38,15 +38,15 @@
 			}
 			for i := range c.requests {
 				if got := client.readReply(); got != fmt.Sprint("r", i, "-", filler) {
-					t.Fatalf("answer %d: %.40q of %d bytes, expected its own of %d bytes", i, got, len(got), c.bytes)
+					t.Fatalf("reply %d: %.40q of %d bytes, expected its own of %d bytes", i, got, len(got), c.bytes)
 				}
 			}
 		})
 	}
 }
 
-// Once what waits for clients takes the memory that there is for it, further commands are refused, and no connection closes
-// with something owed on it. A client that reads is served again.
+// Once the replies that wait to be written use up the reply budget, further commands get BUSY, and no connection is closed with
+// replies outstanding. A client that reads is served again.
 func TestBusyAtReplyBudget(t *testing.T) {
 	const bytes, requests = 60 << 10, 60
 	filler := strings.Repeat("x", bytes)
@@ -59,10 +59,10 @@
 		for n := range requests {
 			clients[i].send(readCmd(fmt.Sprintf("c%d.%d", i, n)))
 		}
-		env.waitFor("their ends", func() bool { env.p.mu.Lock(); defer env.p.mu.Unlock(); return len(env.p.openRequests) == 0 })
+		env.waitFor("the ends of its requests", func() bool { env.p.mu.Lock(); defer env.p.mu.Unlock(); return len(env.p.openRequests) == 0 })
 	}
 	if left, budget := env.p.replyBudget.Remaining(), env.p.config.Load().MemoryMB<<20/replyMemoryDivisor; left < -budget/4 {
-		t.Errorf("%d bytes wait over the budget of %d", -left, budget)
+		t.Errorf("%d bytes beyond the reply budget of %d", -left, budget)
 	}
 	refused := 0
 	for i, c := range clients {
@@ -72,12 +72,12 @@
 			case strings.HasPrefix(got, "-BUSY"):
 				refused++
 			default:
-				t.Fatalf("client %d, answer %d: %.40q", i, n, got)
+				t.Fatalf("client %d, reply %d: %.40q", i, n, got)
 			}
 		}
 	}
 	if refused == 0 {
-		t.Error("nothing was refused, though the answers were more than the memory that there is for them")
+		t.Error("no request was refused, though the answers exceed the reply budget")
 	}
 	clients[0].send(readCmd("after"))
 	clients[0].expectReply("after-")
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -25,14 +25,14 @@
 	"scalechute/logic"
 )
 
-// What a client writes goes on unchanged but for the time to wait, and answers come in the order of the commands.
+// A command reaches the worker unchanged except for its timeout, and replies come in the order of the commands.
 func TestServesRequests(t *testing.T) {
 	var received sync.Map
 	first := make(chan struct{})
 	env := envWith(t, startWorker(t, func(c net.Conn, _ int, words []string) {
 		received.Store(words[2], words)
 		if words[2] == "a" {
-			<-first // the second is answered first
+			<-first // the second request is answered first
 		} else {
 			defer close(first)
 		}
@@ -47,12 +47,12 @@
 	command, ms := words.([]string), 0
 	n, err := fmt.Sscanf(command[3], "d=%d,c=note,k=5c,x=,t=acme", &ms)
 	if n != 1 || err != nil || ms < 300 || ms > 700 || !slices.Equal(slices.Delete(command, 3, 4), []string{"Q.DO", "kb", "b", "BODY\r\n"}) {
-		t.Errorf("the worker got %q with %d ms, expected what the client wrote and at most 700", command, ms)
+		t.Errorf("the worker received %q with %d ms, expected the client's command and at most 700", command, ms)
 	}
 	env.waitFor("the load report", func() bool { return len(env.ends) == 2 && env.ends[0].Load.InFlight == 3 })
 }
 
-// neverUp is an address where connections never come up: the listener's queue is full.
+// unreachableAddress returns an address where connections are never established: the listener's queue is full.
 func unreachableAddress(t *testing.T) string {
 	fd := must(syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0))
 	t.Cleanup(func() { syscall.Close(fd) })
@@ -71,8 +71,8 @@
 	return address
 }
 
-// Each row of what comes back ends the hand-off as it should, and an irreversible transaction after it: deferred where the
-// hand-off provably did not run, else written off.
+// Each kind of answer of a worker ends the hand-off as it should. The non-idempotent transaction is then deferred if the hand-off
+// provably did not run, else written off.
 func TestWorkerAnswers(t *testing.T) {
 	answersWith := func(text string) string {
 		return startWorker(t, func(c net.Conn, _ int, _ []string) { io.WriteString(c, text) })
@@ -80,17 +80,17 @@
 	rows := map[string]struct {
 		worker string
 		ending logic.Ending
-		answer string
+		reply  string
 	}{
-		"served":      {answersWith(newAnswer("v")), logic.Answered, "v"},
+		"answer":      {answersWith(newAnswer("v")), logic.Answered, "v"},
 		"no report":   {answersWith("*3\r\n" + bulk("v") + "$-1\r\n$-1\r\n"), logic.Answered, "v"},
 		"bad report":  {answersWith("*3\r\n" + bulk("v") + "$-1\r\n" + bulk("busy_reqs=?,=,x")), logic.Answered, "v"},
 		"error":       {answersWith("-ERR failed busy_reqs=2\r\n"), logic.Errored, "-ERR"},
 		"turned away": {answersWith("-BUSY\r\n"), logic.TurnedAway, "-BUSY"},
 		"refused":     {closedAddress(), logic.Unconnected, "-BUSY"},
-		"never up":    {unreachableAddress(t), logic.Unconnected, "-BUSY"},
+		"unreachable": {unreachableAddress(t), logic.Unconnected, "-BUSY"},
 		"broken":      {startWorker(t, func(c net.Conn, _ int, _ []string) { c.Close() }), logic.Broken, "-ERR"},
-		"nothing":     {startWorker(t, func(net.Conn, int, []string) {}), logic.TimedOut, "-ERR"},
+		"silent":      {startWorker(t, func(net.Conn, int, []string) {}), logic.TimedOut, "-ERR"},
 		"late": {startWorker(t, func(c net.Conn, n int, words []string) {
 			time.Sleep(900 * time.Millisecond)
 			answerValue(c, n, words)
@@ -98,9 +98,9 @@
 	}
 	for i, malformed := range []string{"x\x00\x01", "$-7\r\n", "*1000000000\r\n", "*3\r\n$3000000000\r\n", "+" + strings.Repeat("y", 5000), ":1\r\n",
 		"*3\r\n$2\r\nabcd\r\n$-1\r\n$-1\r\n", "*2\r\n" + bulk("v") + "$-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "*3\r\n" + bulk("half"), "-SYNTAX\r\n"} {
-		row := rows["served"]
-		row.worker, row.ending, row.answer = answersWith(malformed), logic.Unreadable, "-ERR"
-		rows[fmt.Sprint("spoilt ", i)] = row
+		row := rows["answer"]
+		row.worker, row.ending, row.reply = answersWith(malformed), logic.Unreadable, "-ERR"
+		rows[fmt.Sprint("malformed ", i)] = row
 	}
 	for name, row := range rows {
 		t.Run(name, func(t *testing.T) {
@@ -108,16 +108,16 @@
 			env := envWith(t, row.worker)
 			c := env.dial(t)
 			c.send(moveCmd("a"))
-			c.expectReply(row.answer)
+			c.expectReply(row.reply)
 			env.waitFor(name, func() bool { return env.countEnded(row.ending) >= 1 && env.countEnded(row.ending) == len(env.ends) })
-			time.Sleep(300 * time.Millisecond) // nothing comes after it
+			time.Sleep(300 * time.Millisecond) // no other ending follows
 			c.send(encode("PING"))
 			c.expectReply("+PONG")
 		})
 	}
 }
 
-// A redoable transaction whose answer was spoilt or stood still goes on at once, out of no budget.
+// An idempotent transaction whose answer is malformed or stalls is handed off again at once, without using the retry budget.
 func TestUnreadableAnswerIsRetried(t *testing.T) {
 	for _, malformed := range []string{"noise", newAnswer(strings.Repeat("v", 400_000))[:200_000]} {
 		env := envWith(t, startWorker(t, func(c net.Conn, n int, words []string) {
@@ -130,11 +130,11 @@
 		c := env.dial(t)
 		c.send(readCmd("a"))
 		c.expectReply("v-a")
-		env.waitFor("both", func() bool { return env.countEnded(logic.Unreadable) == 1 && env.countEnded(logic.Answered) == 1 })
+		env.waitFor("both endings", func() bool { return env.countEnded(logic.Unreadable) == 1 && env.countEnded(logic.Answered) == 1 })
 	}
 }
 
-// Answers of several hundred kilobytes, in pieces, go to the client whole.
+// Answers of several hundred kilobytes that arrive in pieces reach the client complete.
 func TestLargeAnswers(t *testing.T) {
 	value := strings.Repeat("v", 400_000)
 	env := envWith(t, startWorker(t, func(c net.Conn, n int, words []string) {
@@ -148,20 +148,20 @@
 	for i := range 5 {
 		c.send(readCmd(fmt.Sprint("r", i)))
 		if got := c.readReply(); got != value {
-			t.Fatalf("answer %d of %d bytes: %.40q", i, len(got), got)
+			t.Fatalf("reply %d of %d bytes: %.40q", i, len(got), got)
 		}
 	}
 }
 
-// A good answer that brings more than is its own is one, what came behind it is nobody's, and a connection that its worker
-// ends after an answer breaks no hand-off: also the next one that is written as that happens.
+// A complete answer followed by other data counts as an answer, and the data is dropped. A worker that closes the connection
+// after an answer breaks no hand-off, not even one that is being written at that moment.
 func TestDataAfterAnswer(t *testing.T) {
 	env := envWith(t, startWorker(t, func(c net.Conn, n int, words []string) {
 		switch trailing := []string{"", "noise", newAnswer("v-" + words[2])}[n%3]; {
 		case n%5 == 0:
 			answerValue(c, n, words)
 			c.Close()
-		case n%2 == 0: // behind it, in a piece of its own
+		case n%2 == 0: // the data follows the answer in a separate write
 			answerValue(c, n, words)
 			io.WriteString(c, trailing)
 		default:
@@ -181,20 +181,20 @@
 	}
 }
 
-// nobody is a caller that reads no answers but keeps the last.
+// answerRecorder is a sentry.ClientConn that records the answers' payloads.
 type answerRecorder struct{ answers chan string }
 
 func (n answerRecorder) Answer(a *wire.Answer) bool { n.answers <- string(a.Payload); return true }
 func (answerRecorder) Flush()                       {}
 func (answerRecorder) Dead() bool                   { return false }
 func (answerRecorder) Close(error)                  {}
-func (answerRecorder) RemoteAddr() string           { return "nobody" }
+func (answerRecorder) RemoteAddr() string           { return "recorder" }
 
-// An idle connection that its worker has closed, of which the poller has not told yet, gets no hand-off.
+// An idle connection that the worker has closed gets no hand-off, even before the poller reports the close.
 func TestConnectionClosedBeforeHandOff(t *testing.T) {
 	conns := make(chan net.Conn, 2)
-	env := envWith(t, startWorker(t, func(c net.Conn, recorder int, words []string) {
-		answerValue(c, recorder, words)
+	env := envWith(t, startWorker(t, func(c net.Conn, n int, words []string) {
+		answerValue(c, n, words)
 		conns <- c
 	}))
 	c := env.dial(t)
@@ -210,11 +210,11 @@
 	time.Sleep(20 * time.Millisecond)
 	release()
 	if got := <-recorder.answers; got != "v-b" {
-		t.Errorf("answer %q, endings %v", got, env.ends)
+		t.Errorf("answer %q, hand-off ends %v", got, env.ends)
 	}
 }
 
-// Answers that cross a time-out, a cancel or their client's leaving: each transaction gets one answer, its own, and no more.
+// Answers race with timeouts, cancels and clients that close: each transaction gets exactly one reply, its own.
 func TestAnswersRaceTimeouts(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	var mu sync.Mutex
@@ -230,12 +230,12 @@
 		for i := range 60 {
 			id := fmt.Sprint("r", client, "-", i)
 			c.send(encode("Q.DO", "k", id, "c=move,t=acme,d=5"))
-			if i%10 == 9 { // leaves as its answer comes
+			if i%10 == 9 { // closes about when the answer comes
 				time.Sleep(time.Duration(i%4) * 2 * time.Millisecond)
 				c.Close()
 				c = env.dial(t)
 			} else if got := c.readReply(); got != "v-"+id && !strings.HasPrefix(got, "-") {
-				t.Errorf("%s: answer %q", id, got)
+				t.Errorf("%s: reply %q", id, got)
 			}
 		}
 	}
@@ -247,7 +247,7 @@
 	}
 }
 
-// A client that goes away has its hand-off cancelled: the worker's connection closes.
+// When a client closes its connection, its hand-off is cancelled by closing the connection to the worker.
 func TestClientGone(t *testing.T) {
 	gone := make(chan struct{})
 	env := envWith(t, serveConns(t, func(c net.Conn) {
@@ -263,7 +263,7 @@
 	env.waitFor("its end", func() bool { return env.countEnded(logic.Cancelled) == 1 })
 }
 
-// What no usual client sends gets an error or a close in time, and what is open for others goes on.
+// Invalid input gets an error or a close in time, and does not disturb other clients' requests.
 func TestBadClients(t *testing.T) {
 	unblock := make(chan struct{})
 	env := envWith(t, startWorker(t, func(c net.Conn, n int, words []string) {
@@ -278,13 +278,13 @@
 	request := func(facts string) string { return encode("Q.ASK", "k", "id-"+facts, facts) }
 	t.Run("all", func(t *testing.T) {
 		for name, text := range map[string]string{
-			"noise": "\x00\xff\r\n", "a line without end": strings.Repeat("x", 100_000), "a negative length": "*2\r\n$-5\r\n",
+			"garbage": "\x00\xff\r\n", "an endless line": strings.Repeat("x", 100_000), "a negative length": "*2\r\n$-5\r\n",
 			"a huge length": "*1\r\n$99999999999\r\n", "60 MB": "*5\r\n$60000000\r\n" + strings.Repeat("x", 60_000_000), "many words": "*1000\r\n",
 			"no such class": request("c=none,t=acme,d=400"), "no class": request("d=400"), "no such tenant": request("c=read,t=none,d=400"),
-			"a time that is no number": request("c=read,d=soon"), "no time": request("c=read"), "a time below zero": request("c=read,d=-4"),
-			"no id": encode("Q.ASK", "k", "", "c=read,d=400"), "an open id": readCmd("held"), "facts that are none": request("c"),
-			"too few": encode("Q.ASK", "k"), "a class twice": request("c=read,c=move,d=400"), "the other command": request("c=move,d=400"),
-			"a keyed one, no mark": encode("Q.DO", "k", "i8", "c=note,d=400"), "half a command": "*4\r\n$5\r\nQ.ASK\r\n", "nothing": "",
+			"a time that is not a number": request("c=read,d=soon"), "no time": request("c=read"), "a negative time": request("c=read,d=-4"),
+			"no id": encode("Q.ASK", "k", "", "c=read,d=400"), "an open id": readCmd("held"), "malformed facts": request("c"),
+			"too few words": encode("Q.ASK", "k"), "a class twice": request("c=read,c=move,d=400"), "the other command": request("c=move,d=400"),
+			"a keyed class without a mark": encode("Q.DO", "k", "i8", "c=note,d=400"), "half a command": "*4\r\n$5\r\nQ.ASK\r\n", "nothing": "",
 			"an unknown command": encode("GET", "k"),
 		} {
 			t.Run(name, func(t *testing.T) {
@@ -298,17 +298,18 @@
 			})
 		}
 	})
-	other.expectReply("-BUSY") // its time was up
+	other.expectReply("-BUSY") // its timeout is over
 	close(unblock)
 	other.send(readCmd("next"))
 	other.expectReply("v-next")
 }
 
-// Hundreds of commands at once get one answer each, in order: beyond a bound on open ones, the refusal. The connection goes on.
-// Half a command and a close leave nothing.
+// Each of 300 pipelined commands gets one reply, in order: those beyond maxOpenCommands get BUSY, and the connection stays open. A
+// partial command followed by a close leaves no state.
 //
-// What happened: the 65th command got an error, and the 235 behind it, which had been read, nothing but the close. Why: the
-// reader dropped what had come once the connection was to close for the error. The evidence: this test, which wanted that.
+// The test guards against unanswered commands: once, the 65th command got an error, and the 235 after it, which had been read,
+// got no reply, since the reader dropped them when the connection was about to close for the error. An earlier version of
+// this test expected that.
 func TestCommandFlood(t *testing.T) {
 	unblock := make(chan struct{})
 	e := envWith(t, startWorker(t, func(c net.Conn, n int, words []string) {
@@ -327,7 +328,7 @@
 	time.AfterFunc(100*time.Millisecond, func() { close(unblock) })
 	for i := range 300 {
 		if got := c.readReply(); (got != fmt.Sprint("v-r", i) || i >= maxOpenCommands) && !strings.HasPrefix(got, "-BUSY") {
-			t.Errorf("answer %d: %q", i, got)
+			t.Errorf("reply %d: %q", i, got)
 		}
 	}
 	c.send(encode("PING"))
@@ -336,8 +337,8 @@
 	e.waitFor("no client", func() bool { e.p.mu.Lock(); defer e.p.mu.Unlock(); return len(e.p.clients)+len(e.p.openRequests) == 0 })
 }
 
-// When descriptors run out, silent clients close first and those that speak are served; hand-offs share the connections to
-// workers that there may be.
+// When the descriptors run out, clients that have sent nothing are closed first and the others are served. Hand-offs share the
+// permitted number of connections to workers.
 func TestDescriptorsRunOut(t *testing.T) {
 	var mu sync.Mutex
 	open, maxOpen := 0, 0
@@ -359,7 +360,7 @@
 		mu.Unlock()
 	})
 	env := newEnv(t, options{sockets: 160, workers: []string{address}, decide: func(in *input.Input) (out logic.Result) {
-		if in.Kind == input.TransactionArrived { // all at once
+		if in.Kind == input.TransactionArrived { // hands off at once
 			out.Actions = []logic.Action{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w0"}}
 		}
 		return out
@@ -387,7 +388,7 @@
 	}
 }
 
-// After SIGTERM clients are served for a while, those with nothing open are closed, and the sentry ends.
+// After SIGTERM clients are served for a while, then those without open commands are closed, and the sentry ends.
 func TestDrain(t *testing.T) {
 	env := envWith(t, startWorker(t, func(c net.Conn, n int, words []string) {
 		if words[2] == "slow" {
@@ -399,7 +400,7 @@
 	existing.send(readCmd("a"))
 	existing.expectReply("v-a")
 	env.p.Drain()
-	time.Sleep(stopReadingDelay / 2) // they go on coming
+	time.Sleep(stopReadingDelay / 2) // requests and connections still arrive
 	late := env.dial(t)
 	late.send(encode("Q.ASK", "k", "slow", "c=read,t=acme,d=890"))
 	existing.send(readCmd("b"))
@@ -416,7 +417,7 @@
 	}
 }
 
-// discovery tells a worker; next brings another line.
+// startDiscovery serves a list of targets on each watch, followed by the lines from next.
 func startDiscovery(t *testing.T, next <-chan string, targets ...target) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		line := must(json.Marshal(map[string]any{"rev": 50, "all": true, "targets": targets}))
@@ -434,7 +435,7 @@
 	return server.Listener.Addr().String()
 }
 
-// deskOf tells lines to a watch and answers each vote with the next of some answers.
+// startControlPlane sends statusLines in reply to WATCH, and answers each vote with the next of answers.
 func startControlPlane(t *testing.T, statusLines string, answers ...string) string {
 	var mu sync.Mutex
 	return serveConns(t, func(c net.Conn) {
@@ -452,8 +453,8 @@
 	})
 }
 
-// Votes end as the desk answers them. What can't be read ends the connection: its votes have no answer, the news stay as
-// they were.
+// Each vote ends with the result that the control plane's reply gives. A malformed reply ends the connection: its votes time out,
+// and the release status stays unchanged.
 func TestVotes(t *testing.T) {
 	controlPlane := startControlPlane(t, "* news 8 0 Progressing 0.5 0\r\n*\r\n* counts 1", "OK 8 0 Progressing 0.25 40", "ERR out_of_date",
 		"ERR unavailable", "ERR too_many_calls", "OK 9 0 Progre", "ERR bad_request", "\x00")
@@ -465,25 +466,25 @@
 		return out
 	}})
 	var results []logic.VoteResult
-	env.waitFor("the answers", func() bool {
+	env.waitFor("the vote results", func() bool {
 		results = results[:0]
 		for _, status := range env.statuses {
-			if status.VoteResult != logic.NoVote && status.VoteResult != logic.VoteRefused { // refused too while there is no connection
+			if status.VoteResult != logic.NoVote && status.VoteResult != logic.VoteRefused { // votes without a connection are refused, too
 				results = append(results, status.VoteResult)
 			}
 			if status.Valid && status.Build != 7 && status.Build != 8 {
-				t.Errorf("news %+v", status)
+				t.Errorf("release status %+v", status)
 			}
 		}
 		return len(results) >= 4
 	})
 	if want := []logic.VoteResult{logic.VoteAccepted, logic.VoteObsolete, logic.VoteTimedOut, logic.VoteTimedOut}; !slices.Equal(results[:4], want) {
-		t.Errorf("fates %v, expected %v", results, want)
+		t.Errorf("vote results %v, expected %v", results, want)
 	}
 }
 
-// An id that returns with another build is another life. SIGHUP with a build on trial: both services are gone on with at
-// their new addresses, other orders are swapped, and what can't be taken leaves all as it was.
+// A worker id with another build counts as a new process. SIGHUP during a trial moves to the new addresses of both services and
+// applies changed settings; an invalid configuration leaves everything unchanged.
 func TestReload(t *testing.T) {
 	address, next := startWorker(t, answerValue), make(chan string)
 	firstDiscovery := startDiscovery(t, next, target{"x", address, "here", "active", 1, 7})
@@ -498,7 +499,7 @@
 		}
 		return w
 	}
-	env.waitFor("list and news", func() bool { return lastListed("x").Build == 7 && env.statuses[len(env.statuses)-1].Build == 8 })
+	env.waitFor("list and release status", func() bool { return lastListed("x").Build == 7 && env.statuses[len(env.statuses)-1].Build == 8 })
 	next <- ""
 	next <- string(must(json.Marshal(map[string]any{"rev": 51, "targets": []target{{"x", address, "here", "active", 1, 8}}})))
 	env.waitFor("the id with another build", func() bool { return lastListed("x").Build == 8 })
@@ -515,12 +516,12 @@
 		return err
 	}
 	if reload([]byte("{")) == nil || reload(configJSON(256, secondDiscovery, newControlPlane, nil, `"name":"read"`, `"name":"other"`)) == nil {
-		t.Error("a file that can't be read, or a class in another's place, was taken")
+		t.Error("a file that can't be parsed, or a class in another's position, was accepted")
 	}
 	if err := reload(configJSON(256, secondDiscovery, newControlPlane, nil, `"free":2`, `"free":3`, "8c1f", "9d2e")); err != nil {
 		t.Fatal(err)
 	}
-	env.waitFor("all that is new", func() bool {
+	env.waitFor("the new list, status and settings", func() bool {
 		status := env.statuses[len(env.statuses)-1]
 		return lastListed("y").Build == 7 && status.Build == 9 && status.Phase == logic.RollingBack && status.Cap == 0.25 && env.reconfigurations == 1
 	})
@@ -529,7 +530,7 @@
 	c.expectReply("v-b")
 }
 
-// What is missing or can't be read is told in a line with its place.
+// A missing or invalid value is reported in one line that names it.
 func TestInvalidConfig(t *testing.T) {
 	for expected, replacements := range map[string][]string{
 		"listen": {`"listen":"127.0.0.1:0"`, `"listen":"nowhere"`}, "discovery": {`"discovery"`, `"x"`},
@@ -546,7 +547,7 @@
 	}
 }
 
-// Peers tell each other at their addresses; who is none is not heard.
+// Peers exchange messages at their addresses. Messages of other senders, and those that are too long, are ignored.
 func TestPeers(t *testing.T) {
 	peer := must(net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}))
 	defer peer.Close()
@@ -556,14 +557,14 @@
 	for _, text := range []string{strings.Repeat("x", 300), "peer"} {
 		must(peer.WriteTo([]byte(text), address))
 	}
-	env.waitFor("what the peer said", func() bool { return env.peerMessages == "peer" })
+	env.waitFor("the peer's message", func() bool { return env.peerMessages == "peer" })
 	received := make([]byte, 10)
 	if sent := env.p.SendMessage(logic.Message{To: 1, Body: []byte("hello")}); sent != 1 || string(received[:must(peer.Read(received))]) != "hello" {
-		t.Errorf("%d sent, the peer got %q", sent, received)
+		t.Errorf("%d sent, the peer received %q", sent, received)
 	}
 }
 
-// Whatever lines come from the desk, they are read whole or not at all, and alike in whatever pieces.
+// Any lines of the control plane are parsed completely or rejected, the same way however they are cut into pieces.
 func FuzzControlPlaneLines(f *testing.F) {
 	f.Add([]byte("OK\r\n* news 42 1 Progressing 0.28 310\r\n*\r\nOK 42 1 Healthy 1 0\r\nERR out_of_date\r\n"), 7)
 	f.Add([]byte("* news 42 1 Healthy 1.5 0\r\n* news 42 1 Healthy -1 0\r\n"), 3)
@@ -574,7 +575,7 @@
 			for _, piece := range pieces {
 				if rest, err = cp.readLines(append(rest, piece...), func(status *pb.News) {
 					if statuses = append(statuses, status.String()); status.Valid && !(status.Cap >= 0 && status.Cap <= 1) {
-						t.Errorf("told %v", status)
+						t.Errorf("reported %v", status)
 					}
 				}); err != nil {
 					break
@@ -586,7 +587,7 @@
 		cut = max(0, cut) % (len(data) + 1)
 		fromPieces, err2 := readPieces(slices.Clone(data[:cut]), data[cut:])
 		if !slices.Equal(fromWhole, fromPieces) || (err == nil) != (err2 == nil) {
-			t.Errorf("%v %v whole, %v %v in pieces", fromWhole, err, fromPieces, err2)
+			t.Errorf("in one piece: %v %v, in two: %v %v", fromWhole, err, fromPieces, err2)
 		}
 	})
 }
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -21,9 +21,9 @@
 	"scalechute/logic"
 )
 
-// scripted is a discovery whose answers are written by hand: say does what it likes with the n-th call's connection, after
-// the header of an answer that ends with it.
-func startScriptedDiscovery(t *testing.T, respond func(c net.Conn, calls int, query string)) string {
+// startScriptedDiscovery starts a discovery whose responses are written by respond. It gets the connection of the n-th call after
+// the header of a response that lasts until the connection closes.
+func startScriptedDiscovery(t *testing.T, respond func(c net.Conn, n int, query string)) string {
 	var calls atomic.Int64
 	return serveConns(t, func(c net.Conn) {
 		request, err := http.ReadRequest(bufio.NewReader(c))
@@ -35,11 +35,12 @@
 	})
 }
 
+// listJSON encodes a response of discovery.
 func listJSON(rev int, all bool, targets ...target) string {
 	return string(must(json.Marshal(map[string]any{"rev": rev, "all": all, "targets": targets}))) + "\n"
 }
 
-// told says whether the module knows a worker by its last build.
+// workerHasBuild returns a condition: in the last list that has the worker, it has this build; 0 if no list has it.
 func (e *testEnv) workerHasBuild(id logic.WorkerID, build logic.BuildID) func() bool {
 	return func() bool {
 		last := logic.BuildID(0)
@@ -54,8 +55,8 @@
 	}
 }
 
-// A watch that falls silent is opened anew from what it had told: silent from the start, after a list, in the middle of a
-// line, or with a line that goes on and never ends.
+// A watch that falls silent is reopened from its last version: silent from the start, after a list, in the middle of a line, or
+// with a line that never ends.
 func TestSilentWatch(t *testing.T) {
 	listed := target{"x", "127.0.0.1:9", "here", "active", 1, 7}
 	for name, text := range map[string]string{"from the start": "", "after a list": listJSON(50, true, listed), "in a line": listJSON(50, true, listed) + `{"rev":51,"all":fa`,
@@ -89,8 +90,8 @@
 	}
 }
 
-// A watch is given up after more than one sign of life could take, early enough for the next call to be made (the module
-// waits up to three quarters of a second) and answered (within 2 s) 6 s after the silence began.
+// A watch is given up after more than one keepalive interval, and early enough for the next call to be made (package logic waits
+// up to 750 ms) and answered (within 2 s) no later than 6 s after the silence began.
 func TestSilenceTimeout(t *testing.T) {
 	shortest, longest := time.Hour, time.Duration(0)
 	for range 10_000 {
@@ -102,8 +103,8 @@
 	}
 }
 
-// What an outdated call tells once another one has told more, or once the sentry has gone on to another address, is dropped
-// in its turn on the loop: it can't put an older list over a newer one.
+// The response of an outdated call is dropped on the event loop: after another call has brought a newer version, or after the
+// address of discovery has changed. An older list never replaces a newer one.
 func TestOutdatedCalls(t *testing.T) {
 	discoveryWithBuild := func(build int) string {
 		return startDiscovery(t, nil, target{"x", "127.0.0.1:9", "here", "active", 1, build})
@@ -115,20 +116,20 @@
 	report := func(version uint64, build uint32) *pb.Report {
 		return &pb.Report{Version: version, Whole: true, Lines: []*pb.Line{{Id: "x", Address: "127.0.0.1:9", Build: build, Size: 1}}}
 	}
-	listCall := &call{cancel: func() {}}
-	env.p.discovery.deliver(listCall, report(49, 5)) // asked for before the watch told version 50
-	env.p.discovery.deliver(listCall, report(51, 6))
-	env.waitFor("a later list asked for once", env.workerHasBuild("x", 6))
+	singleCall := &call{cancel: func() {}}
+	env.p.discovery.deliver(singleCall, report(49, 5)) // requested before the watch brought version 50
+	env.p.discovery.deliver(singleCall, report(51, 6))
+	env.waitFor("a newer list of a single call", env.workerHasBuild("x", 6))
 	if err := env.p.Reload(must(parseConfig(configJSON(256, discoveryWithBuild(8), closedAddress(), nil)))); err != nil {
 		t.Fatal(err)
 	}
 	env.waitFor("the list of the other address", env.workerHasBuild("x", 8))
-	env.p.discovery.deliver(watch, report(90, 9)) // it had passed its own check as the address changed
+	env.p.discovery.deliver(watch, report(90, 9)) // a response that was read before the address changed
 	env.sentry.ListRequestFailed(false, func() bool { return env.p.discovery.acceptFailure(watch) })
-	env.p.discovery.deliver(listCall, report(91, 9))
+	env.p.discovery.deliver(singleCall, report(91, 9))
 	env.sentry.Inspect(func() {
 		if env.p.discovery.watch == nil || env.p.discovery.watch == watch {
-			t.Error("the end of the outdated watch ended the one that stands")
+			t.Error("the end of the outdated watch ended the open one")
 		}
 	})
 	env.mu.Lock()
@@ -139,14 +140,14 @@
 	for _, list := range env.lists {
 		for _, x := range list {
 			if x.Build == 5 || x.Build == 9 {
-				t.Errorf("found build %d told, expected none of an outdated call", x.Build)
+				t.Errorf("found build %d in a list, expected none of an outdated call", x.Build)
 			}
 		}
 	}
 }
 
-// A list that can't be read whole, that goes back in version or names a state unknown is not taken in part: the watch is
-// opened anew, with all of the list where versions went back.
+// A list that is incomplete or malformed, has an older version than the last one, or names an unknown state is rejected as a
+// whole. The watch is reopened, and requests the whole list if the version went back.
 func TestInvalidLists(t *testing.T) {
 	x, y := target{"x", "127.0.0.1:9", "here", "active", 1, 7}, target{"y", "127.0.0.1:8", "here", "active", 1, 7}
 	unknownState, noID, noAddress := x, x, x
@@ -154,7 +155,7 @@
 	for name, bad := range map[string]struct{ text, query string }{
 		"back in version": {listJSON(49, false, y), "watch=1&from=0"}, "an unknown state": {listJSON(51, false, y, unknownState), "watch=1&from=50"},
 		"no id": {listJSON(51, false, y, noID), "watch=1&from=50"}, "no address": {listJSON(51, false, y, noAddress), "watch=1&from=50"},
-		"half a line": {listJSON(51, false, y)[:40], "watch=1&from=50"}, "noise": {"\x00\xff}]\n", "watch=1&from=50"},
+		"a partial line": {listJSON(51, false, y)[:40], "watch=1&from=50"}, "garbage": {"\x00\xff}]\n", "watch=1&from=50"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -171,7 +172,7 @@
 			if got := <-queries; got != bad.query {
 				t.Errorf("second call %q, expected %q", got, bad.query)
 			}
-			env.waitFor("the list again", func() bool { return len(env.lists) >= 3 })
+			env.waitFor("the list of the second watch", func() bool { return len(env.lists) >= 3 })
 			env.mu.Lock()
 			defer env.mu.Unlock()
 			if !env.workerHasBuild("y", 0)() {
@@ -181,7 +182,7 @@
 	}
 }
 
-// Lists may come indented, on the watch and asked for once, and in any pieces; a blank line between them is a sign of life.
+// Lists may be indented, on a watch and in a single call, and may arrive in any pieces. A blank line between them is a keepalive.
 func TestIndentedLists(t *testing.T) {
 	indented := func(line string) string {
 		var b bytes.Buffer
@@ -211,15 +212,15 @@
 	}
 	for _, cut := range []string{text[:30], "{\n\n"} {
 		if _, err := readObject(bufio.NewReader(strings.NewReader(cut)), 100); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("%q: %v, expected an end in the middle", cut, err)
+			t.Errorf("%q: %v, expected an unexpected EOF", cut, err)
 		}
 	}
 	if _, err := readObject(bufio.NewReader(strings.NewReader("{\n"+strings.Repeat("\n", 200))), 100); err == nil {
-		t.Error("an object without end was read, expected a bound")
+		t.Error("an object beyond the limit was read, expected an error")
 	}
 	x := target{"x", "127.0.0.1:9", "here", "active", 1, 7}
 	next := make(chan string)
-	r := newEnv(t, options{discovery: startScriptedDiscovery(t, func(c net.Conn, n int, query string) {
+	env := newEnv(t, options{discovery: startScriptedDiscovery(t, func(c net.Conn, n int, query string) {
 		if query == "" {
 			io.WriteString(c, indented(listJSON(70, true, target{"x", "127.0.0.1:9", "here", "active", 1, 9})))
 			c.Close()
@@ -229,16 +230,16 @@
 		io.WriteString(c, <-next)
 		io.Copy(io.Discard, c)
 	})})
-	r.waitFor("an indented list", r.workerHasBuild("x", 7))
+	env.waitFor("an indented list", env.workerHasBuild("x", 7))
 	x.Release = 8
 	next <- indented(listJSON(51, false, x)) + "\n"
-	r.waitFor("an indented change", r.workerHasBuild("x", 8))
-	r.sentry.Inspect(func() { r.p.RequestList(false, 0) })
-	r.waitFor("an indented list asked for once", r.workerHasBuild("x", 9))
+	env.waitFor("an indented change", env.workerHasBuild("x", 8))
+	env.sentry.Inspect(func() { env.p.RequestList(false, 0) })
+	env.waitFor("an indented list of a single call", env.workerHasBuild("x", 9))
 }
 
-// Where lists are pushed, a watch stands from the start without the module asking, is opened again when it breaks, and also
-// when new settings have lists pushed from now on.
+// With pushed lists, a watch is opened at the start without a request of the decision module, and reopened when it breaks. It is
+// also opened when new settings switch to pushed lists.
 func TestPushedLists(t *testing.T) {
 	var calls atomic.Int64
 	address := startScriptedDiscovery(t, func(c net.Conn, n int, query string) {
@@ -266,8 +267,8 @@
 	}
 }
 
-// SIGHUP moves discovery while the sentry drains, with a watch open, with one that is to be opened again, and with none: all
-// of the list is asked for at the new address at once, and what the old one tells from then on changes nothing.
+// SIGHUP changes discovery's address while the sentry drains: with an open watch, with one that is about to be reopened, and with
+// none. The whole list is requested at the new address at once, and later responses from the old address have no effect.
 func TestReloadChangesWatchedAddress(t *testing.T) {
 	x := func(build int) target { return target{"x", "127.0.0.1:9", "here", "active", 1, build} }
 	startFailingDiscovery := func(t *testing.T) string {
@@ -297,11 +298,11 @@
 				return name == "open" && env.workerHasBuild("x", 7)() || name == "reopening" && env.listFailures > 0 || name == "absent" && len(env.lists) > 0
 			})
 			env.p.Drain()
-			for range 2 { // two at once
+			for range 2 { // two reloads at once
 				go env.p.Reload(must(parseConfig(configJSON(256, newAddress, closedAddress(), nil))))
 			}
 			if query := <-queries; query != "watch=1&from=0" {
-				t.Errorf("call %q, expected all from the start", query)
+				t.Errorf("call %q, expected a watch for the whole list", query)
 			}
 			env.waitFor("the new list", env.workerHasBuild("x", 8))
 			select {
