--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// The time a client has from connecting to its first complete command, and, while the sentry drains, from the first byte of
-	// any command to its last.
+	// The time a client has from connecting to its first complete command, and, while the sentry drains, from the first
+	// byte of any command to its last.
 	firstCommandTimeout = 2700 * time.Millisecond
 	// The time from the first byte of a later command to its last.
 	commandTimeout = 6 * time.Second
@@ -70,7 +70,8 @@
 // Listen accepts clients of the sentry and returns the listener's address.
 func (p *Platform) Listen(s *sentry.Sentry) (string, error) {
 	p.sentry = s
-	server, err := wire.ServeRaw(p.config.Load().Settings.Endpoints.Listen, wire.Limits{MaxFrameBytes: maxValueBytes, MaxPendingBytes: maxUnwrittenBytes, Budget: p.replyBudget},
+	server, err := wire.ServeRaw(p.config.Load().Settings.Endpoints.Listen,
+		wire.Limits{MaxFrameBytes: maxValueBytes, MaxPendingBytes: maxUnwrittenBytes, Budget: p.replyBudget},
 		func(l *wire.Link) (wire.DataHandler, func(*wire.Link, error)) {
 			now := time.Now()
 			c := &clientConn{Link: l, platform: p, lastUsed: now, partialSince: now, reader: resp.Reader{Limits: commandLimits, CommandsOnly: true}}
@@ -89,9 +90,9 @@
 	return server.Address, nil
 }
 
-// admit registers a new client. Beyond the client limit it closes another one: first those that have sent no command, then the
-// longest idle, but never one that has open commands, unread data or unwritten replies. If there is none to close, the new
-// client is closed as soon as it has no open commands. It runs on the poller.
+// admit registers a new client. Beyond the client limit it closes another one: first those that have sent no command,
+// then the longest idle, but never one that has open commands, unread data or unwritten replies. If there is none to
+// close, the new client is closed as soon as it has no open commands. It runs on the poller.
 func (p *Platform) admit(c *clientConn) {
 	p.mu.Lock()
 	p.clients[c] = struct{}{}
@@ -160,8 +161,8 @@
 	}
 }
 
-// sweepClientsUntilDone closes idle clients periodically and, while the sentry drains, all clients. It also logs steps of the
-// wall clock.
+// sweepClientsUntilDone closes idle clients periodically and, while the sentry drains, all clients. It also logs steps
+// of the wall clock.
 func (p *Platform) sweepClientsUntilDone() {
 	for range p.ticks(clientSweepInterval) {
 		if step := p.wallClock.DetectStep(); step != 0 {
@@ -186,9 +187,9 @@
 	return now.Sub(c.partialSince) > commandTimeout
 }
 
-// closeIfDue closes a client that is idle or that shouldClose selects. It runs on the poller, where every command that was read
-// is in c.replies; a command that arrives later stays unread, so the client can safely send it again. A command that is partial
-// or unread keeps its time limit.
+// closeIfDue closes a client that is idle or that shouldClose selects. It runs on the poller, where every command that
+// was read is in c.replies; a command that arrives later stays unread, so the client can safely send it again. A
+// command that is partial or unread keeps its time limit.
 func (c *clientConn) closeIfDue() {
 	c.mu.Lock()
 	shouldClose := c.shouldClose()
@@ -299,8 +300,8 @@
 	c.handler.TransactionReceived(&parsed.transaction)
 }
 
-// hasReplyBudget reports whether the memory for replies has room for one more: for those that wait to be written, and for
-// those of open requests at the mean size.
+// hasReplyBudget reports whether the memory for replies has room for one more: for those that wait to be written, and
+// for those of open requests at the mean size.
 func (p *Platform) hasReplyBudget() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -326,8 +327,8 @@
 	return true
 }
 
-// Answer queues the reply to a transaction and writes it once all earlier commands have their replies. It returns false if
-// the connection has ended or awaits no such reply.
+// Answer queues the reply to a transaction and writes it once all earlier commands have their replies. It returns false
+// if the connection has ended or awaits no such reply.
 func (c *clientConn) Answer(a *wire.Answer) bool {
 	c.mu.Lock()
 	index := a.ID - c.firstReplyID
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -35,8 +35,8 @@
 	return all[0]
 }
 
-// A command arrives just as its connection is to be closed as idle. The command gets its reply, and then the connection is
-// closed, whether the command is still in the kernel, partly read, or being handled.
+// A command arrives just as its connection is to be closed as idle. The command gets its reply, and then the connection
+// is closed, whether the command is still in the kernel, partly read, or being handled.
 func TestCommandArrivesDuringIdleClose(t *testing.T) {
 	for _, checkOnce := range []bool{true, false} {
 		env := envWith(t, startWorker(t, answerValue))
@@ -88,8 +88,8 @@
 	}
 }
 
-// A connection that the kernel has accepted but the sentry has not is served, though the last client has left. A connection after
-// the sentry has closed its listener is refused.
+// A connection that the kernel has accepted but the sentry has not is served, though the last client has left. A
+// connection after the sentry has closed its listener is refused.
 func TestAcceptDuringListenerClose(t *testing.T) {
 	env := envWith(t, startWorker(t, answerValue))
 	env.waitFor("no clients", func() bool { return len(env.p.listClients()) == 0 })
@@ -147,8 +147,9 @@
 	env.waitFor("the close of one client", func() bool { return len(env.p.listClients()) == len(clients) })
 }
 
-// Pipelined commands arrive in pieces before and after the drain begins. Commands that were read, the partial one, and all that a
-// worker has received get their replies, in order, before the connection closes. The client may send the unread ones again.
+// Pipelined commands arrive in pieces before and after the drain begins. Commands that were read, the partial one, and
+// all that a worker has received get their replies, in order, before the connection closes. The client may send the
+// unread ones again.
 func TestPipelineDuringDrain(t *testing.T) {
 	unblock := make(chan struct{})
 	var sentToWorker sync.Map
@@ -187,8 +188,8 @@
 	}
 }
 
-// While all clients have open commands, a new client beyond the limit is served if it has sent a command and closed after the
-// reply. One that has sent nothing is closed at once. No command is read without getting a reply.
+// While all clients have open commands, a new client beyond the limit is served if it has sent a command and closed
+// after the reply. One that has sent nothing is closed at once. No command is read without getting a reply.
 func TestClientLimitWithAllBusy(t *testing.T) {
 	unblock := make(chan struct{})
 	env := newEnv(t, options{sockets: 160, workers: []string{startWorker(t, func(c net.Conn, n int, words []string) {
--- a/internal/platform/command.go
+++ b/internal/platform/command.go
@@ -13,7 +13,9 @@
 // maxValueBytes bounds the body of a command.
 const maxValueBytes = 64 << 10
 
-var commandLimits = resp.Limits{MaxLineBytes: 64, MaxBulkBytes: maxValueBytes, MaxValues: 16, MaxDepth: 1, MaxMessageBytes: maxValueBytes + 4096}
+// commandLimits bounds the commands of clients.
+var commandLimits = resp.Limits{MaxLineBytes: 64, MaxBulkBytes: maxValueBytes, MaxValues: 16, MaxDepth: 1,
+	MaxMessageBytes: maxValueBytes + 4096}
 
 // command is a client's Q.ASK or Q.DO command, parsed.
 type command struct {
@@ -21,8 +23,9 @@
 	requestID   []byte
 }
 
-// parseCommand parses a Q.ASK or Q.DO command and appends its packed form to payload. problem describes an invalid command in
-// one line, as the client gets it; it is empty for a valid one.
+// parseCommand parses a Q.ASK or Q.DO command and returns its packed form, appended to payload, as the
+// payload of the transaction. problem describes an invalid command in one line, as the client gets it; it is empty for a
+// valid one.
 func (c *Config) parseCommand(message []resp.Value, payload []byte) (cmd command, problem string) {
 	if n := len(message) - 1; n != 4 && n != 5 { // message[0] is the array itself
 		return cmd, "found " + strconv.Itoa(n) + " words, expected a command, key, id, facts and a body or none"
@@ -88,8 +91,9 @@
 	return cmd, ""
 }
 
-// packCommand appends a command to dst in a form from which appendCommand can write it with another timeout. The fields are the
-// command's fourth word (the facts), and the timeout is the part of them from timeoutStart to timeoutEnd. The form is:
+// packCommand appends a command to dst in a form from which appendCommand can write it with another timeout. The fields
+// are the command's fourth word (the facts), and the timeout is the part of them from timeoutStart to timeoutEnd. The
+// form is:
 //
 //   - the fields before the timeout, and those after it, each preceded by its length as a uvarint
 //   - the length of the encoded command before the fields, in 2 bytes, and that part of the command
@@ -100,7 +104,7 @@
 		dst = append(binary.AppendUvarint(dst, uint64(len(part))), part...)
 	}
 	prefixStart := len(dst)
-	dst = resp.AppendArrayHeader(append(dst, 0, 0), message[0].ArrayLen) // a few kilobytes at most, since key and id are bounded: the length fits 2 bytes
+	dst = resp.AppendArrayHeader(append(dst, 0, 0), message[0].ArrayLen) // under 64 KiB, since key and id are bounded
 	for _, value := range message[1:4] {
 		dst = resp.AppendBulkString(dst, value.Text)
 	}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,7 +1,7 @@
-// Package platform implements sentry.Transport for the operators' platform and reads the platform's configuration. Clients
-// and workers use RESP2 over TCP, discovery serves the list of servers over HTTP, the control plane takes votes and reports the
-// release status in lines of text over TCP, and peers exchange UDP datagrams. A Platform connects one sentry to all of them; it
-// makes no routing or release decisions.
+// Package platform implements sentry.Transport for the operators' platform and reads the platform's configuration.
+// Clients and workers use RESP2 over TCP, discovery serves the list of servers over HTTP, the control plane takes votes
+// and reports the release status in lines of text over TCP, and peers exchange UDP datagrams. A Platform connects one
+// sentry to all of them; it makes no routing or release decisions.
 package platform
 
 import (
@@ -109,8 +109,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("seed: found %q, expected a number of 16 digits", file.Seed)
 	}
-	config := &Config{Name: file.Name, DiscoveryAddress: file.Discovery, ControlPlaneAddress: file.ControlPlane.Address, PeerListenAddress: file.PeerListen, PeerAddresses: file.Peers,
-		PeerBroadcastAddress: file.PeersAll, MemoryMB: file.Limits.MemoryMB, Cores: file.Limits.Cores, MaxSockets: file.Limits.Sockets, names: names,
+	config := &Config{Name: file.Name, DiscoveryAddress: file.Discovery, ControlPlaneAddress: file.ControlPlane.Address,
+		PeerListenAddress: file.PeerListen, PeerAddresses: file.Peers, PeerBroadcastAddress: file.PeersAll,
+		MemoryMB: file.Limits.MemoryMB, Cores: file.Limits.Cores, MaxSockets: file.Limits.Sockets, names: names,
 		InitialList: &pb.Report{Whole: true}, wallClock: clock.NewWallClock()}
 	if file.Known != nil {
 		if config.InitialList, err = file.Known.toReport(config.wallClock); err != nil {
@@ -125,8 +126,8 @@
 	config.Settings = &orders.Settings{Policy: policy, Endpoints: orders.Endpoints{Listen: file.Listen, Seed: int64(seed)},
 		ProfileNames: namesByIndex(names.Profiles), AccountNames: namesByIndex(names.Accounts), Zones: namesByIndex(zones)}
 	maxWorkerConns := config.MaxSockets - config.maxClients() - reservedSockets
-	config.Settings.Bounds = orders.Bounds{InboxEvents: 1024, OpenTransactions: config.MaxSockets, ConnectionsPerWorker: maxWorkerConns, HandOffsPerConnection: max(1, names.StreamsPerConnection),
-		WorkerConnections: maxWorkerConns, IdleTimeoutDivisor: 2}
+	config.Settings.Bounds = orders.Bounds{InboxEvents: 1024, OpenTransactions: config.MaxSockets, ConnectionsPerWorker: maxWorkerConns,
+		HandOffsPerConnection: max(1, names.StreamsPerConnection), WorkerConnections: maxWorkerConns, IdleTimeoutDivisor: 2}
 	return config, nil
 }
 
@@ -142,7 +143,8 @@
 	}
 	for name, i := range names.Profiles {
 		if profile := config.Profiles[i]; name == "" || profile.DueTime <= 0 || profile.MaxDeadline <= 0 {
-			return fmt.Errorf("class %q: found an aim of %d us and a deadline of %d us, expected a name and both", name, profile.DueTime, profile.MaxDeadline)
+			return fmt.Errorf("class %q: found an aim of %d us and a deadline of %d us, expected a name and both",
+				name, profile.DueTime, profile.MaxDeadline)
 		}
 	}
 	return nil
@@ -157,15 +159,16 @@
 	return list
 }
 
-// reservedSockets is the number of descriptors for other uses than clients and workers: the listener, pollers, discovery, the
-// control plane, peers, standard streams, and connections that are closing while others are accepted.
+// reservedSockets is the number of descriptors for other uses than clients and workers: the listener, pollers,
+// discovery, the control plane, peers, standard streams, and connections that are closing while others are accepted.
 const reservedSockets = 40
 
-// maxClients returns the limit on client connections. Clients that send requests need at most a third of the descriptors.
+// maxClients returns the limit on client connections. Clients that send requests need at most a third of the
+// descriptors.
 func (c *Config) maxClients() int { return c.MaxSockets / 3 }
 
-// listChangeDelay is the time after a change at discovery from which a sentry counts as notified of it, whether or not the
-// change arrived (PROTOCOL page, Figures).
+// listChangeDelay is the time after a change at discovery from which a sentry counts as notified of it, whether or not
+// the change arrived (PROTOCOL page, Figures).
 const listChangeDelay = 6 * time.Second
 
 // targetList is a response of discovery: the list of servers, or what changed in it.
@@ -198,8 +201,8 @@
 		if _, _, err := net.SplitHostPort(target.Endpoint); target.UID == "" || err != nil && state != pb.Line_GONE {
 			return nil, fmt.Errorf("target %q: found endpoint %q, expected an id and an address with a port", target.UID, target.Endpoint)
 		}
-		line := &pb.Line{Id: target.UID, Address: target.Endpoint, Build: target.Release, Zone: target.AZ, Cell: target.PodGroup, Size: target.Hint,
-			State: state, Life: uint64(target.BootMS)<<20 ^ uint64(target.Release)} // with another build it is another process
+		line := &pb.Line{Id: target.UID, Address: target.Endpoint, Build: target.Release, Zone: target.AZ,
+			Cell: target.PodGroup, Size: target.Hint, State: state, Life: uint64(target.BootMS)<<20 ^ uint64(target.Release)} // a new build is a new process
 		if target.BootMS > 0 {
 			line.Young, line.Age = true, uint64(wall.Age(time.UnixMilli(target.BootMS))/time.Microsecond)
 		}
--- a/internal/platform/control_plane.go
+++ b/internal/platform/control_plane.go
@@ -1,6 +1,7 @@
 package platform
 
-// The client of the control plane, which takes votes and reports the release status in lines of text over one connection.
+// The client of the control plane, which takes votes and reports the release status in lines of text over one
+// connection.
 
 import (
 	"bytes"
@@ -22,7 +23,8 @@
 	maxLineBytes     = 8 << 10         // of a line with its CRLF
 )
 
-// controlPlane keeps a connection to the control plane, sends votes over it, and passes the release status to the sentry.
+// controlPlane keeps a connection to the control plane, sends votes over it, and passes the release status to the
+// sentry.
 type controlPlane struct {
 	platform       *Platform
 	mu             sync.Mutex
@@ -120,8 +122,8 @@
 	}
 }
 
-// readLine handles one line: an event, which begins with *, or the reply to a vote or to WATCH. It returns the release status
-// that the line carries, or nil.
+// readLine handles one line: an event, which begins with *, or the reply to a vote or to WATCH. It returns the release
+// status that the line carries, or nil.
 func (cp *controlPlane) readLine(line string) (*pb.News, error) {
 	words := strings.Split(line, " ")
 	if words[0] == "*" {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -31,23 +31,23 @@
 const (
 	keepaliveTime = 2 * time.Second // interval of the blank lines that discovery sends on a watch
 	maxListBytes  = 8 << 20         // of a list in JSON
-	// The time after a new configuration from which the sentry counts as notified of the list at the new address, whatever
-	// address that is (DAYS page, New configurations).
+	// The time after a new configuration from which the sentry counts as notified of the list at the new address,
+	// whatever address that is (DAYS page, New configurations).
 	addressChangeDelay = 4 * time.Second
-	// A list that is still incomplete this long after its first byte is reported as such: it counts as received, since it may
-	// hold a change that the sentry does not know.
+	// A list that is still incomplete this long after its first byte is reported as such: it counts as received, since
+	// it may hold a change that the sentry does not know.
 	listReadTimeout = 250 * time.Millisecond
 )
 
-// silenceTimeout returns the time after which a call without a complete object or blank line is given up. The sentry counts as
-// notified of what a watch misses 6 s after the watch fell silent. By then the next call must have been made, which may wait
-// up to 2 s at discovery, and been answered, so the timeout is little more than one keepalive. It is random, since all
-// watches may fall silent at once.
+// silenceTimeout returns the time after which a call without a complete object or blank line is given up. The sentry
+// counts as notified of what a watch misses 6 s after the watch fell silent. By then the next call must have been made,
+// which may wait up to 2 s at discovery, and been answered, so the timeout is little more than one keepalive. It is
+// random, since all watches may fall silent at once.
 func silenceTimeout() time.Duration { return keepaliveTime + keepaliveTime/8 + rand.N(keepaliveTime/2) }
 
-// discovery requests the list of servers. Its fields belong to the sentry's event loop. The loop also decides whether to accept
-// each response when it handles it (acceptReport): responses of superseded calls, and versions older than the last one, are
-// dropped there.
+// discovery requests the list of servers. Its fields belong to the sentry's event loop. The loop also decides whether
+// to accept each response when it handles it (acceptReport): responses of superseded calls, and versions older than the
+// last one, are dropped there.
 type discovery struct {
 	platform     *Platform
 	client       http.Client
@@ -80,8 +80,8 @@
 		ReadBufferSize:    4 << 10, WriteBufferSize: 1 << 10}}}
 }
 
-// startCall requests the whole list once or, with watch, opens a watch unless one is open. It and all other methods but deliver,
-// readLists and readList run on the event loop.
+// startCall requests the whole list once or, with watch, opens a watch unless one is open. It and all other methods but
+// deliver, readLists and readList run on the event loop.
 func (d *discovery) startCall(watch bool, since uint64) {
 	if d.platform.isDone() || watch && d.watch != nil {
 		return
@@ -130,7 +130,8 @@
 	return true
 }
 
-// acceptFailure reports whether the event loop is to handle the failure of a call. It schedules the next watch if needed.
+// acceptFailure reports whether the event loop is to handle the failure of a call. It schedules the next watch if
+// needed.
 func (d *discovery) acceptFailure(c *call) bool {
 	if c.addressEpoch != d.addressEpoch || c.watch && c != d.watch { // superseded
 		return false
@@ -166,8 +167,8 @@
 
 func (s statusError) Error() string { return fmt.Sprintf("found status %d, expected 200", int(s)) }
 
-// readLists makes a call and delivers each list of its response: the first one, or for a watch all until the response ends. A
-// blank line between lists is a keepalive.
+// readLists makes a call and delivers each list of its response: the first one, or for a watch all until the response
+// ends. A blank line between lists is a keepalive.
 func (d *discovery) readLists(ctx context.Context, c *call, url string) error {
 	silenceTimer := time.AfterFunc(silenceTimeout(), c.cancel)
 	defer silenceTimer.Stop()
@@ -218,8 +219,8 @@
 	}
 }
 
-// readList reads one object whose first byte has arrived at started. A list that has begun to arrive counts as received, so the
-// sentry is told if the object is cut off or is incomplete after listReadTimeout.
+// readList reads one object whose first byte has arrived at started. A list that has begun to arrive counts as
+// received, so the sentry is told if the object is cut off or is incomplete after listReadTimeout.
 func (d *discovery) readList(c *call, body *bufio.Reader, started time.Time) ([]byte, error) {
 	reportIncomplete := func() {
 		d.platform.sentry.ListPartlyReceived(time.Since(started), func() bool { return c.addressEpoch == d.addressEpoch && (!c.watch || c == d.watch) })
@@ -232,8 +233,8 @@
 	return text, err
 }
 
-// readObject reads one JSON object of up to maxBytes, on one line or indented over several. For a blank line before an object it
-// returns an empty text.
+// readObject reads one JSON object of up to maxBytes, on one line or indented over several. For a blank line before an
+// object it returns an empty text.
 func readObject(r *bufio.Reader, maxBytes int) (text []byte, err error) {
 	depth, inString, escaped := 0, false, false
 	for {
@@ -278,8 +279,8 @@
 	}
 }
 
-// setAddress changes the address of discovery and requests the whole list there, since versions of different addresses can't be
-// compared.
+// setAddress changes the address of discovery and requests the whole list there, since versions of different addresses
+// can't be compared.
 func (d *discovery) setAddress(address string) {
 	if d.address == address {
 		return
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -7,9 +7,10 @@
 	"scalechute/logic"
 )
 
-// Draining: after SIGTERM each client connection is read no further, all commands that were read get their replies, and then
-// the connection is closed. Closing a connection only while it has no open commands would not do: a client that keeps requests
-// open would never be closed, and SIGKILL would find its requests unanswered. logic/drain.go sets the times of the steps.
+// Draining: after SIGTERM each client connection is read no further, all commands that were read get their replies, and
+// then the connection is closed. Closing a connection only while it has no open commands would not do: a client that
+// keeps requests open would never be closed, and SIGKILL would find its requests unanswered. logic/drain.go sets the
+// times of the steps.
 
 const (
 	stopReadingDelay = time.Duration(logic.StopReadingAfter) * time.Microsecond
@@ -17,14 +18,15 @@
 	listenDuration = 500 * time.Millisecond
 	// Interval at which client connections are checked while draining.
 	drainSweepInterval = 20 * time.Millisecond
-	// After the end of the stream, a client that has acknowledged all data and does not close is closed after closeLinger. One
-	// that has sent unread data may still have to read its replies, and is closed after maxCloseLinger.
+	// After the end of the stream, a client that has acknowledged all data and does not close is closed after
+	// closeLinger. One that has sent unread data may still have to read its replies, and is closed after
+	// maxCloseLinger.
 	closeLinger    = 40 * time.Millisecond
 	maxCloseLinger = 250 * time.Millisecond
 )
 
-// Drain begins a graceful stop: the sentry serves requests that still arrive, replies to all that it has read, and stops before
-// SIGKILL. Later calls have no effect.
+// Drain begins a graceful stop: the sentry serves requests that still arrive, replies to all that it has read, and
+// stops before SIGKILL. Later calls have no effect.
 func (p *Platform) Drain() {
 	now := time.Now()
 	if !p.drainStart.CompareAndSwap(nil, &now) {
@@ -39,8 +41,8 @@
 	}()
 }
 
-// drainSchedule returns the times of the drain steps. New settings may shorten the longest deadline but not lengthen it, since
-// the time of the SIGKILL is fixed when the drain begins.
+// drainSchedule returns the times of the drain steps. New settings may shorten the longest deadline but not lengthen
+// it, since the time of the SIGKILL is fixed when the drain begins.
 func (p *Platform) drainSchedule() logic.DrainSchedule {
 	longest := p.config.Load().Settings.MaxDeadline()
 	if atDrain := logic.Micros(p.drainDeadlineMicros.Load()); atDrain > 0 {
@@ -58,8 +60,8 @@
 // closingAll reports whether the drain has reached the step at which all client connections are to be closed.
 func (p *Platform) closingAll() bool { return p.drainingFor(stopReadingDelay) }
 
-// sweepClients closes the clients that are idle or to be closed. While draining, it stops the sentry once no client is left or
-// the time is over.
+// sweepClients closes the clients that are idle or to be closed. While draining, it stops the sentry once no client is
+// left or the time is over.
 func (p *Platform) sweepClients() {
 	now := time.Now()
 	schedule := p.drainSchedule()
@@ -97,8 +99,9 @@
 	return shouldClose || c.isIdle(now)
 }
 
-// stopReading stops reading from a client that is to be closed, after its partial command if there is one. A client without
-// open commands is closed at once instead, unless it has unread data, which is read first. It runs on the poller.
+// stopReading stops reading from a client that is to be closed, after its partial command if there is one. A client
+// without open commands is closed at once instead, unless it has unread data, which is read first. It runs on the
+// poller.
 func (c *clientConn) stopReading() {
 	c.mu.Lock()
 	hasOpen, closing, stopped := len(c.replies) > 0, c.closing, c.readStopped
@@ -150,7 +153,8 @@
 	c.finishIfSettled()
 }
 
-// finishIfSettled closes the connection of a client that is no longer read, once all its replies are passed on for writing.
+// finishIfSettled closes the connection of a client that is no longer read, once all its replies are passed on for
+// writing.
 func (c *clientConn) finishIfSettled() {
 	c.mu.Lock()
 	settled := c.readStopped && !c.finishing && len(c.replies) == 0 && !c.needsRest()
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -11,8 +11,8 @@
 	"scalechute/internal/input"
 )
 
-// A client keeps its pipeline full, so that its connection always has open commands. After the drain begins, the connection is
-// read no further than the end of the partial command, gets its replies, and closes within a second.
+// A client keeps its pipeline full, so that its connection always has open commands. After the drain begins, the
+// connection is read no further than the end of the partial command, gets its replies, and closes within a second.
 func TestFullPipelineDrains(t *testing.T) {
 	var workerCommands atomic.Int64
 	env := newEnv(t, options{decide: handOffToFirstWorker(func(*input.Input) {}), workers: []string{startWorker(t, func(c net.Conn, n int, words []string) {
@@ -70,8 +70,8 @@
 	}
 }
 
-// A client that does not read its replies and has sent more commands does not block the drain. The close does not discard the
-// replies that were written.
+// A client that does not read its replies and has sent more commands does not block the drain. The close does not
+// discard the replies that were written.
 func TestRepliesAcknowledgedBeforeClose(t *testing.T) {
 	env := envWith(t, startWorker(t, answerValue))
 	c := env.dial(t)
--- a/internal/platform/edge_cases_test.go
+++ b/internal/platform/edge_cases_test.go
@@ -15,7 +15,8 @@
 	"scalechute/logic"
 )
 
-// handOffToFirstWorker returns a decision module that hands each transaction off to worker w0, after it has called observe.
+// handOffToFirstWorker returns a decision module that hands each transaction off to worker w0, after it has called
+// observe.
 func handOffToFirstWorker(observe func(in *input.Input)) func(*input.Input) logic.Result {
 	return func(in *input.Input) (out logic.Result) {
 		observe(in)
@@ -33,8 +34,9 @@
 	return len(e.p.clients) == 0
 }
 
-// No hand-off is sent after its client has closed, even if the event loop has not handled the close yet: while the request and
-// another one on the same connection wait in the inbox, during the decision, and while a connection to the worker is dialed.
+// No hand-off is sent after its client has closed, even if the event loop has not handled the close yet: while the
+// request and another one on the same connection wait in the inbox, during the decision, and while a connection to the
+// worker is dialed.
 func TestNoHandOffAfterClientCloses(t *testing.T) {
 	var received sync.Map
 	address := startWorker(t, func(c net.Conn, n int, words []string) {
@@ -121,8 +123,8 @@
 	})
 }
 
-// When a worker drains, or its id gets another address or build, the hand-offs that wait for a connection to it end as unsent, and
-// a connection to the old address that is established later carries none.
+// When a worker drains, or its id gets another address or build, the hand-offs that wait for a connection to it end as
+// unsent, and a connection to the old address that is established later carries none.
 func TestQueuedHandOffsOfChangedWorker(t *testing.T) {
 	var oldCommands atomic.Int64
 	oldAddress := startWorker(t, func(c net.Conn, n int, words []string) {
@@ -158,8 +160,8 @@
 	}
 }
 
-// A duplicate of an answer that arrives when the next hand-off could be written is not taken for the answer to that one: a
-// connection is left unused for a while after an answer, and a hand-off that can't wait uses another connection.
+// A duplicate of an answer that arrives when the next hand-off could be written is not taken for the answer to that
+// one: a connection is left unused for a while after an answer, and a hand-off that can't wait uses another connection.
 func TestDuplicateAnswerIgnored(t *testing.T) {
 	address := serveConns(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -182,8 +184,8 @@
 	env.waitFor("the answers", func() bool { return env.countEnded(logic.Answered) == 4 })
 }
 
-// A hand-off that waits for the only permitted connection is sent once the pause after an answer is over. So is a hand-off that
-// would not wait, if no other connection can be opened.
+// A hand-off that waits for the only permitted connection is sent once the pause after an answer is over. So is a
+// hand-off that would not wait, if no other connection can be opened.
 func TestConnectionReuseAfterAnswer(t *testing.T) {
 	singleConnection := newEnv(t, options{workers: []string{startWorker(t, answerValue)}, decide: handOffToFirstWorker(func(*input.Input) {})})
 	singleConnection.sentry.Inspect(func() { singleConnection.p.config.Load().Settings.Bounds.ConnectionsPerWorker = 1 })
@@ -209,8 +211,8 @@
 	}
 }
 
-// Two sentries with different settings run in one process. Each accepts its own classes and tenants, with its own deadlines and
-// commands, and rejects the names of the other. A reload of one changes nothing for the other.
+// Two sentries with different settings run in one process. Each accepts its own classes and tenants, with its own
+// deadlines and commands, and rejects the names of the other. A reload of one changes nothing for the other.
 func TestTwoSentriesInOneProcess(t *testing.T) {
 	address := startWorker(t, func(c net.Conn, n int, words []string) {
 		if words[2] != "silent" {
@@ -251,8 +253,8 @@
 	}
 }
 
-// A worker's connection is closed or reset at each step of a hand-off. The client gets one reply and never that of another
-// request, and the next request is served.
+// A worker's connection is closed or reset at each step of a hand-off. The client gets one reply and never that of
+// another request, and the next request is served.
 func TestWorkerClosesAtEachStep(t *testing.T) {
 	command, fullAnswer := len(moveCmd("a")), newAnswer("v-a")
 	closers := map[string]func(net.Conn){
--- a/internal/platform/env_test.go
+++ b/internal/platform/env_test.go
@@ -94,7 +94,8 @@
 	return listener.Addr().String()
 }
 
-// configJSON returns a configuration whose worker list has the given workers. replacements are pairs of an old and a new text.
+// configJSON returns a configuration whose worker list has the given workers. replacements are pairs of an old and a
+// new text.
 func configJSON(sockets int, discovery, controlPlane string, workers []string, replacements ...string) []byte {
 	known := activeTargets(workers)
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
@@ -112,8 +113,9 @@
 	return targets
 }
 
-// options configure a testEnv. With the real decision module a discovery lists the workers, since a list that comes only from
-// the configuration may not be used for long. Other services without an address get one where nothing listens.
+// options configure a testEnv. With the real decision module a discovery lists the workers, since a list that comes
+// only from the configuration may not be used for long. Other services without an address get one where nothing
+// listens.
 type options struct {
 	discovery, controlPlane string
 	workers                 []string
--- a/internal/platform/large_answers_test.go
+++ b/internal/platform/large_answers_test.go
@@ -11,13 +11,13 @@
 	"scalechute/internal/input"
 )
 
-// A client pipelines many requests and reads all the time. The first answer comes 250 ms after the others, which are large and
-// have to wait for it; then all replies are written at once. Each reply has to arrive, in order.
+// A client pipelines many requests and reads all the time. The first answer comes 250 ms after the others, which are
+// large and have to wait for it; then all replies are written at once. Each reply has to arrive, in order.
 //
-// The test guards against a close of the connection as a slow reader, with all replies lost. It happened when more than 2 MiB of
-// replies became ready at once, since the link refused more than 2 MiB of pending data and its writer had no turn in between:
-// 40 answers of 60 KiB, 60 of 40 KiB and 4 of 900 KiB failed in each run, 60 of 20 KiB and 3 of 900 KiB passed. The same fault
-// caused failures of TestFullInboxStopsReading, there only by chance.
+// The test guards against a close of the connection as a slow reader, with all replies lost. It happened when more than
+// 2 MiB of replies became ready at once, since the link refused more than 2 MiB of pending data and its writer had no
+// turn in between: 40 answers of 60 KiB, 60 of 40 KiB and 4 of 900 KiB failed in each run, 60 of 20 KiB and 3 of 900
+// KiB passed. The same fault caused failures of TestFullInboxStopsReading, there only by chance.
 func TestLargeAnswersBehindSlowOne(t *testing.T) {
 	for name, c := range map[string]struct{ requests, bytes int }{
 		"40 of 60 KiB": {40, 60 << 10},
@@ -45,8 +45,8 @@
 	}
 }
 
-// Once the replies that wait to be written use up the reply budget, further commands get BUSY, and no connection is closed with
-// replies outstanding. A client that reads is served again.
+// Once the replies that wait to be written use up the reply budget, further commands get BUSY, and no connection is
+// closed with replies outstanding. A client that reads is served again.
 func TestBusyAtReplyBudget(t *testing.T) {
 	const bytes, requests = 60 << 10, 60
 	filler := strings.Repeat("x", bytes)
--- a/internal/platform/list_staleness_test.go
+++ b/internal/platform/list_staleness_test.go
@@ -11,7 +11,8 @@
 	"scalechute/logic"
 )
 
-// A list that has begun to arrive counts as received: the decision module is told when it is cut off, and soon when it stalls.
+// A list that has begun to arrive counts as received: the decision module is told when it is cut off, and soon when it
+// stalls.
 func TestIncompleteListReported(t *testing.T) {
 	listed := target{"x", "127.0.0.1:9", "here", "active", 1, 7}
 	partialList := listJSON(51, false, listed)[:30]
@@ -72,7 +73,8 @@
 	}
 }
 
-// A hand-off is not sent after the lease that permits it has expired: neither at once nor when its connection is established.
+// A hand-off is not sent after the lease that permits it has expired: neither at once nor when its connection is
+// established.
 func TestAttemptExpires(t *testing.T) {
 	var received atomic.Int64
 	address := startWorker(t, func(c net.Conn, n int, words []string) {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -35,7 +35,7 @@
 	breachTrigger  trigger
 	replyBudget    *wire.BufferBudget // for replies that wait to be written
 	clients        map[*clientConn]struct{}
-	openRequests   map[string]struct{} // ids of open transactions
+	openRequests   map[string]struct{} // ids of open requests
 	meanReplyBytes int64               // mean size of a reply
 }
 
@@ -44,7 +44,8 @@
 
 // New creates the Platform of a configuration. Of its sockets it opens only the one for peers.
 func New(config *Config, log zerolog.Logger) (*Platform, error) {
-	p := &Platform{log: log, wallClock: config.wallClock, done: make(chan struct{}), clients: map[*clientConn]struct{}{}, openRequests: map[string]struct{}{}}
+	p := &Platform{log: log, wallClock: config.wallClock, done: make(chan struct{}),
+		clients: map[*clientConn]struct{}{}, openRequests: map[string]struct{}{}}
 	p.config.Store(config)
 	p.replyBudget = wire.NewBufferBudget(config.MemoryMB << 20 / replyMemoryDivisor)
 	p.discovery = newDiscovery(p, config.DiscoveryAddress)
@@ -102,8 +103,8 @@
 	p.server.Close()
 }
 
-// Reload applies a new configuration: changed settings, by the sentry's Reload, and the addresses of discovery and the control
-// plane. If the sentry rejects the settings, the old configuration stays in use.
+// Reload applies a new configuration: changed settings, by the sentry's Reload, and the addresses of discovery and the
+// control plane. If the sentry rejects the settings, the old configuration stays in use.
 func (p *Platform) Reload(updated *Config) error {
 	current := p.config.Load()
 	updated.Settings.Endpoints.Seed = current.Settings.Endpoints.Seed // the seed only matters at the start
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -71,8 +71,8 @@
 	return address
 }
 
-// Each kind of answer of a worker ends the hand-off as it should. The non-idempotent transaction is then deferred if the hand-off
-// provably did not run, else written off.
+// Each kind of answer of a worker ends the hand-off as it should. The non-idempotent transaction is then deferred if
+// the hand-off provably did not run, else written off.
 func TestWorkerAnswers(t *testing.T) {
 	answersWith := func(text string) string {
 		return startWorker(t, func(c net.Conn, _ int, _ []string) { io.WriteString(c, text) })
@@ -117,7 +117,8 @@
 	}
 }
 
-// An idempotent transaction whose answer is malformed or stalls is handed off again at once, without using the retry budget.
+// An idempotent transaction whose answer is malformed or stalls is handed off again at once, without using the retry
+// budget.
 func TestUnreadableAnswerIsRetried(t *testing.T) {
 	for _, malformed := range []string{"noise", newAnswer(strings.Repeat("v", 400_000))[:200_000]} {
 		env := envWith(t, startWorker(t, func(c net.Conn, n int, words []string) {
@@ -153,8 +154,8 @@
 	}
 }
 
-// A complete answer followed by other data counts as an answer, and the data is dropped. A worker that closes the connection
-// after an answer breaks no hand-off, not even one that is being written at that moment.
+// A complete answer followed by other data counts as an answer, and the data is dropped. A worker that closes the
+// connection after an answer breaks no hand-off, not even one that is being written at that moment.
 func TestDataAfterAnswer(t *testing.T) {
 	env := envWith(t, startWorker(t, func(c net.Conn, n int, words []string) {
 		switch trailing := []string{"", "noise", newAnswer("v-" + words[2])}[n%3]; {
@@ -304,12 +305,12 @@
 	other.expectReply("v-next")
 }
 
-// Each of 300 pipelined commands gets one reply, in order: those beyond maxOpenCommands get BUSY, and the connection stays open. A
-// partial command followed by a close leaves no state.
+// Each of 300 pipelined commands gets one reply, in order: those beyond maxOpenCommands get BUSY, and the connection
+// stays open. A partial command followed by a close leaves no state.
 //
-// The test guards against unanswered commands: once, the 65th command got an error, and the 235 after it, which had been read,
-// got no reply, since the reader dropped them when the connection was about to close for the error. An earlier version of
-// this test expected that.
+// The test guards against unanswered commands: once, the 65th command got an error, and the 235 after it, which had
+// been read, got no reply, since the reader dropped them when the connection was about to close for the error. An
+// earlier version of this test expected that.
 func TestCommandFlood(t *testing.T) {
 	unblock := make(chan struct{})
 	e := envWith(t, startWorker(t, func(c net.Conn, n int, words []string) {
@@ -337,8 +338,8 @@
 	e.waitFor("no client", func() bool { e.p.mu.Lock(); defer e.p.mu.Unlock(); return len(e.p.clients)+len(e.p.openRequests) == 0 })
 }
 
-// When the descriptors run out, clients that have sent nothing are closed first and the others are served. Hand-offs share the
-// permitted number of connections to workers.
+// When the descriptors run out, clients that have sent nothing are closed first and the others are served. Hand-offs
+// share the permitted number of connections to workers.
 func TestDescriptorsRunOut(t *testing.T) {
 	var mu sync.Mutex
 	open, maxOpen := 0, 0
@@ -453,8 +454,8 @@
 	})
 }
 
-// Each vote ends with the result that the control plane's reply gives. A malformed reply ends the connection: its votes time out,
-// and the release status stays unchanged.
+// Each vote ends with the result that the control plane's reply gives. A malformed reply ends the connection: its votes
+// time out, and the release status stays unchanged.
 func TestVotes(t *testing.T) {
 	controlPlane := startControlPlane(t, "* news 8 0 Progressing 0.5 0\r\n*\r\n* counts 1", "OK 8 0 Progressing 0.25 40", "ERR out_of_date",
 		"ERR unavailable", "ERR too_many_calls", "OK 9 0 Progre", "ERR bad_request", "\x00")
@@ -483,8 +484,8 @@
 	}
 }
 
-// A worker id with another build counts as a new process. SIGHUP during a trial moves to the new addresses of both services and
-// applies changed settings; an invalid configuration leaves everything unchanged.
+// A worker id with another build counts as a new process. SIGHUP during a trial moves to the new addresses of both
+// services and applies changed settings; an invalid configuration leaves everything unchanged.
 func TestReload(t *testing.T) {
 	address, next := startWorker(t, answerValue), make(chan string)
 	firstDiscovery := startDiscovery(t, next, target{"x", address, "here", "active", 1, 7})
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -21,8 +21,8 @@
 	"scalechute/logic"
 )
 
-// startScriptedDiscovery starts a discovery whose responses are written by respond. It gets the connection of the n-th call after
-// the header of a response that lasts until the connection closes.
+// startScriptedDiscovery starts a discovery whose responses are written by respond. It gets the connection of the n-th
+// call after the header of a response that lasts until the connection closes.
 func startScriptedDiscovery(t *testing.T, respond func(c net.Conn, n int, query string)) string {
 	var calls atomic.Int64
 	return serveConns(t, func(c net.Conn) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// A watch that falls silent is reopened from its last version: silent from the start, after a list, in the middle of a line, or
-// with a line that never ends.
+// A watch that falls silent is reopened from its last version: silent from the start, after a list, in the middle of a
+// line, or with a line that never ends.
 func TestSilentWatch(t *testing.T) {
 	listed := target{"x", "127.0.0.1:9", "here", "active", 1, 7}
 	for name, text := range map[string]string{"from the start": "", "after a list": listJSON(50, true, listed), "in a line": listJSON(50, true, listed) + `{"rev":51,"all":fa`,
@@ -90,8 +90,8 @@
 	}
 }
 
-// A watch is given up after more than one keepalive interval, and early enough for the next call to be made (package logic waits
-// up to 750 ms) and answered (within 2 s) no later than 6 s after the silence began.
+// A watch is given up after more than one keepalive interval, and early enough for the next call to be made (package
+// logic waits up to 750 ms) and answered (within 2 s) no later than 6 s after the silence began.
 func TestSilenceTimeout(t *testing.T) {
 	shortest, longest := time.Hour, time.Duration(0)
 	for range 10_000 {
@@ -103,8 +103,8 @@
 	}
 }
 
-// The response of an outdated call is dropped on the event loop: after another call has brought a newer version, or after the
-// address of discovery has changed. An older list never replaces a newer one.
+// The response of an outdated call is dropped on the event loop: after another call has brought a newer version, or
+// after the address of discovery has changed. An older list never replaces a newer one.
 func TestOutdatedCalls(t *testing.T) {
 	discoveryWithBuild := func(build int) string {
 		return startDiscovery(t, nil, target{"x", "127.0.0.1:9", "here", "active", 1, build})
@@ -146,8 +146,8 @@
 	}
 }
 
-// A list that is incomplete or malformed, has an older version than the last one, or names an unknown state is rejected as a
-// whole. The watch is reopened, and requests the whole list if the version went back.
+// A list that is incomplete or malformed, has an older version than the last one, or names an unknown state is rejected
+// as a whole. The watch is reopened, and requests the whole list if the version went back.
 func TestInvalidLists(t *testing.T) {
 	x, y := target{"x", "127.0.0.1:9", "here", "active", 1, 7}, target{"y", "127.0.0.1:8", "here", "active", 1, 7}
 	unknownState, noID, noAddress := x, x, x
@@ -182,7 +182,8 @@
 	}
 }
 
-// Lists may be indented, on a watch and in a single call, and may arrive in any pieces. A blank line between them is a keepalive.
+// Lists may be indented, on a watch and in a single call, and may arrive in any pieces. A blank line between them is a
+// keepalive.
 func TestIndentedLists(t *testing.T) {
 	indented := func(line string) string {
 		var b bytes.Buffer
@@ -238,8 +239,8 @@
 	env.waitFor("an indented list of a single call", env.workerHasBuild("x", 9))
 }
 
-// With pushed lists, a watch is opened at the start without a request of the decision module, and reopened when it breaks. It is
-// also opened when new settings switch to pushed lists.
+// With pushed lists, a watch is opened at the start without a request of the decision module, and reopened when it
+// breaks. It is also opened when new settings switch to pushed lists.
 func TestPushedLists(t *testing.T) {
 	var calls atomic.Int64
 	address := startScriptedDiscovery(t, func(c net.Conn, n int, query string) {
@@ -267,8 +268,9 @@
 	}
 }
 
-// SIGHUP changes discovery's address while the sentry drains: with an open watch, with one that is about to be reopened, and with
-// none. The whole list is requested at the new address at once, and later responses from the old address have no effect.
+// SIGHUP changes discovery's address while the sentry drains: with an open watch, with one that is about to be
+// reopened, and with none. The whole list is requested at the new address at once, and later responses from the old
+// address have no effect.
 func TestReloadChangesWatchedAddress(t *testing.T) {
 	x := func(build int) target { return target{"x", "127.0.0.1:9", "here", "active", 1, build} }
 	startFailingDiscovery := func(t *testing.T) string {
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -17,11 +17,13 @@
 	"scalechute/logic"
 )
 
-// maxAnswerValueBytes bounds the value of a worker's answer. Some answers are several times larger than the largest command
-// body.
+// maxAnswerValueBytes bounds the value of a worker's answer. Some answers are several times larger than the largest
+// command body.
 const maxAnswerValueBytes = 2 << 20
 
-var answerLimits = resp.Limits{MaxLineBytes: 1024, MaxBulkBytes: maxAnswerValueBytes, MaxValues: 8, MaxDepth: 2, MaxMessageBytes: maxAnswerValueBytes + 4096}
+// answerLimits bounds the answers of workers.
+var answerLimits = resp.Limits{MaxLineBytes: 1024, MaxBulkBytes: maxAnswerValueBytes, MaxValues: 8, MaxDepth: 2,
+	MaxMessageBytes: maxAnswerValueBytes + 4096}
 
 // workerConn is a connection to a worker. Answers come in the order of the hand-offs.
 type workerConn struct {
@@ -116,8 +118,8 @@
 var errTrailingData = errors.New("found data after the answer, expected none: no hand-off is open")
 var errUnexpectedAnswer = errors.New("found an answer, expected none: no hand-off is open")
 
-// read handles the answers that have arrived. An answer that can't be parsed ends the connection and its open hand-offs, which
-// may have run.
+// read handles the answers that have arrived. An answer that can't be parsed ends the connection and its open
+// hand-offs, which may have run.
 func (w *workerConn) read(_ *wire.Link, data []byte) ([]byte, error) {
 	for len(data) > 0 {
 		w.mu.Lock()
@@ -156,8 +158,8 @@
 	return nil, nil
 }
 
-// answerStallDivisor sets the time for which an incomplete answer may make no progress: the shortest due time divided by it. A
-// worker has the answer in memory and sends it over a nearby network.
+// answerStallDivisor sets the time for which an incomplete answer may make no progress: the shortest due time divided
+// by it. A worker has the answer in memory and sends it over a nearby network.
 const answerStallDivisor = 2
 
 // answerStallTimeout returns the time for which an incomplete answer may make no progress.
@@ -171,8 +173,8 @@
 
 var errStalledAnswer = errors.New("found an incomplete answer, expected its rest within the stall timeout")
 
-// setPartialAnswer records whether an answer is incomplete or can't be parsed, and runs the stall timer meanwhile. An answer that
-// makes no progress is treated like one that can't be parsed.
+// setPartialAnswer records whether an answer is incomplete or can't be parsed, and runs the stall timer meanwhile. An
+// answer that makes no progress is treated like one that can't be parsed.
 func (w *workerConn) setPartialAnswer(partial bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,6 +1,6 @@
-// Package resp implements an incremental parser and an encoder for RESP2, the Redis protocol. A Reader parses messages from
-// a byte stream that arrives in any pieces, within configured limits. The package does no I/O, and a Reader keeps nothing of
-// a message once the next one is read.
+// Package resp implements an incremental parser and an encoder for RESP2, the Redis protocol. A Reader parses messages
+// from a byte stream that arrives in any pieces, within configured limits. The package does no I/O, and a Reader keeps
+// nothing of a message once the next one is read.
 package resp
 
 import (
@@ -43,8 +43,8 @@
 
 func (m *ProtocolError) Error() string { return "RESP: found " + m.Found + ", expected " + m.Expected }
 
-// Reader parses the messages of one connection. It remembers how far it has parsed an incomplete message, so that no byte of
-// a bulk string is examined twice.
+// Reader parses the messages of one connection. It remembers how far it has parsed an incomplete message, so that no
+// byte of a bulk string is examined twice.
 type Reader struct {
 	Limits       Limits
 	CommandsOnly bool // accept only non-empty arrays of bulk strings, as clients send them
@@ -61,8 +61,8 @@
 	start, end int // for an array, end is its number of elements
 }
 
-// Next parses the first message of data and returns the bytes after it as rest. If the message is incomplete, ok is false,
-// and the next call must pass the same bytes followed by more. The returned values are valid until that call.
+// Next parses the first message of data and returns the bytes after it as rest. If the message is incomplete, ok is
+// false, and the next call must pass the same bytes followed by more. The returned values are valid until that call.
 func (r *Reader) Next(data []byte) (message []Value, rest []byte, ok bool, err error) {
 	for {
 		complete, needMore, err := r.readValue(data)
@@ -99,8 +99,8 @@
 	return &ProtocolError{strconv.Itoa(actual) + " " + unit, "at most " + strconv.Itoa(limit)}
 }
 
-// MissingBytes returns a lower bound, at least 1, of the bytes that an incomplete message still lacks, after Next has found it
-// incomplete. Reading that many bytes never reads past the end of the message.
+// MissingBytes returns a lower bound, at least 1, of the bytes that an incomplete message still lacks, after Next has
+// found it incomplete. Reading that many bytes never reads past the end of the message.
 func (r *Reader) MissingBytes(data []byte) int {
 	if r.offset >= len(data) || Kind(data[r.offset]) != BulkString {
 		return 1
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -19,7 +19,8 @@
 	return b.String()
 }
 
-// readPieces passes data to a Reader in pieces, as a connection does. It returns the messages and the error that ended them.
+// readPieces passes data to a Reader in pieces, as a connection does. It returns the messages and the error that ended
+// them.
 func readPieces(commands bool, pieces ...[]byte) (messages []string, err error) {
 	reader := Reader{Limits: testLimits, CommandsOnly: commands}
 	var data []byte
