--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// The time a client has from connecting to its first complete command, and, while the sentry drains, from the first
-	// byte of any command to its last.
+	// The time a client has from connecting to its first complete command, and, while the sentry drains, for the rest of
+	// any partial command.
 	firstCommandTimeout = 2700 * time.Millisecond
 	// The time from the first byte of a later command to its last.
 	commandTimeout = 6 * time.Second
