--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -14,87 +14,91 @@
 )
 
 const (
-	// A client that has sent no whole command so long after connecting, or after beginning one, gets a close.
+	// The time a client has from connecting to its first complete command, and, while the sentry drains, for the rest of
+	// any partial command.
 	firstCommandTimeout = 2700 * time.Millisecond
-	// One that has sent commands may take so long over another.
+	// The time from the first byte of a later command to its last.
 	commandTimeout = 6 * time.Second
-	// A connection with nothing open may be closed after this.
+	// A connection without open commands may be closed after this time.
 	idleTimeout = 10 * time.Second
-	// Commands of one connection that wait for their answers at the most.
-	maxOpenCommands = 64
-	sweepEvery      = 100 * time.Millisecond
-	// A client for which more waits is read no further until half of it has gone, in bytes.
-	maxUnwritten = 1 << 20
-	// Over how many answers the mean of their bytes is taken.
-	meanAnswerOver = 16
-	// What an entry of a client's queue takes beside its text, in bytes.
-	replyOverhead = 64
+	// Commands of one connection that may await their replies; further ones get BUSY.
+	maxOpenCommands     = 64
+	clientSweepInterval = 100 * time.Millisecond
+	// When more bytes than this wait to be written to a client, reading from it pauses until half of this is left.
+	maxUnwrittenBytes = 1 << 20
+	// Number of replies over which the mean reply size is averaged, exponentially.
+	meanReplyWindow = 16
+	// Memory of a queued reply beside its text.
+	replyOverheadBytes = 64
 )
 
-// clientConn is one client's connection. Its commands are answered in their order.
+// clientConn is a client's connection. Replies are written in the order of the commands.
 type clientConn struct {
 	*wire.Link
-	p      *Platform
-	ear    sentry.ClientHandler
-	reader resp.Reader
+	platform *Platform
+	handler  sentry.ClientHandler
+	reader   resp.Reader
 
-	mu           sync.Mutex
-	queue        []reply // the first unanswered one first
-	first        uint64  // number of that one
-	used         time.Time
-	partialSince time.Time // the command in hand, or the connection where none has come whole
-	hasSent      bool      // a whole command has come
-	closing      bool      // what comes is not taken any more
-	overLimit    bool      // it came beyond the bound: it closes once nothing is owed on it
-	stopped      bool      // nothing is read beyond the command in part
-	ending       bool      // nothing is owed on it, and its end has begun
-	scratch      []byte
-	// of a client that is idle and has yet to take an answer; the poller's
-	progress wire.ReadProgress
+	mu             sync.Mutex
+	replies        []reply // one for each command without a written reply, the oldest first
+	firstReplyID   uint64  // transaction ID that belongs to replies[0]; each reply has the next one
+	lastUsed       time.Time
+	partialSince   time.Time // start of the partial command, or of a connection without a complete one; else zero
+	hasSentCommand bool      // a complete command has arrived
+	closing        bool      // further commands are ignored
+	overLimit      bool      // accepted beyond the client limit: closed once it has no open commands
+	readStopped    bool      // nothing is read after the partial command
+	finishing      bool      // all replies are queued for writing, and the close has begun
+	payloadBuffer  []byte
+	// progress of an idle client that has unread replies; used only on the poller
+	writeProgress wire.ReadProgress
 }
 
+// reply is the reply to one command, possibly still awaited.
 type reply struct {
-	id   string // of the transaction, empty if it is none
-	text []byte
-	done bool
-	held bool // its link was told of it
+	requestID string // empty if the command is not a transaction
+	text      []byte
+	ready     bool
+	counted   bool // its size is counted as buffered on the link
 
-	skipped bool // it is not to be written: a breach on purpose
+	skipped bool // not written, because of an injected breach
 }
 
-func (r *reply) size() int { return replyOverhead + len(r.text) }
+// size returns the memory that the reply takes, in bytes.
+func (r *reply) size() int { return replyOverheadBytes + len(r.text) }
 
-// Open listens for clients.
+// Listen accepts clients of the sentry and returns the listener's address.
 func (p *Platform) Listen(s *sentry.Sentry) (string, error) {
 	p.sentry = s
-	server, err := wire.ServeRaw(p.post.Load().Settings.Endpoints.Listen, wire.Limits{MaxFrameBytes: mostValue, MaxPendingBytes: maxUnwritten, Budget: p.budget},
+	server, err := wire.ServeRaw(p.config.Load().Settings.Endpoints.Listen,
+		wire.Limits{MaxFrameBytes: maxValueBytes, MaxPendingBytes: maxUnwrittenBytes, Budget: p.replyBudget},
 		func(l *wire.Link) (wire.DataHandler, func(*wire.Link, error)) {
 			now := time.Now()
-			c := &clientConn{Link: l, p: p, used: now, partialSince: now, reader: resp.Reader{Limits: commandBounds, CommandsOnly: true}}
-			c.ear = s.AddClient(c)
+			c := &clientConn{Link: l, platform: p, lastUsed: now, partialSince: now, reader: resp.Reader{Limits: commandLimits, CommandsOnly: true}}
+			c.handler = s.AddClient(c)
 			p.admit(c)
 			return c.read, func(*wire.Link, error) {
-				p.forget(c)
-				c.ear.ConnectionClosed(nil)
+				p.removeClient(c)
+				c.handler.ConnectionClosed(nil)
 			}
 		})
 	if err != nil {
 		return "", err
 	}
 	p.server = server
-	go p.watchClients()
+	go p.sweepClientsUntilDone()
 	return server.Address, nil
 }
 
-// admit books a client, and closes one where there are too many: one that has said nothing, else the longest idle; never one
-// that has sent something which is not answered, nor one whose answer waits. If there is none, the new one is let go as soon as
-// nothing is owed on it. It runs on the poller.
+// admit registers a new client. Beyond the client limit it closes another one: first those that have sent no command,
+// then the longest idle, but never one that has open commands, unread data or unwritten replies. If there is none to
+// close, the new client is closed as soon as it has no open commands. It runs on the poller.
 func (p *Platform) admit(c *clientConn) {
 	p.mu.Lock()
 	p.clients[c] = struct{}{}
-	over := len(p.clients) > p.post.Load().clientLimit()
+	overLimit := len(p.clients) > p.config.Load().maxClients()
 	p.mu.Unlock()
-	if !over {
+	if !overLimit {
 		return
 	}
 	type candidate struct {
@@ -102,48 +106,49 @@
 		hasSent bool
 		used    time.Time
 	}
-	var out []candidate
-	for _, x := range p.clientList() {
-		x.mu.Lock()
-		if x != c && !x.closing && len(x.queue) == 0 && (x.partialSince.IsZero() || !x.hasSent) {
-			out = append(out, candidate{x, x.hasSent, x.used})
+	var candidates []candidate
+	for _, other := range p.listClients() {
+		other.mu.Lock()
+		if other != c && !other.closing && len(other.replies) == 0 && (other.partialSince.IsZero() || !other.hasSentCommand) {
+			candidates = append(candidates, candidate{other, other.hasSentCommand, other.lastUsed})
 		}
-		x.mu.Unlock()
+		other.mu.Unlock()
 	}
-	slices.SortFunc(out, func(a, b candidate) int {
+	slices.SortFunc(candidates, func(a, b candidate) int {
 		if a.hasSent != b.hasSent {
 			return map[bool]int{false: -1, true: 1}[a.hasSent]
 		}
 		return a.used.Compare(b.used)
 	})
-	for _, x := range out {
-		if x.CloseIfIdle(wire.ErrClosed, !x.hasSent) {
+	for _, other := range candidates {
+		if other.CloseIfIdle(wire.ErrClosed, !other.hasSent) {
 			return
 		}
 	}
-	// All have something open. What this one may have sent is owed an answer: it closes once that is given.
+	// All others are in use. The new client may have sent a command already, so it is closed only after the reply.
 	c.mu.Lock()
 	c.overLimit = true
 	c.mu.Unlock()
 	wire.RunOnPoller(c.closeIfDue)
 }
 
-// shouldClose says whether a client is to close as soon as nothing is owed to it. The lock is held.
-func (c *clientConn) shouldClose() bool { return c.closing || c.overLimit || c.p.drained() }
+// shouldClose reports whether the client is to be closed once it has all its replies. The caller holds c.mu.
+func (c *clientConn) shouldClose() bool { return c.closing || c.overLimit || c.platform.closingAll() }
 
-// clientList lists the clients.
-func (p *Platform) clientList() []*clientConn {
+// listClients returns the connected clients.
+func (p *Platform) listClients() []*clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Collect(maps.Keys(p.clients))
 }
 
-func (p *Platform) forget(c *clientConn) {
+// removeClient unregisters a client and releases the ids of its open requests.
+func (p *Platform) removeClient(c *clientConn) {
 	c.mu.Lock()
-	ids := make([]string, 0, len(c.queue))
-	for _, r := range c.queue {
-		if r.id != "" && !r.done {
-			ids = append(ids, r.id)
+	ids := make([]string, 0, len(c.replies))
+	for _, r := range c.replies {
+		if r.requestID != "" && !r.ready {
+			ids = append(ids, r.requestID)
 		}
 	}
 	c.closing = true
@@ -152,60 +157,62 @@
 	defer p.mu.Unlock()
 	delete(p.clients, c)
 	for _, id := range ids {
-		delete(p.ids, id)
+		delete(p.openRequests, id)
 	}
 }
 
-// watchClients has those clients closed that say nothing and, once the sentry is to stop, all of them.
-func (p *Platform) watchClients() {
-	for range p.ticks(sweepEvery) {
-		if step := p.wall.DetectStep(); step != 0 {
-			p.log.Warn().Dur("by_ms", step).Int("steps", p.wall.StepCount()).Msg("the wall clock was stepped")
+// sweepClientsUntilDone closes idle clients periodically and, while the sentry drains, all clients. It also logs steps
+// of the wall clock.
+func (p *Platform) sweepClientsUntilDone() {
+	for range p.ticks(clientSweepInterval) {
+		if step := p.wallClock.DetectStep(); step != 0 {
+			p.log.Warn().Dur("by_ms", step).Int("steps", p.wallClock.StepCount()).Msg("the wall clock was stepped")
 		}
 		p.sweepClients()
 	}
 }
 
-// idle says whether a client may be closed if nothing has come of it by then.
-func (c *clientConn) idle(now time.Time) bool {
+// isIdle reports whether the client may be closed for inactivity, provided that no unread data has arrived by then.
+func (c *clientConn) isIdle(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.closing || len(c.queue) > 0:
+	case c.closing || len(c.replies) > 0:
 		return false
 	case c.partialSince.IsZero():
-		return now.Sub(c.used) > idleTimeout
-	case !c.hasSent:
+		return now.Sub(c.lastUsed) > idleTimeout
+	case !c.hasSentCommand:
 		return now.Sub(c.partialSince) > firstCommandTimeout
 	}
 	return now.Sub(c.partialSince) > commandTimeout
 }
 
-// closeIfDue closes a client that is idle or is to leave, on the poller: there a command that was read is in the queue, and one that
-// comes later is not read, so that the client sends it again. One in part, or unread, is given its time.
+// closeIfDue closes a client that is idle or that shouldClose selects. It runs on the poller, where every command that
+// was read is in c.replies; a command that arrives later stays unread, so the client can safely send it again. A
+// command that is partial or unread keeps its time limit.
 func (c *clientConn) closeIfDue() {
 	c.mu.Lock()
-	closes := c.shouldClose()
+	shouldClose := c.shouldClose()
 	c.mu.Unlock()
-	if closes {
+	if shouldClose {
 		c.stopReading()
 		return
 	}
 	now := time.Now()
-	if !c.idle(now) {
+	if !c.isIdle(now) {
 		return
 	}
 	c.mu.Lock()
-	late := !c.partialSince.IsZero() && now.Sub(c.partialSince) > firstCommandTimeout
+	overdue := !c.partialSince.IsZero() && now.Sub(c.partialSince) > firstCommandTimeout
 	c.mu.Unlock()
-	if !c.CloseIfIdle(wire.ErrClosed, late) && c.PeerStalled(&c.progress, now) {
+	if !c.CloseIfIdle(wire.ErrClosed, overdue) && c.PeerStalled(&c.writeProgress, now) {
 		c.Close(wire.ErrSlowReader)
 	}
 }
 
-// read takes the commands that have come. A client that is to leave is read no further than that.
+// read handles the commands that have arrived. It reads no further once the connection is closing.
 func (c *clientConn) read(_ *wire.Link, data []byte) ([]byte, error) {
-	defer c.hasRead()
+	defer c.afterRead()
 	for len(data) > 0 {
 		c.mu.Lock()
 		closing := c.closing
@@ -213,122 +220,125 @@
 		if closing {
 			return nil, nil
 		}
-		m, rest, ok, err := c.reader.Next(data)
+		message, rest, complete, err := c.reader.Next(data)
 		if err != nil {
-			c.refuse("-ERR Protocol error: "+err.Error(), true)
+			c.replyWithLine("-ERR Protocol error: "+err.Error(), true)
 			return nil, nil
 		}
 		c.mu.Lock()
 		now := time.Now()
-		if !ok {
+		if !complete {
 			if c.partialSince.IsZero() {
 				c.partialSince = now
 			}
 			c.mu.Unlock()
 			return data, nil
 		}
-		c.used, c.partialSince, c.hasSent = now, time.Time{}, true
-		behind := len(c.queue)
+		c.lastUsed, c.partialSince, c.hasSentCommand = now, time.Time{}, true
+		openCommands := len(c.replies)
 		c.mu.Unlock()
-		if behind >= maxOpenCommands { // read, so it is owed an answer; a close would lose those behind it too
-			c.refuse("-BUSY", false)
+		if openCommands >= maxOpenCommands { // it was read, so it gets a reply; closing would also drop the commands after it
+			c.replyWithLine("-BUSY", false)
 			data = rest
 			continue
 		}
-		c.command(m)
+		c.handleCommand(message)
 		data = rest
 	}
 	return nil, nil
 }
 
-// refuse answers with a line, in its turn, and may close then.
-func (c *clientConn) refuse(line string, end bool) {
+// replyWithLine queues a one-line reply after those of earlier commands. With closeAfter it then closes the connection.
+func (c *clientConn) replyWithLine(line string, closeAfter bool) {
 	c.mu.Lock()
-	c.queue = append(c.queue, reply{text: resp.AppendLine(nil, resp.Kind(line[0]), line[1:]), done: true})
-	c.hold(&c.queue[len(c.queue)-1])
-	if end {
+	c.replies = append(c.replies, reply{text: resp.AppendLine(nil, resp.Kind(line[0]), line[1:]), ready: true})
+	c.countBuffered(&c.replies[len(c.replies)-1])
+	if closeAfter {
 		c.closing = true
 	}
-	c.write()
+	c.writeReady()
 	c.mu.Unlock()
 	c.Flush()
 }
 
-func (c *clientConn) command(m []resp.Value) {
-	switch string(m[1].Text) {
+// handleCommand replies to a command or passes its transaction to the sentry.
+func (c *clientConn) handleCommand(message []resp.Value) {
+	switch string(message[1].Text) {
 	case "Q.ASK", "Q.DO":
 	case "PING":
-		c.refuse("+PONG", false)
+		c.replyWithLine("+PONG", false)
 		return
 	case "CLIENT", "SELECT":
-		c.refuse("+OK", false)
+		c.replyWithLine("+OK", false)
 		return
 	case "QUIT":
-		c.refuse("+OK", true)
+		c.replyWithLine("+OK", true)
 		return
 	default:
-		c.refuse("-ERR unknown command", false)
+		c.replyWithLine("-ERR unknown command", false)
 		return
 	}
-	x, wrong := c.p.post.Load().parse(m, c.scratch[:0])
-	if wrong != "" {
-		c.refuse("-ERR "+wrong, false)
+	parsed, problem := c.platform.config.Load().parseCommand(message, c.payloadBuffer[:0])
+	if problem != "" {
+		c.replyWithLine("-ERR "+problem, false)
 		return
 	}
-	c.scratch = x.ask.Payload
-	if !c.p.fits() {
-		c.refuse("-BUSY", false)
+	c.payloadBuffer = parsed.transaction.Payload
+	if !c.platform.hasReplyBudget() {
+		c.replyWithLine("-BUSY", false)
 		return
 	}
-	id := string(x.id)
-	if !c.p.claim(id) {
-		c.refuse("-ERR found the id of an open request, expected a new one", false)
+	id := string(parsed.requestID)
+	if !c.platform.claimRequestID(id) {
+		c.replyWithLine("-ERR found the id of an open request, expected a new one", false)
 		return
 	}
 	c.mu.Lock()
-	x.ask.ID = c.first + uint64(len(c.queue))
-	c.queue = append(c.queue, reply{id: id})
+	parsed.transaction.ID = c.firstReplyID + uint64(len(c.replies))
+	c.replies = append(c.replies, reply{requestID: id})
 	c.mu.Unlock()
-	c.ear.TransactionReceived(&x.ask)
+	c.handler.TransactionReceived(&parsed.transaction)
 }
 
-// fits says whether the answers that wait for clients and those that are to be expected leave room for one more.
-func (p *Platform) fits() bool {
+// hasReplyBudget reports whether the memory for replies has room for one more: for those that wait to be written, and
+// for those of open requests at the mean size.
+func (p *Platform) hasReplyBudget() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return int64(len(p.ids)+1)*p.meanAnswer <= p.budget.Remaining()
+	return int64(len(p.openRequests)+1)*p.meanReplyBytes <= p.replyBudget.Remaining()
 }
 
-// answered forgets an open id, and learns how great answers are.
-func (p *Platform) answered(id string, bytes int) {
+// finishRequest releases the id of an open request and updates the mean reply size.
+func (p *Platform) finishRequest(id string, replyBytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.ids, id)
-	p.meanAnswer += (int64(bytes) - p.meanAnswer) / meanAnswerOver
+	delete(p.openRequests, id)
+	p.meanReplyBytes += (int64(replyBytes) - p.meanReplyBytes) / meanReplyWindow
 }
 
-// claim books an id that is not in use.
-func (p *Platform) claim(id string) bool {
+// claimRequestID registers the id of a request. It returns false if a request with that id is open.
+func (p *Platform) claimRequestID(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, used := p.ids[id]; used {
+	if _, open := p.openRequests[id]; open {
 		return false
 	}
-	p.ids[id] = struct{}{}
+	p.openRequests[id] = struct{}{}
 	return true
 }
 
-// Answer answers a transaction; what was asked before it goes first.
+// Answer queues the reply to a transaction and writes it once all earlier commands have their replies. It returns false
+// if the connection has ended or awaits no such reply.
 func (c *clientConn) Answer(a *wire.Answer) bool {
 	c.mu.Lock()
-	at := a.ID - c.first
-	if at >= uint64(len(c.queue)) || c.queue[at].done || c.Dead() {
+	index := a.ID - c.firstReplyID
+	if index >= uint64(len(c.replies)) || c.replies[index].ready || c.Dead() {
 		c.mu.Unlock()
 		return false
 	}
-	r := &c.queue[at]
-	id := r.id
-	r.done = true
+	r := &c.replies[index]
+	id := r.requestID
+	r.ready = true
 	switch pb.Outcome(a.Outcome) {
 	case pb.Outcome_SATISFIED:
 		r.text = resp.AppendBulkString(r.text, a.Payload)
@@ -338,49 +348,49 @@
 			line += " " + strconv.FormatUint(max(1, a.RetryAfter/1000), 10)
 		}
 		r.text = resp.AppendLine(r.text, resp.Error, line)
-	case pb.Outcome_NOT_TAKEN: // nothing of it was handed off
+	case pb.Outcome_NOT_TAKEN: // no hand-off was made, so a retry is safe
 		r.text = resp.AppendLine(r.text, resp.Error, "BUSY")
 	default:
 		r.text = resp.AppendLine(r.text, resp.Error, "ERR written off")
 	}
-	c.hold(r)
+	c.countBuffered(r)
 	size := len(r.text)
-	c.used = time.Now()
-	good := c.write()
-	idle := len(c.queue) == 0 && !c.stopped && c.shouldClose()
+	c.lastUsed = time.Now()
+	written := c.writeReady()
+	closes := len(c.replies) == 0 && !c.readStopped && c.shouldClose()
 	c.mu.Unlock()
-	c.p.answered(id, size)
-	if idle {
+	c.platform.finishRequest(id, size)
+	if closes {
 		c.WhenWritten(func() { wire.RunOnPoller(c.closeIfDue) })
 	}
-	c.endIfSettled()
-	return good
+	c.finishIfSettled()
+	return written
 }
 
-// hold tells the link of an answer that has to wait for those before it. The lock is held.
-func (c *clientConn) hold(r *reply) {
-	if r != &c.queue[0] {
-		r.held = true
+// countBuffered counts a reply that has to wait for earlier ones as buffered on the link. The caller holds c.mu.
+func (c *clientConn) countBuffered(r *reply) {
+	if r != &c.replies[0] {
+		r.counted = true
 		c.AddBuffered(r.size())
 	}
 }
 
-// write gives the link the answers whose turn it is. The lock is held.
-func (c *clientConn) write() (good bool) {
-	n := 0
-	good = true
-	for n < len(c.queue) && c.queue[n].done {
-		c.breachBefore(c.queue[n:])
-		r := &c.queue[n]
-		if r.held {
+// writeReady passes the leading replies that are ready to the link. The caller holds c.mu.
+func (c *clientConn) writeReady() (ok bool) {
+	written := 0
+	ok = true
+	for written < len(c.replies) && c.replies[written].ready {
+		c.applyBreach(c.replies[written:])
+		r := &c.replies[written]
+		if r.counted {
 			c.AddBuffered(-r.size())
 		}
 		if !r.skipped {
-			good = c.PutRawUnbounded(r.text) && good
+			ok = c.PutRawUnbounded(r.text) && ok
 		}
-		n++
+		written++
 	}
-	c.first += uint64(n)
-	c.queue = slices.Delete(c.queue, 0, n)
-	return good
+	c.firstReplyID += uint64(written)
+	c.replies = slices.Delete(c.replies, 0, written)
+	return ok
 }
--- /dev/null
+++ b/internal/platform/worker_conn.go
@@ -0,0 +1,252 @@
+package platform
+
+import (
+	"bytes"
+	"errors"
+	"math"
+	"slices"
+	"strconv"
+	"sync"
+	"time"
+
+	"scalechute/internal/facts"
+	"scalechute/internal/resp"
+	"scalechute/internal/sentry"
+	"scalechute/internal/wire"
+	"scalechute/internal/wire/pb"
+	"scalechute/logic"
+)
+
+// maxAnswerValueBytes bounds the value of a worker's answer. Some answers are several times larger than the largest
+// command body.
+const maxAnswerValueBytes = 2 << 20
+
+// answerLimits bounds the answers of workers.
+var answerLimits = resp.Limits{MaxLineBytes: 1024, MaxBulkBytes: maxAnswerValueBytes, MaxValues: 8, MaxDepth: 2,
+	MaxMessageBytes: maxAnswerValueBytes + 4096}
+
+// workerConn is a connection to a worker. Answers come in the order of the hand-offs.
+type workerConn struct {
+	*wire.Link
+	platform *Platform
+	handler  sentry.WorkerConnHandler
+	reader   resp.Reader
+
+	mu            sync.Mutex
+	pending       []sentHandOff // hand-offs that await their answers, the oldest first
+	unusable      bool          // no further hand-off may be written
+	partialAnswer bool          // the answer to pending[0] is incomplete or can't be parsed
+	stallTimer    *time.Timer   // runs while an answer is incomplete
+	buffer        []byte        // for encoding hand-offs
+}
+
+// sentHandOff is a hand-off written to the link. endOffset is the link's offset after its last byte.
+type sentHandOff struct {
+	id        uint64
+	endOffset int64
+}
+
+// AnswersInOrder reports that the answers on a connection come in the order of its hand-offs.
+func (p *Platform) AnswersInOrder() bool { return true }
+
+// Dial connects to a worker.
+func (p *Platform) Dial(handler sentry.WorkerConnHandler, address string, limit time.Duration) (sentry.WorkerConn, error) {
+	w := &workerConn{platform: p, handler: handler, reader: resp.Reader{Limits: answerLimits}}
+	link, err := wire.DialRaw(address, limit, wire.Limits{MaxFrameBytes: maxValueBytes, MaxPendingBytes: 4 * maxValueBytes}, w.read,
+		func(_ *wire.Link, reason error) {
+			w.stopStallTimer()
+			handler.ConnectionClosed(reason)
+		})
+	if err != nil {
+		return nil, err
+	}
+	w.Link = link
+	return w, nil
+}
+
+// stopStallTimer stops the timer when the connection has ended.
+func (w *workerConn) stopStallTimer() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.stallTimer != nil {
+		w.stallTimer.Stop()
+	}
+}
+
+// SendHello sends nothing: RESP2 has no handshake, and the connection is ready for hand-offs.
+func (w *workerConn) SendHello() { w.handler.Ready() }
+
+// MayHaveReceived reports whether the worker may have received all of a hand-off.
+func (w *workerConn) MayHaveReceived(id uint64) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	i := slices.IndexFunc(w.pending, func(x sentHandOff) bool { return x.id == id })
+	return i < 0 || w.Link.MayHaveSent(w.pending[i].endOffset)
+}
+
+// AnswerStarted reports whether the answer to a hand-off has begun to arrive and is incomplete or can't be parsed.
+func (w *workerConn) AnswerStarted(id uint64) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.partialAnswer && len(w.pending) > 0 && w.pending[0].id == id
+}
+
+// Cancel does nothing: RESP2 has no cancel, so the sentry closes the connection.
+func (w *workerConn) Cancel(uint64) {}
+
+// SendProbe does nothing: the platform's workers take no probes.
+func (w *workerConn) SendProbe(uint64) {}
+
+// SendWork writes a hand-off. It returns false if nothing of it will be sent.
+func (w *workerConn) SendWork(work *wire.Work) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.unusable || len(w.pending) == 0 && !w.IsReadIdle() {
+		return false
+	}
+	w.buffer = appendCommand(w.buffer[:0], work.Payload, logic.Micros(work.Timeout))
+	if !w.PutRaw(w.buffer) {
+		return false
+	}
+	w.pending = append(w.pending, sentHandOff{work.ID, w.PutOffset()})
+	if cap(w.buffer) > 8<<10 {
+		w.buffer = nil
+	}
+	return true
+}
+
+var errTrailingData = errors.New("found data after the answer, expected none: no hand-off is open")
+var errUnexpectedAnswer = errors.New("found an answer, expected none: no hand-off is open")
+
+// read handles the answers that have arrived. An answer that can't be parsed ends the connection and its open
+// hand-offs, which may have run.
+func (w *workerConn) read(_ *wire.Link, data []byte) ([]byte, error) {
+	for len(data) > 0 {
+		w.mu.Lock()
+		openHandOffs := len(w.pending)
+		w.unusable = w.unusable || openHandOffs == 0
+		w.mu.Unlock()
+		if openHandOffs == 0 {
+			return nil, errUnexpectedAnswer
+		}
+		message, rest, complete, err := w.reader.Next(data)
+		var done wire.Done
+		if err == nil && complete {
+			done, err = w.parseAnswer(message)
+		}
+		if w.setPartialAnswer(err != nil || !complete); err != nil {
+			return nil, err
+		}
+		if !complete {
+			return data, nil
+		}
+		w.mu.Lock()
+		done.ID = w.pending[0].id
+		w.pending = w.pending[1:]
+		if len(w.pending) == 0 {
+			w.pending = nil
+		}
+		trailing := len(w.pending) == 0 && len(rest) > 0
+		w.unusable = w.unusable || trailing
+		w.mu.Unlock()
+		w.handler.HandOffEnded(&done)
+		if trailing {
+			return nil, errTrailingData
+		}
+		data = rest
+	}
+	return nil, nil
+}
+
+// answerStallDivisor sets the time for which an incomplete answer may make no progress: the shortest due time divided
+// by it. A worker has the answer in memory and sends it over a nearby network.
+const answerStallDivisor = 2
+
+// answerStallTimeout returns the time for which an incomplete answer may make no progress.
+func (c *Config) answerStallTimeout() time.Duration {
+	shortest := c.Settings.MaxDeadline()
+	for _, profile := range c.Settings.Policy.Profiles {
+		shortest = min(shortest, profile.DueTime)
+	}
+	return time.Duration(shortest/answerStallDivisor) * time.Microsecond
+}
+
+var errStalledAnswer = errors.New("found an incomplete answer, expected its rest within the stall timeout")
+
+// setPartialAnswer records whether an answer is incomplete or can't be parsed, and runs the stall timer meanwhile. An
+// answer that makes no progress is treated like one that can't be parsed.
+func (w *workerConn) setPartialAnswer(partial bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	switch w.partialAnswer = partial; {
+	case partial && w.stallTimer == nil:
+		w.stallTimer = time.AfterFunc(w.platform.config.Load().answerStallTimeout(), w.closeIfStalled)
+	case partial:
+		w.stallTimer.Reset(w.platform.config.Load().answerStallTimeout())
+	case !partial && w.stallTimer != nil:
+		w.stallTimer.Stop()
+		w.stallTimer = nil
+	}
+}
+
+// closeIfStalled closes a connection whose answer makes no progress, unless it has unread data.
+func (w *workerConn) closeIfStalled() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	switch {
+	case !w.partialAnswer || w.stallTimer == nil:
+	case w.IsReadIdle():
+		go w.Close(errStalledAnswer) // closing takes w.mu
+	default:
+		w.stallTimer.Reset(w.platform.config.Load().answerStallTimeout())
+	}
+}
+
+var errMalformedAnswer = errors.New("found an answer of another form, expected an array of a value, a null and a load report, -ERR or -BUSY")
+
+// parseAnswer converts a worker's answer to the sentry's form.
+func (w *workerConn) parseAnswer(message []resp.Value) (d wire.Done, err error) {
+	switch {
+	case message[0].Kind == resp.Array && len(message) == 4 && message[1].Kind == resp.BulkString && message[2].Kind == resp.Null:
+		d.Ending, d.Payload = uint32(pb.Ended_ANSWERED), message[1].Text
+		if message[3].Kind == resp.BulkString {
+			w.parseLoadReport(&d, message[3].Text)
+		}
+		return d, nil
+	case message[0].Kind == resp.Error:
+		word, rest, _ := bytes.Cut(message[0].Text, []byte(" "))
+		switch string(word) {
+		case "BUSY":
+			d.Ending = uint32(pb.Ended_TURNED_AWAY)
+		case "ERR":
+			d.Ending = uint32(pb.Ended_ERRORED)
+		default:
+			return d, errMalformedAnswer
+		}
+		if lastSpace := bytes.LastIndexByte(rest, ' '); lastSpace >= 0 {
+			rest = rest[lastSpace+1:]
+		}
+		w.parseLoadReport(&d, rest)
+		return d, nil
+	}
+	return d, errMalformedAnswer
+}
+
+// parseLoadReport adds the fields of a load report to d. It skips fields that can't be parsed.
+func (w *workerConn) parseLoadReport(d *wire.Done, text []byte) {
+	for field := range bytes.SplitSeq(text, []byte(",")) {
+		name, value, _ := bytes.Cut(field, []byte("="))
+		number, err := strconv.ParseFloat(string(value), 64)
+		if err != nil || !(number >= 0 && number < 1e6) {
+			continue
+		}
+		switch slices.Index(facts.LoadFieldNames[:], string(name)) {
+		case facts.LoadFieldInFlight:
+			d.InFlight = uint32(math.Round(number)) + 1
+		case facts.LoadFieldBusy:
+			d.CPUUse = uint32(math.Round(1000*number)) + 1
+		case facts.LoadFieldServed:
+			d.ServedRate = uint32(math.Round(1000*number)) + 1
+		}
+	}
+}
