--- a/cmd/scalechute/drill_test.go
+++ b/cmd/scalechute/drill_test.go
@@ -123,7 +123,7 @@
 	day := fmt.Sprintf(`{"length":7000000,"zones":["a","b"],"servers":[1,2,3,4,5,6,7,8],"balancers":[1,2,3,4],
 		"troubles":[%s],"fam":{"releases":[{"at":1000000,"bad":"class","class":1,"strength":0.5,"speed":1}]}}`,
 		strings.Join(troubles, ","))
-	if err := d.Take([]byte(day)); err != nil {
+	if err := d.ApplyBenchDay([]byte(day)); err != nil {
 		t.Fatal(err)
 	}
 	if len(d.Troubles) != len(kinds)-1 || len(d.Releases) != 1 {
--- a/internal/measure/match.go
+++ b/internal/measure/match.go
@@ -108,18 +108,18 @@
 		_, values := randomTransaction(rng, routeCount)
 		var attributes []byte
 		for _, name := range []string{"depot", "class", "kind", "size", "temp", "urgent", "age"} {
-			var v match.Carried
+			var v match.RawValue
 			switch x := values[name].(type) {
 			case string:
 				v.Text = x
 			case int64:
-				v.Kind, v.Num = match.Whole, x
+				v.Kind, v.Int = match.Int, x
 			case float64:
-				v.Kind, v.Fig = match.Measure, x
+				v.Kind, v.Float = match.Measure, x
 			case bool:
-				v.Kind, v.Num = match.Flag, 1
+				v.Kind, v.Int = match.Bool, 1
 			case time.Duration:
-				v.Kind, v.Num = match.Span, x.Microseconds()
+				v.Kind, v.Int = match.Duration, x.Microseconds()
 			}
 			attributes = wire.AppendAttribute(attributes, name, &v)
 		}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,5 +1,7 @@
-// Package platform is the ends of a sentry on the operators' platform: clients and workers in RESP2, discovery over
-// HTTP, votes and news in lines of text, peers in datagrams. It decides nothing.
+// Package platform implements sentry.Transport for the operators' platform and reads the platform's configuration.
+// Clients and workers use RESP2 over TCP, discovery serves the list of servers over HTTP, the control plane takes votes
+// and reports the release status in lines of text over TCP, and peers exchange UDP datagrams. A Platform connects one
+// sentry to all of them; it makes no routing or release decisions.
 package platform
 
 import (
@@ -18,39 +20,39 @@
 	"scalechute/logic"
 )
 
-// Post is what the platform's configuration tells a sentry.
+// Config is the platform's configuration for one sentry.
 type Config struct {
 	Name                 string
 	DiscoveryAddress     string
 	ControlPlaneAddress  string
 	PeerListenAddress    string
 	PeerBroadcastAddress string
-	PeerAddresses        []string // by position
+	PeerAddresses        []string // by the peers' positions
 	MemoryMB             int64
 	Cores                float64
-	MaxSockets           int
-	ReleaseStatus        *pb.News
-	InitialList          *pb.Report
+	MaxSockets           int        // file descriptors of the process
+	ReleaseStatus        *pb.News   // as of the configuration; nil if it has none
+	InitialList          *pb.Report // the worker list as of the configuration
 	Settings             *orders.Settings
 	names                *facts.Names
-	wall                 *clock.WallClock
+	wallClock            *clock.WallClock
 }
 
-// ReadPost reads the configuration that the environment names.
+// ReadConfig reads the configuration from a JSON file.
 func ReadConfig(file string) (*Config, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	p, err := parsePost(raw)
+	config, err := parseConfig(raw)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	return p, nil
+	return config, nil
 }
 
-// news is where a build stands, as the configuration and the desk's lines tell it alike.
-type news struct {
+// releaseStatus is the state of a release, as both the configuration and the control plane's lines give it.
+type releaseStatus struct {
 	Build uint32
 	Stage uint32
 	Phase string
@@ -58,95 +60,98 @@
 	AgeMS float64 `json:"age_ms"`
 }
 
-func parsePost(raw []byte) (*Config, error) {
-	var f struct {
+// parseConfig parses and checks the JSON text of a configuration.
+func parseConfig(raw []byte) (*Config, error) {
+	var file struct {
 		Name, Listen, Discovery, Seed string
 		Limits                        struct {
 			Cores    float64
 			MemoryMB int64 `json:"memory_mb"`
 			Sockets  int
 		}
-		PeerListen string `json:"peer_listen"`
-		Peers      []string
-		PeersAll   string `json:"peers_all"`
-		Desk       struct {
+		PeerListen   string `json:"peer_listen"`
+		Peers        []string
+		PeersAll     string `json:"peers_all"`
+		ControlPlane struct {
 			Address string
-			News    *news
+			News    *releaseStatus
 		} `json:"release_api"`
-		Known    *targets
+		Known    *targetList
 		Settings json.RawMessage
 	}
-	if err := json.Unmarshal(raw, &f); err != nil {
+	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, fmt.Errorf("found no configuration, expected one in JSON: %w", err)
 	}
-	for _, x := range []struct{ name, address string }{{"listen", f.Listen}, {"discovery", f.Discovery},
-		{"release_api.address", f.Desk.Address}} {
-		if _, _, err := net.SplitHostPort(x.address); err != nil {
-			return nil, fmt.Errorf("%s: found %q, expected an address and a port", x.name, x.address)
+	for _, endpoint := range []struct{ name, address string }{{"listen", file.Listen}, {"discovery", file.Discovery},
+		{"release_api.address", file.ControlPlane.Address}} {
+		if _, _, err := net.SplitHostPort(endpoint.address); err != nil {
+			return nil, fmt.Errorf("%s: found %q, expected an address and a port", endpoint.name, endpoint.address)
 		}
 	}
-	if f.Limits.MemoryMB < 1 || f.Limits.Sockets < 4*ownSockets || !(f.Limits.Cores > 0) {
-		return nil, fmt.Errorf("limits: found %+v, expected cores, megabytes, and at least %d sockets", f.Limits, 4*ownSockets)
+	if file.Limits.MemoryMB < 1 || file.Limits.Sockets < 4*reservedSockets || !(file.Limits.Cores > 0) {
+		return nil, fmt.Errorf("limits: found %+v, expected cores, megabytes, and at least %d sockets", file.Limits, 4*reservedSockets)
 	}
 	zones := map[string]logic.ZoneID{}
-	standing, names, err := facts.DecodeConfig(f.Settings, zones)
+	policy, names, err := facts.DecodeConfig(file.Settings, zones)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if len(names.Profiles) == 0 || standing.Position < 0 || int(standing.Position) >= standing.Sentries ||
-		standing.MaxHandOffs < 1 || standing.ConnectTimeout < 1 {
+	if len(names.Profiles) == 0 || policy.Position < 0 || int(policy.Position) >= policy.Sentries ||
+		policy.MaxHandOffs < 1 || policy.ConnectTimeout < 1 {
 		return nil, fmt.Errorf("settings: found %d classes, position %d of %d, %d attempts, %d us to connect, expected each",
-			len(names.Profiles), standing.Position, standing.Sentries, standing.MaxHandOffs, standing.ConnectTimeout)
+			len(names.Profiles), policy.Position, policy.Sentries, policy.MaxHandOffs, policy.ConnectTimeout)
 	}
-	if err := sound(standing, names); err != nil {
+	if err := validateSettings(policy, names); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	standing.ListChangeDelay = logic.Micros(noticeWithin / time.Microsecond)
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	policy.ListChangeDelay = logic.Micros(listChangeDelay / time.Microsecond)
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed: found %q, expected a number of 16 digits", f.Seed)
-	}
-	p := &Config{Name: f.Name, DiscoveryAddress: f.Discovery, ControlPlaneAddress: f.Desk.Address, PeerListenAddress: f.PeerListen, PeerAddresses: f.Peers,
-		PeerBroadcastAddress: f.PeersAll, MemoryMB: f.Limits.MemoryMB, Cores: f.Limits.Cores, MaxSockets: f.Limits.Sockets, names: names,
-		InitialList: &pb.Report{Whole: true}, wall: clock.NewWallClock()}
-	if f.Known != nil {
-		if p.InitialList, err = f.Known.report(p.wall); err != nil {
+		return nil, fmt.Errorf("seed: found %q, expected a number of 16 digits", file.Seed)
+	}
+	config := &Config{Name: file.Name, DiscoveryAddress: file.Discovery, ControlPlaneAddress: file.ControlPlane.Address,
+		PeerListenAddress: file.PeerListen, PeerAddresses: file.Peers, PeerBroadcastAddress: file.PeersAll,
+		MemoryMB: file.Limits.MemoryMB, Cores: file.Limits.Cores, MaxSockets: file.Limits.Sockets, names: names,
+		InitialList: &pb.Report{Whole: true}, wallClock: clock.NewWallClock()}
+	if file.Known != nil {
+		if config.InitialList, err = file.Known.toReport(config.wallClock); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	if f.Desk.News != nil {
-		if p.ReleaseStatus, err = f.Desk.News.told(); err != nil {
+	if file.ControlPlane.News != nil {
+		if config.ReleaseStatus, err = file.ControlPlane.News.toProto(); err != nil {
 			return nil, fmt.Errorf("release_api: %w", err)
 		}
 	}
-	p.Settings = &orders.Settings{Policy: standing, Endpoints: orders.Endpoints{Listen: f.Listen, Seed: int64(seed)},
-		ProfileNames: byPlace(names.Profiles), AccountNames: byPlace(names.Accounts), Zones: byPlace(zones)}
-	ways := p.MaxSockets - p.clientLimit() - ownSockets
-	p.Settings.Bounds = orders.Bounds{InboxEvents: 1024, OpenTransactions: p.MaxSockets, ConnectionsPerWorker: ways, HandOffsPerConnection: max(1, names.StreamsPerConnection),
-		WorkerConnections: ways, IdleTimeoutDivisor: 2}
-	return p, nil
+	config.Settings = &orders.Settings{Policy: policy, Endpoints: orders.Endpoints{Listen: file.Listen, Seed: int64(seed)},
+		ProfileNames: namesByIndex(names.Profiles), AccountNames: namesByIndex(names.Accounts), Zones: namesByIndex(zones)}
+	maxWorkerConns := config.MaxSockets - config.maxClients() - reservedSockets
+	config.Settings.Bounds = orders.Bounds{InboxEvents: 1024, OpenTransactions: config.MaxSockets, ConnectionsPerWorker: maxWorkerConns,
+		HandOffsPerConnection: max(1, names.StreamsPerConnection), WorkerConnections: maxWorkerConns, IdleTimeoutDivisor: 2}
+	return config, nil
 }
 
-// sound refuses settings that contradict themselves.
-func sound(o logic.Config, names *facts.Names) error {
-	for _, x := range [...]struct {
+// validateSettings checks that each class and tenant has a name of its own, and that each class has its times.
+func validateSettings(config logic.Config, names *facts.Names) error {
+	for _, count := range [...]struct {
 		what         string
 		named, given int
-	}{{"classes", len(names.Profiles), len(o.Profiles)}, {"tenants", len(names.Accounts), len(o.Accounts)}} {
-		if x.named != x.given {
-			return fmt.Errorf("found %d names of %d %s, expected one of its own for each", x.named, x.given, x.what)
+	}{{"classes", len(names.Profiles), len(config.Profiles)}, {"tenants", len(names.Accounts), len(config.Accounts)}} {
+		if count.named != count.given {
+			return fmt.Errorf("found %d names of %d %s, expected one of its own for each", count.named, count.given, count.what)
 		}
 	}
 	for name, i := range names.Profiles {
-		if p := o.Profiles[i]; name == "" || p.DueTime <= 0 || p.MaxDeadline <= 0 {
-			return fmt.Errorf("class %q: found an aim of %d us and a deadline of %d us, expected a name and both", name, p.DueTime, p.MaxDeadline)
+		if profile := config.Profiles[i]; name == "" || profile.DueTime <= 0 || profile.MaxDeadline <= 0 {
+			return fmt.Errorf("class %q: found an aim of %d us and a deadline of %d us, expected a name and both",
+				name, profile.DueTime, profile.MaxDeadline)
 		}
 	}
 	return nil
 }
 
-// byPlace lists names by their numbers.
-func byPlace[ID ~int](names map[string]ID) []string {
+// namesByIndex turns a map from names to indexes into a slice of names.
+func namesByIndex[ID ~int](names map[string]ID) []string {
 	list := make([]string, len(names))
 	for name, i := range names {
 		list[i] = name
@@ -154,18 +159,20 @@
 	return list
 }
 
-// ownSockets are descriptors for all but clients and workers: the listener, pollers, discovery, desk, peers, standard ones,
-// and connections that close while others are accepted.
-const ownSockets = 40
+// reservedSockets is the number of descriptors for other uses than clients and workers: the listener, pollers,
+// discovery, the control plane, peers, standard streams, and connections that are closing while others are accepted.
+const reservedSockets = 40
 
-// clientLimit is how many clients may be connected: those that ask need a third of the descriptors at the most.
-func (p *Config) clientLimit() int { return p.MaxSockets / 3 }
+// maxClients returns the limit on client connections. Clients that send requests need at most a third of the
+// descriptors.
+func (c *Config) maxClients() int { return c.MaxSockets / 3 }
 
-// noticeWithin is how long after discovery had a change it counts as told, whether or not it arrived (PROTOCOL, Figures).
-const noticeWithin = 6 * time.Second
+// listChangeDelay is the time after a change at discovery from which a sentry counts as notified of it, whether or not
+// the change arrived (PROTOCOL page, Figures).
+const listChangeDelay = 6 * time.Second
 
-// targets is what discovery tells.
-type targets struct {
+// targetList is a response of discovery: the list of servers, or what changed in it.
+type targetList struct {
 	Rev     uint64
 	All     bool
 	Targets []struct {
@@ -180,52 +187,54 @@
 	}
 }
 
-var states = map[string]pb.Line_State{"active": pb.Line_READY, "leaving": pb.Line_DRAINING, "left": pb.Line_GONE}
+// targetStates maps discovery's states of a server to those of a worker.
+var targetStates = map[string]pb.Line_State{"active": pb.Line_READY, "leaving": pb.Line_DRAINING, "left": pb.Line_GONE}
 
-// report gives what discovery told in the sentry's terms. A server's start comes as a stamp of the platform's clock.
-func (t *targets) report(wall *clock.WallClock) (*pb.Report, error) {
-	m := &pb.Report{Whole: t.All, Version: t.Rev}
-	for _, x := range t.Targets {
-		state, ok := states[x.State]
+// toReport converts a response to the sentry's form. Discovery gives a server's start time by the platform's clock.
+func (t *targetList) toReport(wall *clock.WallClock) (*pb.Report, error) {
+	report := &pb.Report{Whole: t.All, Version: t.Rev}
+	for _, target := range t.Targets {
+		state, ok := targetStates[target.State]
 		if !ok {
-			return nil, fmt.Errorf("target %s: found state %q, expected active, leaving or left", x.UID, x.State)
+			return nil, fmt.Errorf("target %s: found state %q, expected active, leaving or left", target.UID, target.State)
 		}
-		if _, _, err := net.SplitHostPort(x.Endpoint); x.UID == "" || err != nil && state != pb.Line_GONE {
-			return nil, fmt.Errorf("target %q: found endpoint %q, expected an id and an address with a port", x.UID, x.Endpoint)
+		if _, _, err := net.SplitHostPort(target.Endpoint); target.UID == "" || err != nil && state != pb.Line_GONE {
+			return nil, fmt.Errorf("target %q: found endpoint %q, expected an id and an address with a port", target.UID, target.Endpoint)
 		}
-		line := &pb.Line{Id: x.UID, Address: x.Endpoint, Build: x.Release, Zone: x.AZ, Cell: x.PodGroup, Size: x.Hint,
-			State: state, Life: uint64(x.BootMS)<<20 ^ uint64(x.Release)} // another build is another life
-		if x.BootMS > 0 {
-			line.Young, line.Age = true, uint64(wall.Age(time.UnixMilli(x.BootMS))/time.Microsecond)
+		line := &pb.Line{Id: target.UID, Address: target.Endpoint, Build: target.Release, Zone: target.AZ,
+			Cell: target.PodGroup, Size: target.Hint, State: state, Life: uint64(target.BootMS)<<20 ^ uint64(target.Release)} // a new build is a new process
+		if target.BootMS > 0 {
+			line.Young, line.Age = true, uint64(wall.Age(time.UnixMilli(target.BootMS))/time.Microsecond)
 		}
-		m.Lines = append(m.Lines, line)
+		report.Lines = append(report.Lines, line)
 	}
-	return m, nil
+	return report, nil
 }
 
-var phases = map[string]logic.Phase{"Progressing": logic.OnTrial, "Aborting": logic.RollingBack, "Healthy": logic.Released,
+// phasesByName maps the platform's names for the phases of a release.
+var phasesByName = map[string]logic.Phase{"Progressing": logic.OnTrial, "Aborting": logic.RollingBack, "Healthy": logic.Released,
 	"Aborted": logic.Withdrawn}
 
-// told is the news, if it holds together.
-func (n *news) told() (*pb.News, error) {
-	phase, known := phases[n.Phase]
-	if !known || !(n.Cap >= 0 && n.Cap <= 1) || !(n.AgeMS >= 0 && n.AgeMS < 1e12) {
-		return nil, fmt.Errorf("news: found %+v, expected a phase, a cap from 0 to 1 and an age", *n)
+// toProto converts the status to the sentry's form and checks its values.
+func (s *releaseStatus) toProto() (*pb.News, error) {
+	phase, known := phasesByName[s.Phase]
+	if !known || !(s.Cap >= 0 && s.Cap <= 1) || !(s.AgeMS >= 0 && s.AgeMS < 1e12) {
+		return nil, fmt.Errorf("news: found %+v, expected a phase, a cap from 0 to 1 and an age", *s)
 	}
-	return &pb.News{Valid: true, Build: n.Build, Stage: n.Stage, Phase: uint32(phase), Cap: n.Cap, Age: uint64(n.AgeMS * 1000)}, nil
+	return &pb.News{Valid: true, Build: s.Build, Stage: s.Stage, Phase: uint32(phase), Cap: s.Cap, Age: uint64(s.AgeMS * 1000)}, nil
 }
 
-// readNews reads a line's words: build, stage, phase, cap and age.
-func readNews(words []string) (*pb.News, error) {
+// parseReleaseStatus parses the words of a line: build, stage, phase, cap and age in milliseconds.
+func parseReleaseStatus(words []string) (*pb.News, error) {
 	if len(words) != 5 {
 		return nil, fmt.Errorf("news: found %d words, expected 5", len(words))
 	}
 	build, err1 := strconv.ParseUint(words[0], 10, 31)
 	stage, err2 := strconv.ParseUint(words[1], 10, 16)
-	share, err3 := strconv.ParseFloat(words[3], 64)
+	exposureCap, err3 := strconv.ParseFloat(words[3], 64)
 	age, err4 := strconv.ParseUint(words[4], 10, 40)
 	if err := cmp.Or(err1, err2, err3, err4); err != nil {
 		return nil, fmt.Errorf("news: %w", err)
 	}
-	return (&news{uint32(build), uint32(stage), words[2], share, float64(age)}).told()
+	return (&releaseStatus{uint32(build), uint32(stage), words[2], exposureCap, float64(age)}).toProto()
 }
