--- a/cmd/scalechute/drill.go
+++ b/cmd/scalechute/drill.go
@@ -14,17 +14,17 @@
 
 // drillCommand returns the command that runs a drill and audits it.
 func drillCommand() *cobra.Command {
-	var outDir, faultName, dayFile string
+	var outDir, breachName, dayFile string
 	var noBaseline bool
 	c := &cobra.Command{
 		Use:   "drill FILE [--out DIR] [--break RULE] [--from-day DAY]",
 		Short: "Run a scripted drill with faults on loopback and audit the five rules; exit 0 only if all rules are kept",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if _, err := sentry.ParseBreach(faultName); err != nil {
+			if _, err := sentry.ParseBreach(breachName); err != nil {
 				return err
 			}
-			day, err := drill.Load(args[0])
+			scenario, err := drill.Load(args[0])
 			if err != nil {
 				return err
 			}
@@ -33,7 +33,7 @@
 				if err != nil {
 					return err
 				}
-				if err := day.Take(data); err != nil {
+				if err := scenario.ApplyBenchDay(data); err != nil {
 					return fmt.Errorf("%s: %w", dayFile, err)
 				}
 			}
@@ -47,31 +47,31 @@
 				}
 				defer os.RemoveAll(outDir)
 			}
-			options := drill.Plan{Program: selfCommand(executable), Dir: filepath.Join(outDir, "module"), Break: faultName,
-				Say: func(format string, a ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", a...) }}
-			result, err := drill.Run(day, options)
+			options := drill.Options{Program: selfCommand(executable), Dir: filepath.Join(outDir, "module"), BrokenRule: breachName,
+				Logf: func(format string, a ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", a...) }}
+			result, err := drill.Run(scenario, options)
 			if err != nil {
 				return err
 			}
 			results := []*drill.Result{result}
-			if day.Baseline && !noBaseline && faultName == "" {
-				options.Random, options.Dir = true, filepath.Join(outDir, "random")
-				options.Say("the same drill with workers chosen at random:")
-				baseline, err := drill.Run(day, options)
+			if scenario.RunBaseline && !noBaseline && breachName == "" {
+				options.RandomWorkers, options.Dir = true, filepath.Join(outDir, "random")
+				options.Logf("the same drill with workers chosen at random:")
+				baseline, err := drill.Run(scenario, options)
 				if err != nil {
 					return err
 				}
 				results = append(results, baseline)
 			}
 			drill.Print(c.OutOrStdout(), results...)
-			if !result.Good() {
+			if !result.Passed() {
 				return errors.New("the rules are not kept")
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&outDir, "out", "", "directory for reports and the sentries' settings and logs; a temporary one if empty")
-	c.Flags().StringVar(&faultName, "break", "", "have the first sentry break a rule on purpose: answer, effect, drain, cold or exposure")
+	c.Flags().StringVar(&outDir, "out", "", "directory for reports and the sentries' settings and logs; if empty, a temporary one that is removed")
+	c.Flags().StringVar(&breachName, "break", "", "have the first sentry break a rule on purpose: answer, effect, drain, cold or exposure")
 	c.Flags().StringVar(&dayFile, "from-day", "", "take the faults and releases of a day file of the benchmark, scaled to this drill")
 	c.Flags().BoolVar(&noBaseline, "no-baseline", false, "skip the baseline run even if the file requests it")
 	return c
--- a/cmd/scalechute/drill_test.go
+++ b/cmd/scalechute/drill_test.go
@@ -27,19 +27,19 @@
 }
 
 // runDrill runs a drill in a temporary directory, with a fault in the first sentry if one is named.
-func runDrill(t *testing.T, day *drill.Day, faultName string) *drill.Result {
+func runDrill(t *testing.T, scenario *drill.Scenario, breachName string) *drill.Result {
 	t.Helper()
-	return runDrillIn(t, t.TempDir(), day, faultName)
+	return runDrillIn(t, t.TempDir(), scenario, breachName)
 }
 
 // runDrillIn runs a drill in a directory. If it cannot run, it logs the sentries' logs.
-func runDrillIn(t *testing.T, dir string, day *drill.Day, faultName string) *drill.Result {
+func runDrillIn(t *testing.T, dir string, scenario *drill.Scenario, breachName string) *drill.Result {
 	t.Helper()
 	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := drill.Run(day, drill.Plan{Program: []string{executable}, Dir: dir, Break: faultName, Say: t.Logf})
+	r, err := drill.Run(scenario, drill.Options{Program: []string{executable}, Dir: dir, BrokenRule: breachName, Logf: t.Logf})
 	if err != nil {
 		logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 		for _, l := range logs {
@@ -52,7 +52,7 @@
 }
 
 // loadDay reads a file of the folder drills, with pairs of old and new text replaced in it.
-func loadDay(t *testing.T, name string, replacements ...string) *drill.Day {
+func loadScenario(t *testing.T, name string, replacements ...string) *drill.Scenario {
 	t.Helper()
 	name = "../../drills/" + name
 	data, err := os.ReadFile(name)
@@ -78,18 +78,18 @@
 func TestShortDay(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	r := runDrillIn(t, dir, loadDay(t, "short-day.hcl"), "")
+	r := runDrillIn(t, dir, loadScenario(t, "short-day.hcl"), "")
 	log, err := os.ReadFile(filepath.Join(dir, "sentry-2.log")) // whose settings file is rewritten, every second time with an error
 	for _, message := range []string{"orders loaded", "orders refused, the old ones stay", "block route has 0 labels"} {
 		if n := strings.Count(string(log), message); err != nil || n < 3 {
 			t.Errorf("the log has %q %d times, expected at least 3: %v", message, n, err)
 		}
 	}
-	if !r.Good() {
+	if !r.Passed() {
 		t.Errorf("%s", formatResult(r))
 	}
-	finding := r.Finding
-	if finding.Asked < 500 || finding.Answered < finding.Asked/2 || r.Trial == 0 || r.Restarted < 6 {
+	audit := r.Audit
+	if audit.TriesSent < 500 || audit.TriesAnswered < audit.TriesSent/2 || r.HandOffsToLaterBuilds == 0 || r.SentryStarts < 6 {
 		t.Errorf("too few transactions, answers, hand-offs to the trial or restarts for a valid test:\n%s", formatResult(r))
 	}
 }
@@ -99,12 +99,12 @@
 	for i, name := range sentry.BreachNames {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := runDrill(t, loadDay(t, "breach.hcl"), name)
-			if name == "cold" && r.Fallen == 0 {
+			r := runDrill(t, loadScenario(t, "breach.hcl"), name)
+			if name == "cold" && r.WorkersOverloaded == 0 {
 				t.Errorf("no worker was overloaded\n%s", formatResult(r))
 			}
-			if !slices.Equal(r.Rules, []int{i + 1}) {
-				t.Errorf("rules %v broken, expected %d\n%s", r.Rules, i+1, formatResult(r))
+			if !slices.Equal(r.Violated, []int{i + 1}) {
+				t.Errorf("rules %v broken, expected %d\n%s", r.Violated, i+1, formatResult(r))
 			}
 		})
 	}
@@ -113,8 +113,8 @@
 // TestTroublesOfADay checks that every kind of fault in a day file of the benchmark can be taken into a drill and run.
 func TestTroublesOfADay(t *testing.T) {
 	t.Parallel()
-	d := loadDay(t, "breach.hcl", `length   = "9s"`, `length = "7s"`)
-	kinds := drill.Kinds // bad_build among them, which comes from the releases
+	d := loadScenario(t, "breach.hcl", `length   = "9s"`, `length = "7s"`)
+	kinds := drill.FaultKinds // bad_build among them, which comes from the releases
 	var troubles []string
 	for i, kind := range kinds {
 		troubles = append(troubles, fmt.Sprintf(`{"kind":%q,"at":%d,"len":1500000,"which":1,"on":[1,2],"size":0.5}`,
@@ -126,15 +126,15 @@
 	if err := d.ApplyBenchDay([]byte(day)); err != nil {
 		t.Fatal(err)
 	}
-	if len(d.Troubles) != len(kinds)-1 || len(d.Releases) != 1 {
-		t.Fatalf("took %d faults and %d releases, expected all", len(d.Troubles), len(d.Releases))
+	if len(d.Faults) != len(kinds)-1 || len(d.Releases) != 1 {
+		t.Fatalf("took %d faults and %d releases, expected all", len(d.Faults), len(d.Releases))
 	}
 	r := runDrill(t, d, "")
-	if !r.Good() {
+	if !r.Passed() {
 		t.Errorf("%s", formatResult(r))
 	}
 	for _, invalid := range []string{"", "{}", `{"length":1,"troubles":[{"kind":"flood"}]}`} {
-		if d.Take([]byte(invalid)) == nil {
+		if d.ApplyBenchDay([]byte(invalid)) == nil {
 			t.Errorf("%q is accepted as a day file", invalid)
 		}
 	}
--- a/cmd/scalechute/main.go
+++ b/cmd/scalechute/main.go
@@ -40,7 +40,7 @@
 
 // sentryCommand returns the command that runs one sentry.
 func sentryCommand() *cobra.Command {
-	var configFile, levelName, faultName, profileFile string
+	var configFile, levelName, breachName, profileFile string
 	var random, onPlatform bool
 	var pollInterval time.Duration
 	c := &cobra.Command{
@@ -49,7 +49,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if onPlatform {
-				return servePlatform(levelName, faultName)
+				return servePlatform(levelName, breachName)
 			}
 			if configFile == "" {
 				return errors.New("found neither --config nor --platform, expected one")
@@ -62,7 +62,7 @@
 			if err != nil {
 				return fmt.Errorf("level: found %q, expected debug, info, warn or error", levelName)
 			}
-			breach, err := sentry.ParseBreach(faultName)
+			breach, err := sentry.ParseBreach(breachName)
 			if err != nil {
 				return err
 			}
@@ -70,7 +70,7 @@
 			log := zerolog.New(os.Stderr).Level(level).With().Timestamp().
 				Int("sentry", int(settings.Policy.Position)).Logger()
 			if breach != sentry.NoBreach {
-				log.Warn().Str("rule", faultName).Msg("fault injection: this sentry breaks a rule on purpose")
+				log.Warn().Str("rule", breachName).Msg("fault injection: this sentry breaks a rule on purpose")
 			}
 			if profileFile != "" {
 				f, err := os.Create(profileFile)
@@ -113,7 +113,7 @@
 	}
 	c.Flags().StringVar(&configFile, "config", "", "the sentry's settings file (HCL)")
 	c.Flags().StringVar(&levelName, "level", "info", "minimum level of log lines: debug, info, warn or error")
-	c.Flags().StringVar(&faultName, "break", "", "break a rule on purpose: answer, effect, drain, cold or exposure; with --platform close, skip or swap")
+	c.Flags().StringVar(&breachName, "break", "", "break a rule on purpose: answer, effect, drain, cold or exposure; with --platform close, skip or swap")
 	c.Flags().StringVar(&profileFile, "profile", "", "write a CPU profile of the whole run to this file")
 	c.Flags().DurationVar(&pollInterval, "watch", time.Second, "interval at which the settings files are checked for changes; 0: only at SIGHUP")
 	c.Flags().BoolVar(&onPlatform, "platform", false, "run on the operators' platform, with the configuration that EDGE_CONFIG names")
@@ -190,8 +190,8 @@
 					settings.Policy.Position, settings.Policy.Sentries, len(settings.ProfileNames), len(settings.AccountNames),
 					len(settings.Zones), settings.Routes.Summary())
 				if settings.Routes != nil {
-					for _, note := range settings.Routes.Notes {
-						fmt.Fprintln(c.OutOrStdout(), note)
+					for _, warning := range settings.Routes.Warnings {
+						fmt.Fprintln(c.OutOrStdout(), warning)
 					}
 				}
 			}
--- a/cmd/scalechute/match.go
+++ b/cmd/scalechute/match.go
@@ -15,7 +15,7 @@
 // matchCommand returns the commands with which an operator tries routes. docs/routes.md describes them.
 func matchCommand() *cobra.Command {
 	c := &cobra.Command{Use: "match", Short: "Check, evaluate, explain and test the routes of a settings file"}
-	load := func(name string) (*routes.Book, error) {
+	load := func(name string) (*routes.RouteSet, error) {
 		return routes.Load(name, append(append([]string{"sentry"}, orders.SharedBlocks...), drill.Blocks...)...)
 	}
 	check := &cobra.Command{
@@ -30,8 +30,8 @@
 					fmt.Fprintln(c.ErrOrStderr(), err)
 					continue
 				}
-				for _, note := range routeSet.Notes {
-					fmt.Fprintln(c.OutOrStdout(), note)
+				for _, warning := range routeSet.Warnings {
+					fmt.Fprintln(c.OutOrStdout(), warning)
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: good; %d attributes, %d named expressions, %d routes, %d cases\n", name,
 					len(routeSet.Schema.Attributes), len(routeSet.Definitions), len(routeSet.Table.Routes), len(routeSet.Cases))
@@ -66,11 +66,11 @@
 				}
 				pairs = append(pairs, hclread.Pair{Name: name, Values: []string{value}})
 			}
-			record, mismatches := routeSet.Record(pairs)
+			record, mismatches := routeSet.ParseRecord(pairs)
 			for _, mismatch := range mismatches {
 				fmt.Fprintf(c.OutOrStdout(), "treated as missing: %v\n", mismatch.Err)
 			}
-			routeSet.Tell(c.OutOrStdout(), record, limitUnlessAll(20))
+			routeSet.WriteMatch(c.OutOrStdout(), record, limitUnlessAll(20))
 			return nil
 		},
 	}
@@ -83,7 +83,7 @@
 			if err != nil {
 				return err
 			}
-			routeSet.Explain(c.OutOrStdout(), limitUnlessAll(20))
+			routeSet.WriteExplanation(c.OutOrStdout(), limitUnlessAll(20))
 			return nil
 		},
 	}
@@ -100,7 +100,7 @@
 				if len(routeSet.Cases) == 0 {
 					return fmt.Errorf("%s: found no case, expected at least one", name)
 				}
-				failed := routeSet.Test()
+				failed := routeSet.RunCases()
 				for _, f := range failed {
 					fmt.Fprintln(c.OutOrStdout(), f)
 				}
--- a/cmd/scalechute/plan.go
+++ b/cmd/scalechute/plan.go
@@ -28,11 +28,11 @@
 			if err != nil {
 				return err
 			}
-			starts, complete := plan.Earliest(now)
+			starts, complete := plan.EarliestSchedule(now)
 			table := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
 			for i, start := range starts {
 				fmt.Fprintf(table, "%s\twave %s\tshare %g\tcap %g\tbake %v\t%s\n", start.Format(time.RFC3339), plan.Waves[i].Name, plan.Waves[i].Share,
-					plan.Waves[i].Cap, plan.Waves[i].Bake, plan.Summary(i))
+					plan.Waves[i].Cap, plan.Waves[i].Bake, plan.WaveSummary(i))
 			}
 			fmt.Fprintf(table, "%s\tcomplete, if votes and approvals arrive without delay\n", complete.Format(time.RFC3339))
 			return table.Flush()
--- a/cmd/scalechute/soak_test.go
+++ b/cmd/scalechute/soak_test.go
@@ -48,14 +48,14 @@
 
 // TestSoakNamesEachBreak checks that the audit reports each injected fault as the outcome that it causes.
 func TestSoakNamesEachBreak(t *testing.T) {
-	for faultName, want := range map[string]soak.Outcome{"close": soak.Dropped, "skip": soak.Skipped, "swap": soak.Swapped} {
-		result, err := soak.Run(soak.FaultPlan(1, faultName), soak.Options{Program: []string{os.Args[0]}})
+	for breachName, want := range map[string]soak.Outcome{"close": soak.Dropped, "skip": soak.Skipped, "swap": soak.Swapped} {
+		result, err := soak.Run(soak.FaultPlan(1, breachName), soak.Options{Program: []string{os.Args[0]}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Log(result)
 		if result.Passed() || result.Requests[want] == 0 {
-			t.Errorf("--break %s: %v, expected %v", faultName, result, want)
+			t.Errorf("--break %s: %v, expected %v", breachName, result, want)
 		}
 	}
 }
--- a/internal/measure/match.go
+++ b/internal/measure/match.go
@@ -152,7 +152,7 @@
 func RunMatch(n int) (*MatchResult, error) {
 	source := []byte("profile \"reading\" {}\n" + routesSource(n))
 	result := &MatchResult{RouteCount: n, LoadTime: time.Hour}
-	var routeSet *routes.Book
+	var routeSet *routes.RouteSet
 	for range 3 { // the shortest of three: the first run also fills caches
 		runtime.GC()
 		start := time.Now()
@@ -162,7 +162,7 @@
 		}
 		routeSet, result.LoadTime = parsed, min(result.LoadTime, time.Since(start))
 	}
-	checker, err := match.NewChecker(routeSet.Schema, routeSet.Limit)
+	checker, err := match.NewCompiler(routeSet.Schema, routeSet.CostLimit)
 	if err != nil {
 		return nil, err
 	}
@@ -189,7 +189,7 @@
 	records, attributeMaps := make([]*match.Record, 64), make([]map[string]any, 64)
 	for i := range records {
 		pairs, attributes := randomTransaction(rng, n)
-		records[i], _ = routeSet.Record(pairs)
+		records[i], _ = routeSet.ParseRecord(pairs)
 		attributeMaps[i] = attributes
 	}
 	scan := func(result *match.Record) int {
@@ -200,7 +200,7 @@
 	}
 	lastMatched := -1
 	for i := range records {
-		byIndex, byScan, byCEL := routeSet.Table.First(records[i]), scan(records[i]), scanCEL(attributeMaps[i])
+		byIndex, byScan, byCEL := routeSet.Table.FirstMatch(records[i]), scan(records[i]), scanCEL(attributeMaps[i])
 		if byIndex != byScan || byScan != byCEL {
 			result.Mismatched++
 		}
@@ -209,7 +209,7 @@
 			lastMatched = i
 		}
 	}
-	result.IndexNs, result.IndexAllocs = timeCall(func(i int) { routeSet.Table.First(records[i%64]) })
+	result.IndexNs, result.IndexAllocs = timeCall(func(i int) { routeSet.Table.FirstMatch(records[i%64]) })
 	result.ScanNs, _ = timeCall(func(i int) { scan(records[i%64]) })
 	result.CELNs, result.CELAllocs = timeCall(func(i int) { scanCEL(attributeMaps[i%64]) })
 	if lastMatched >= 0 {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -328,7 +328,7 @@
 		message.Key = c.keyBuffer
 	} else {
 		c.attributesBuffer = wire.AppendAttribute(append(c.attributesBuffer[:0], samples[c.lastID%uint64(len(samples))]...), "id",
-			&match.Carried{Kind: match.Text, Text: string(c.keyBuffer)})
+			&match.RawValue{Kind: match.Text, Text: string(c.keyBuffer)})
 		message.Attributes = c.attributesBuffer
 	}
 	c.link.Put(wire.KindAsk, message)
