--- a/cmd/scalechute/drill_test.go
+++ b/cmd/scalechute/drill_test.go
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// runDrill runs a drill in a temporary directory, with a fault in the first sentry if one is named.
+// runDrill runs a drill in a temporary directory. If a breach is named, the first sentry breaks that rule on purpose.
 func runDrill(t *testing.T, scenario *drill.Scenario, breachName string) *drill.Result {
 	t.Helper()
 	return runDrillIn(t, t.TempDir(), scenario, breachName)
@@ -51,7 +51,7 @@
 	return r
 }
 
-// loadDay reads a file of the folder drills, with pairs of old and new text replaced in it.
+// loadScenario reads a file of the folder drills, with pairs of old and new text replaced in it.
 func loadScenario(t *testing.T, name string, replacements ...string) *drill.Scenario {
 	t.Helper()
 	name = "../../drills/" + name
--- a/cmd/scalechute/main.go
+++ b/cmd/scalechute/main.go
@@ -171,7 +171,7 @@
 		Short: "Check settings files of sentries; each error is one line with the file, the line and what was expected",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			faultyFiles := 0
+			invalidFiles := 0
 			var running *orders.Settings
 			if runningFile != "" {
 				var err error
@@ -182,7 +182,7 @@
 			for _, name := range files {
 				settings, err := orders.LoadUpdate(name, running)
 				if err != nil {
-					faultyFiles++
+					invalidFiles++
 					fmt.Fprintln(c.ErrOrStderr(), err)
 					continue
 				}
@@ -195,8 +195,8 @@
 					}
 				}
 			}
-			if faultyFiles > 0 {
-				return fmt.Errorf("%d of %d files have errors", faultyFiles, len(files))
+			if invalidFiles > 0 {
+				return fmt.Errorf("%d of %d files have errors", invalidFiles, len(files))
 			}
 			return nil
 		},
--- a/cmd/scalechute/match.go
+++ b/cmd/scalechute/match.go
@@ -22,11 +22,11 @@
 		Use: "check FILE...", Short: "Check routes; each error is one line with the file, line, column, what was found and what was expected",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			faultyFiles := 0
+			invalidFiles := 0
 			for _, name := range files {
 				routeSet, err := load(name)
 				if err != nil {
-					faultyFiles++
+					invalidFiles++
 					fmt.Fprintln(c.ErrOrStderr(), err)
 					continue
 				}
@@ -36,8 +36,8 @@
 				fmt.Fprintf(c.OutOrStdout(), "%s: good; %d attributes, %d named expressions, %d routes, %d cases\n", name,
 					len(routeSet.Schema.Attributes), len(routeSet.Definitions), len(routeSet.Table.Routes), len(routeSet.Cases))
 			}
-			if faultyFiles > 0 {
-				return fmt.Errorf("%d of %d files have errors", faultyFiles, len(files))
+			if invalidFiles > 0 {
+				return fmt.Errorf("%d of %d files have errors", invalidFiles, len(files))
 			}
 			return nil
 		},
--- a/cmd/scalechute/measure.go
+++ b/cmd/scalechute/measure.go
@@ -78,9 +78,9 @@
 		Args: cobra.NoArgs,
 		RunE: withEnvironment(func(w io.Writer) error {
 			options.Connections, options.InFlightPerConnection, options.Rate = 16, 4, 0
-			// comparePair measures once without routes and once with them. It returns the second as a part of the first, and the
-			// throughput without routes.
-			comparePair := func() (throughput, perCPUSecond, maxThroughput float64, err error) {
+			// comparePair measures once without routes and once with them. It returns the throughput and the throughput per CPU
+			// second with routes relative to those without, and the throughput without routes.
+			comparePair := func() (throughputRatio, perCPURatio, unroutedThroughput float64, err error) {
 				options.RouteCount = 0
 				unrouted, err := measure.RunSentry(options)
 				if err != nil {
@@ -94,22 +94,23 @@
 				measure.PrintResults(w, unrouted, routed)
 				return routed.PerSecond / unrouted.PerSecond, routed.PerCPUSecond / unrouted.PerCPUSecond, unrouted.PerSecond, nil
 			}
+			// compareSeries prints the medians and ranges of several pairs. It returns the highest throughput without routes.
 			compareSeries := func(load string) (maxThroughput float64, err error) {
-				var throughputs, perCPUSeconds []float64
+				var throughputRatios, perCPURatios []float64
 				for range rounds {
-					throughput, perCPUSecond, throughputOfPair, err := comparePair()
+					throughputRatio, perCPURatio, unroutedThroughput, err := comparePair()
 					if err != nil {
 						return 0, err
 					}
-					throughputs, perCPUSeconds, maxThroughput = append(throughputs, throughput),
-						append(perCPUSeconds, perCPUSecond), max(maxThroughput, throughputOfPair)
+					throughputRatios, perCPURatios, maxThroughput = append(throughputRatios, throughputRatio),
+						append(perCPURatios, perCPURatio), max(maxThroughput, unroutedThroughput)
 				}
-				slices.Sort(throughputs)
-				slices.Sort(perCPUSeconds)
-				n := len(throughputs)
+				slices.Sort(throughputRatios)
+				slices.Sort(perCPURatios)
+				n := len(throughputRatios)
 				fmt.Fprintf(w, "%s, %d routes relative to none: throughput %.3f (%.3f to %.3f), per CPU second %.3f (%.3f to %.3f); median and range\n",
-					load, routeCount, throughputs[n/2], throughputs[0], throughputs[n-1],
-					perCPUSeconds[n/2], perCPUSeconds[0], perCPUSeconds[n-1])
+					load, routeCount, throughputRatios[n/2], throughputRatios[0], throughputRatios[n-1],
+					perCPURatios[n/2], perCPURatios[0], perCPURatios[n-1])
 				return maxThroughput, nil
 			}
 			maxThroughput, err := compareSeries("full load")
--- a/internal/benchwire/wire.go
+++ b/internal/benchwire/wire.go
@@ -84,6 +84,8 @@
 	}
 }
 
+// The following methods decode the value at index i. A missing value is zero; a missing required string is an error.
+
 func (f *fieldReader) integer(i int) (v int64)         { f.decode(i, &v, false); return v }
 func (f *fieldReader) real(i int) (v float64)          { f.decode(i, &v, false); return v }
 func (f *fieldReader) boolean(i int) (v bool)          { f.decode(i, &v, false); return v }
@@ -179,11 +181,13 @@
 	return nil
 }
 
+// endingByCode maps the simulator's outcomes of a hand-off.
 var endingByCode = map[string]logic.Ending{
 	"GOOD": logic.Answered, "BAD": logic.Errored, "FULL": logic.TurnedAway, "LATE": logic.TimedOut,
 	"NOCONN": logic.Unconnected, "RST": logic.Broken, "CXL": logic.Cancelled, "NOP": logic.Unsent,
 }
 
+// ending decodes the outcome of a hand-off.
 func (f *fieldReader) ending(i int) logic.Ending {
 	code := f.requiredString(i)
 	ending, ok := endingByCode[code]
@@ -208,6 +212,7 @@
 	return load
 }
 
+// decodeProfile decodes the name of a profile.
 func (inst *instance) decodeProfile(f *fieldReader, i int) logic.ProfileID {
 	name := f.requiredString(i)
 	id, ok := inst.names.Profiles[name]
@@ -219,8 +224,8 @@
 
 // applyEvent decodes one event and makes the module's call for it. It reports whether the kind of event is known; others are
 // ignored.
-func (session *session) applyEvent(inst *instance, f *fieldReader) (result logic.Result, known bool) {
-	sentry, now := inst.sentry, session.now
+func (s *session) applyEvent(inst *instance, f *fieldReader) (result logic.Result, known bool) {
+	sentry, now := inst.sentry, s.now
 	var apply func() logic.Result
 	switch f.kind {
 	case "query":
@@ -260,7 +265,7 @@
 			return sentry.Wake(now)
 		}
 	case "endpoints":
-		apply = session.decodeListEvent(inst, f)
+		apply = s.decodeListEvent(inst, f)
 	case "promotion":
 		voteResult, ok := map[string]logic.VoteResult{
 			"GOOD": logic.VoteAccepted, "NOP": logic.VoteObsolete, "FULL": logic.VoteRefused, "BAD": logic.VoteRefused,
@@ -303,8 +308,8 @@
 }
 
 // decodeListEvent decodes an "endpoints" event, which refers to a census, and returns the module's call for it.
-func (session *session) decodeListEvent(inst *instance, f *fieldReader) func() logic.Result {
-	sentry, now := inst.sentry, session.now
+func (s *session) decodeListEvent(inst *instance, f *fieldReader) func() logic.Result {
+	sentry, now := inst.sentry, s.now
 	kinds := map[string]logic.ListKind{
 		"changes": logic.ListDelta, "all": logic.FullList, "remembered": logic.CachedList,
 	}
@@ -316,13 +321,14 @@
 		}
 		return func() logic.Result { return sentry.ListRequestFailed(now, true) }
 	}
-	list, ok := session.lists[f.integer(3)]
+	list, ok := s.lists[f.integer(3)]
 	if !ok && f.err == nil {
 		f.err = fmt.Errorf("%s: no census %d", f.kind, f.integer(3))
 	}
 	return func() logic.Result { return sentry.ListReceived(now, kind, list) }
 }
 
+// workerStateByCode maps the simulator's health of a worker.
 var workerStateByCode = map[string]logic.WorkerState{"live": logic.Ready, "quiescing": logic.Draining, "dead": logic.Gone}
 
 // storeList decodes a worker list and stores it under its number. Events for any instance may refer to it.
@@ -351,6 +357,7 @@
 	}
 }
 
+// writeMessage writes one action.
 func (s *session) writeMessage(values ...any) {
 	line, err := json.Marshal(values)
 	if err != nil {
@@ -401,7 +408,8 @@
 	for _, logLine := range result.LogLines {
 		s.writeMessage("say_log", id, logLine)
 	}
-	if wakeAt := result.WakeAt; wakeAt > 0 && (len(inst.pendingWakeUps) == 0 || wakeAt < inst.pendingWakeUps[len(inst.pendingWakeUps)-1]) {
+	if wakeAt := result.WakeAt; wakeAt > 0 &&
+		(len(inst.pendingWakeUps) == 0 || wakeAt < inst.pendingWakeUps[len(inst.pendingWakeUps)-1]) {
 		if wakeAt <= s.now {
 			wakeAt = s.now + 1
 		}
--- a/internal/measure/match.go
+++ b/internal/measure/match.go
@@ -162,7 +162,7 @@
 		}
 		routeSet, result.LoadTime = parsed, min(result.LoadTime, time.Since(start))
 	}
-	checker, err := match.NewCompiler(routeSet.Schema, routeSet.CostLimit)
+	compiler, err := match.NewCompiler(routeSet.Schema, routeSet.CostLimit)
 	if err != nil {
 		return nil, err
 	}
@@ -174,7 +174,7 @@
 	}
 	predicates, programs := make([]*match.Predicate, n), make([]cel.Program, n)
 	for i := range n {
-		if predicates[i], err = checker.Predicate(routeSet.Table.Routes[i].When); err != nil {
+		if predicates[i], err = compiler.Predicate(routeSet.Table.Routes[i].When); err != nil {
 			return nil, err
 		}
 		ast, issues := env.Compile(routeCondition(i, `"s%d"`, "%d.0"))
@@ -192,8 +192,8 @@
 		records[i], _ = routeSet.ParseRecord(pairs)
 		attributeMaps[i] = attributes
 	}
-	scan := func(result *match.Record) int {
-		return slices.IndexFunc(predicates, func(p *match.Predicate) bool { return p.Holds(result) })
+	scan := func(record *match.Record) int {
+		return slices.IndexFunc(predicates, func(p *match.Predicate) bool { return p.Holds(record) })
 	}
 	scanCEL := func(attributes map[string]any) int {
 		return slices.IndexFunc(programs, func(p cel.Program) bool { v, _, err := p.Eval(attributes); return err == nil && v.Value() == true })
@@ -246,7 +246,8 @@
 	for _, r := range results {
 		fmt.Fprintf(w, "%6d routes: load %v; index %.0f ns (%.1f allocations), linear search %.0f ns, by cel-go %.0f ns (%.0f allocations); "+
 			"one expression %.0f ns, by cel-go %.0f ns (%.1f times); %d of 64 matched, %d mismatched\n", r.RouteCount,
-			r.LoadTime.Round(100*time.Microsecond), r.IndexNs, r.IndexAllocs, r.ScanNs, r.CELNs, r.CELAllocs, r.PredicateNs, r.CELPredicateNs, r.CELPredicateNs/r.PredicateNs,
+			r.LoadTime.Round(100*time.Microsecond), r.IndexNs, r.IndexAllocs, r.ScanNs, r.CELNs, r.CELAllocs, r.PredicateNs,
+			r.CELPredicateNs, r.CELPredicateNs/r.PredicateNs,
 			r.Matched, r.Mismatched)
 	}
 }
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -42,7 +42,7 @@
 	Duration              time.Duration // of the measurement, without warm-up
 	MaxProcs              int           // GOMAXPROCS of the measured process
 	CPUProfile            string        // file for the sentry's CPU profile, empty for none
-	RouteCount            int           // if above 0, transactions carry eight attributes and are matched to this many routes; 0: they state their profile
+	RouteCount            int           // number of routes for transactions of eight attributes; 0: transactions state their profile
 }
 
 // Result is the result of one measurement.
@@ -53,7 +53,7 @@
 	AllocsEach, BytesEach               float64 // per transaction
 	P50, P99, P999                      time.Duration
 	SatisfiedShare                      float64
-	ResidentBytes, ResidentBytesAtStart int64 // bytes
+	ResidentBytes, ResidentBytesAtStart int64
 	Connections                         int
 }
 
@@ -478,8 +478,9 @@
 func PrintResults(w io.Writer, results ...*Result) {
 	for _, result := range results {
 		fmt.Fprintf(w, "%-7s %7d completed, %8.0f per second, %8.0f per CPU second, %5.1f allocations and %6.0f bytes per transaction, "+
-			"p50 %v p99 %v p99.9 %v, %.2f%% satisfied, %.1f MB resident (%.1f before %d connections)\n", result.Name, result.Completed, result.PerSecond,
-			result.PerCPUSecond, result.AllocsEach, result.BytesEach, result.P50, result.P99, result.P999, 100*result.SatisfiedShare, float64(result.ResidentBytes)/1e6,
+			"p50 %v p99 %v p99.9 %v, %.2f%% satisfied, %.1f MB resident (%.1f before %d connections)\n", result.Name, result.Completed,
+			result.PerSecond, result.PerCPUSecond, result.AllocsEach, result.BytesEach, result.P50, result.P99, result.P999,
+			100*result.SatisfiedShare, float64(result.ResidentBytes)/1e6,
 			float64(result.ResidentBytesAtStart)/1e6, result.Connections)
 	}
 }
