--- a/cmd/scalechute/match.go
+++ b/cmd/scalechute/match.go
@@ -12,104 +12,104 @@
 	"scalechute/internal/routes"
 )
 
-// matchCommand is what an operator tries routes with. docs/routes.md tells how.
+// matchCommand returns the commands with which an operator tries routes. docs/routes.md describes them.
 func matchCommand() *cobra.Command {
-	c := &cobra.Command{Use: "match", Short: "Check, try, explain and test the routes of a sentry's file"}
+	c := &cobra.Command{Use: "match", Short: "Check, evaluate, explain and test the routes of a settings file"}
 	load := func(name string) (*routes.RouteSet, error) {
 		return routes.Load(name, append(append([]string{"sentry"}, orders.SharedBlocks...), drill.Blocks...)...)
 	}
 	check := &cobra.Command{
-		Use: "check FILE...", Short: "Check routes; each fault is a line with file, line, column, what was found and what fits",
+		Use: "check FILE...", Short: "Check routes; each error is one line with the file, line, column, what was found and what was expected",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			bad := 0
+			invalidFiles := 0
 			for _, name := range files {
-				b, err := load(name)
+				routeSet, err := load(name)
 				if err != nil {
-					bad++
+					invalidFiles++
 					fmt.Fprintln(c.ErrOrStderr(), err)
 					continue
 				}
-				for _, n := range b.Warnings {
-					fmt.Fprintln(c.OutOrStdout(), n)
+				for _, warning := range routeSet.Warnings {
+					fmt.Fprintln(c.OutOrStdout(), warning)
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: good; %d attributes, %d named expressions, %d routes, %d cases\n", name,
-					len(b.Schema.Attributes), len(b.Definitions), len(b.Table.Routes), len(b.Cases))
+					len(routeSet.Schema.Attributes), len(routeSet.Definitions), len(routeSet.Table.Routes), len(routeSet.Cases))
 			}
-			if bad > 0 {
-				return fmt.Errorf("%d of %d files have faults", bad, len(files))
+			if invalidFiles > 0 {
+				return fmt.Errorf("%d of %d files have errors", invalidFiles, len(files))
 			}
 			return nil
 		},
 	}
-	var with []string
+	var assignments []string
 	var all bool
-	few := func(n int) int {
+	limitUnlessAll := func(limit int) int {
 		if all {
 			return -1
 		}
-		return n
+		return limit
 	}
 	eval := &cobra.Command{
-		Use: "eval FILE --with NAME=VALUE...", Short: "Say which route takes a transaction, and why earlier ones do not",
+		Use: "eval FILE --with NAME=VALUE...", Short: "Print the route that a transaction matches, and why it does not match earlier ones",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			b, err := load(args[0])
+			routeSet, err := load(args[0])
 			if err != nil {
 				return err
 			}
 			var pairs []hclread.Pair
-			for _, w := range with {
-				name, value, ok := strings.Cut(w, "=")
+			for _, assignment := range assignments {
+				name, value, ok := strings.Cut(assignment, "=")
 				if !ok {
-					return fmt.Errorf("with: found %q, expected name=value", w)
+					return fmt.Errorf("with: found %q, expected name=value", assignment)
 				}
 				pairs = append(pairs, hclread.Pair{Name: name, Values: []string{value}})
 			}
-			r, misfits := b.ParseRecord(pairs)
-			for _, m := range misfits {
-				fmt.Fprintf(c.OutOrStdout(), "left missing: %v\n", m.Err)
+			record, mismatches := routeSet.ParseRecord(pairs)
+			for _, mismatch := range mismatches {
+				fmt.Fprintf(c.OutOrStdout(), "treated as missing: %v\n", mismatch.Err)
 			}
-			b.WriteMatch(c.OutOrStdout(), r, few(20))
+			routeSet.WriteMatch(c.OutOrStdout(), record, limitUnlessAll(20))
 			return nil
 		},
 	}
-	eval.Flags().StringArrayVar(&with, "with", nil, "an attribute, as temp='8 celsius'; elements of a list with commas between")
-	eval.Flags().BoolVar(&all, "all", false, "tell of all earlier routes")
+	eval.Flags().StringArrayVar(&assignments, "with", nil, "an attribute, such as temp='8 celsius'; the elements of a list are separated by commas")
+	eval.Flags().BoolVar(&all, "all", false, "print all earlier routes")
 	explain := &cobra.Command{
-		Use: "explain FILE", Short: "Say what routes cost at the most and how the index finds them", Args: cobra.ExactArgs(1),
+		Use: "explain FILE", Short: "Print the maximum cost of the routes and how the index finds them", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			b, err := load(args[0])
+			routeSet, err := load(args[0])
 			if err != nil {
 				return err
 			}
-			b.WriteExplanation(c.OutOrStdout(), few(20))
+			routeSet.WriteExplanation(c.OutOrStdout(), limitUnlessAll(20))
 			return nil
 		},
 	}
 	explain.Flags().BoolVar(&all, "all", false, "list all routes")
 	test := &cobra.Command{
-		Use: "test FILE...", Short: "Try the cases that are kept in the files", Args: cobra.MinimumNArgs(1),
+		Use: "test FILE...", Short: "Run the test cases in the files", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			cases, bad := 0, 0
+			cases, failures := 0, 0
 			for _, name := range files {
-				b, err := load(name)
+				routeSet, err := load(name)
 				if err != nil {
 					return err
 				}
-				if len(b.Cases) == 0 {
-					return fmt.Errorf("%s: found no case, expected one at least", name)
+				if len(routeSet.Cases) == 0 {
+					return fmt.Errorf("%s: found no case, expected at least one", name)
 				}
-				failed := b.RunCases()
+				failed := routeSet.RunCases()
 				for _, f := range failed {
 					fmt.Fprintln(c.OutOrStdout(), f)
 				}
-				cases, bad = cases+len(b.Cases), bad+len(failed)
+				cases, failures = cases+len(routeSet.Cases), failures+len(failed)
 			}
-			if bad > 0 {
-				return fmt.Errorf("%d faults in %d cases", bad, cases)
+			if failures > 0 {
+				return fmt.Errorf("%d failures in %d cases", failures, cases)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d cases hold\n", cases)
+			fmt.Fprintf(c.OutOrStdout(), "%d cases passed\n", cases)
 			return nil
 		},
 	}
--- a/cmd/scalechute/platform.go
+++ b/cmd/scalechute/platform.go
@@ -16,42 +16,43 @@
 	"scalechute/internal/sentry"
 )
 
-// servePlatform runs one sentry as the platform's environment says, until SIGTERM and what is owed then. Metrics, the file
-// of the last list and watched files are off: the platform has no room for them.
-func servePlatform(level, breach string) error {
-	// Before all else: one that comes while the sentry starts is taken once it stands.
+// servePlatform runs one sentry on the platform, with the configuration that EDGE_CONFIG names. After SIGTERM it drains and
+// returns. The metrics page, the file of the cached list and the watch on the configuration file are off, because the
+// platform makes no provision for them.
+func servePlatform(levelName, breachName string) error {
+	// Signals are registered first, so that one that arrives during the start is handled once the sentry runs.
 	signals, hangups := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(hangups, syscall.SIGHUP)
 	file := os.Getenv("EDGE_CONFIG")
 	if file == "" {
-		return errors.New("EDGE_CONFIG: found nothing, expected the name of the configuration's file")
+		return errors.New("EDGE_CONFIG: found nothing, expected the name of the configuration file")
 	}
-	post, err := platform.ReadConfig(file)
+	config, err := platform.ReadConfig(file)
 	if err != nil {
 		return err
 	}
-	at, err := zerolog.ParseLevel(level)
+	level, err := zerolog.ParseLevel(levelName)
 	if err != nil {
-		return fmt.Errorf("level: found %q, expected debug, info, warn or error", level)
+		return fmt.Errorf("level: found %q, expected debug, info, warn or error", levelName)
 	}
-	runtime.GOMAXPROCS(1 + int(math.Ceil(post.Cores))) // one waits for sockets
-	debug.SetMemoryLimit(post.MemoryMB << 20 * 6 / 10)
+	runtime.GOMAXPROCS(1 + int(math.Ceil(config.Cores))) // one more for the goroutine that waits for sockets
+	debug.SetMemoryLimit(config.MemoryMB << 20 * 6 / 10)
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
-	log := zerolog.New(os.Stderr).Level(at).With().Timestamp().Str("sentry", post.Name).Logger()
-	broken, err := platform.ParseFault(breach)
+	log := zerolog.New(os.Stderr).Level(level).With().Timestamp().Str("sentry", config.Name).Logger()
+	breach, err := platform.ParseBreach(breachName)
 	if err != nil {
 		return err
 	}
-	ends, err := platform.New(post, log)
+	transport, err := platform.New(config, log)
 	if err != nil {
 		return err
 	}
-	ends.InjectFault(broken)
-	if broken != platform.NoFault {
-		log.Warn().Str("promise", breach).Msg("this sentry breaks a promise on purpose")
+	transport.SetBreach(breach)
+	if breach != platform.NoBreach {
+		log.Warn().Str("promise", breachName).Msg("fault injection: this sentry violates a guarantee on purpose")
 	}
-	s, err := sentry.Start(post.Settings, sentry.Options{Log: log, Transport: ends, CachedList: post.InitialList})
+	s, err := sentry.Start(config.Settings, sentry.Options{Log: log, Transport: transport, CachedList: config.InitialList})
 	if err != nil {
 		return err
 	}
@@ -60,18 +61,18 @@
 		case <-s.Done():
 			return nil
 		case <-signals:
-			log.Info().Msg("asked to stop")
-			ends.Drain()
+			log.Info().Msg("received a signal to stop; draining")
+			transport.Drain()
 		case <-hangups:
-			now, err := platform.ReadConfig(file)
+			updated, err := platform.ReadConfig(file)
 			if err == nil {
-				err = ends.Reload(now)
+				err = transport.Reload(updated)
 			}
 			if err != nil {
-				log.Error().Err(err).Msg("configuration refused, the old one stays")
+				log.Error().Err(err).Msg("configuration rejected; keeping the current one")
 				continue
 			}
-			log.Info().Msg("configuration taken")
+			log.Info().Msg("configuration reloaded")
 		}
 	}
 }
