--- a/internal/match/check.go
+++ b/internal/match/check.go
@@ -556,7 +556,7 @@
 		}
 		addComparisonCost(n.args...)
 	case operators.In:
-		return nil, b.errorAt(n.exprID, "found in without a list of constants, expected such a list, or exists for an attribute that is a list")
+		return nil, b.errorAt(n.exprID, "found membership in something else than a list of constants, expected such a list, or exists of an attribute")
 	case operators.Add:
 		n.op, n.valueType, n.maxLength = opConcat, textType, n.args[0].maxLength+n.args[1].maxLength
 		if n.maxLength > maxTextBytes {
