--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,8 +1,9 @@
-// Package audit holds a record of what clients, workers, the list's service and the desk saw on their ends of the
-// sockets against the five rules. It is a function of that record alone, and knows nothing of how sentries decide.
+// Package audit checks the five rules for sentries on a record of events. Clients, workers, discovery and the control
+// plane record the events that they observe on their ends of the connections. Check depends on this record alone, and not
+// on how sentries decide.
 //
-// The ends of the sockets see a hand-off or a telling some time before or after the sentry does. Slack is the most
-// that may lie between; each window of a rule is taken as it is written and given this slack to the sentry's favour.
+// A peer observes a hand-off or a message some time before or after the sentry does. The slack is an upper bound of this
+// difference; every time limit of a rule is extended by it in the sentry's favour.
 package audit
 
 import (
@@ -14,77 +15,80 @@
 	"scalechute/logic"
 )
 
-// Kind says what an end of a socket saw.
+// Kind is the kind of an event.
 type Kind uint8
 
+// The kinds of events.
 const (
 	TrySent           Kind = iota // a client sent a transaction
-	TryAnswered                   // a client got a final answer
-	TryNotTaken                   // a client was told that it was not taken
+	TryAnswered                   // a client received a final answer
+	TryNotTaken                   // a client received the answer that its transaction was not taken
 	TryAbandoned                  // a client gave up, or its connection was lost
-	HandOffReceived               // a worker got a hand-off
-	HandOffExecuted               // a worker let its effect happen
+	HandOffReceived               // a worker received a hand-off
+	HandOffExecuted               // a worker executed a hand-off: its effect has happened
 	HandOffAnswered               // a worker answered a hand-off
 	HandOffTurnedAway             // a worker turned a hand-off away: it has not run
-	HandOffDropped                // the hand-off was cancelled, or its connection was lost
-	WorkerStarted                 // a worker started, with what it can do
+	HandOffDropped                // a hand-off was cancelled, or its connection was lost
+	WorkerStarted                 // a worker started; the event carries its speed
 	WorkerStopped                 // a worker stopped
-	WorkerOverloaded              // a cold worker was pushed over
-	ListEntrySent                 // a sentry was sent a line of the list
-	WorkerListed                  // the list's service lists a worker so from now on
-	ListWatched                   // a sentry follows the list from now on
-	ListFetched                   // a sentry asked for the whole list, and got it
-	ListRequestFailed             // a call of a sentry for the list failed, or it follows it no longer
-	StatusSent                    // a sentry was sent news of the newest build
-	SentryStarted                 // a sentry's process began
-	SentryExited                  // a sentry's process was killed
-	SentryPaused                  // a sentry's process was stopped
-	SentryResumed                 // and goes on
-	ConfigChanged                 // a sentry was given other orders, which it has taken after a span at the latest
+	WorkerOverloaded              // a cold worker crashed under more work than it can bear
+	ListEntrySent                 // an entry of the worker list was sent to a sentry
+	WorkerListed                  // discovery lists a worker in this state from now on
+	ListWatched                   // a sentry watches the worker list from now on
+	ListFetched                   // a sentry requested the whole worker list, and received it
+	ListRequestFailed             // a sentry's request for the worker list failed, or its watch ended
+	StatusSent                    // the release status of the newest build was sent to a sentry
+	SentryStarted                 // a sentry's process started
+	SentryExited                  // a sentry's process exited
+	SentryPaused                  // a sentry's process was paused (SIGSTOP)
+	SentryResumed                 // a sentry's process was resumed (SIGCONT)
+	ConfigChanged                 // a sentry was given another configuration, which it applies within Event.Duration
 )
 
 var kindNames = [...]string{"asked", "answered", "not taken", "left", "got", "ran", "ended", "turned away", "dropped",
 	"worker up", "worker down", "fell", "list told",
 	"listed", "followed", "fetched", "ask failed", "news told", "sentry up", "sentry down", "stopped", "resumed", "ordered"}
 
+// String returns the name of the kind, as timelines print it.
 func (k Kind) String() string { return kindNames[k] }
 
-// Outcome is a final answer.
+// Outcome is the outcome in a final answer.
 type Outcome uint8
 
+// The outcomes.
 const (
 	Satisfied Outcome = iota
 	Deferred
 	WrittenOff
 )
 
-// Event is one thing seen. Of the fields after Kind those count that belong to it.
+// Event is an observation on one end of a connection. Which of the fields after Kind are set depends on the kind.
 type Event struct {
 	At             logic.Micros        `json:"at"`
 	Kind           Kind                `json:"kind"`
 	Sentry         logic.SentryID      `json:"sentry"`
-	Try            string              `json:"try,omitempty"` // the client's name for this try, the same at both ends
+	Try            string              `json:"try,omitempty"` // the client's name of the try; the hand-offs of the try carry the same name
 	Profile        logic.ProfileID     `json:"profile,omitempty"`
 	Key            logic.Key           `json:"key,omitempty"`
-	Duration       logic.Micros        `json:"span,omitempty"` // Asked, Got: until given up
+	Duration       logic.Micros        `json:"span,omitempty"` // TrySent, HandOffReceived: until its deadline
 	Outcome        Outcome             `json:"outcome,omitempty"`
 	Worker         logic.WorkerID      `json:"worker,omitempty"`
-	HandOffNumber  uint64              `json:"hand_off,omitempty"` // which at this worker: the same from Got to its end
-	Satisfied      bool                `json:"good,omitempty"`     // Ended: satisfied
-	Work           logic.Micros        `json:"work,omitempty"`     // Got: on a core of speed one
+	HandOffNumber  uint64              `json:"hand_off,omitempty"` // number of the hand-off at its worker, the same in all of its events
+	Satisfied      bool                `json:"good,omitempty"`     // HandOffAnswered: the answer is satisfied
+	Work           logic.Micros        `json:"work,omitempty"`     // HandOffReceived: on a core of speed one
 	Build          logic.BuildID       `json:"build,omitempty"`
 	Zone           logic.ZoneID        `json:"zone,omitempty"`
 	Cell           int                 `json:"cell,omitempty"`
-	Speed          float64             `json:"speed,omitempty"` // WorkerUp: work done in a unit of time, when warm
-	ColdSpeedShare float64             `json:"from,omitempty"`  // WorkerUp: the part of it at its start
-	WarmUp         logic.Micros        `json:"warm,omitempty"`  // WorkerUp: until warm, 0 if it starts so
+	Speed          float64             `json:"speed,omitempty"` // WorkerStarted: work done in a unit of time, when warm
+	ColdSpeedShare float64             `json:"from,omitempty"`  // WorkerStarted: share of this speed that it has at its start
+	WarmUp         logic.Micros        `json:"warm,omitempty"`  // WorkerStarted: time until it is warm, 0 if it starts warm
 	WorkerState    logic.WorkerState   `json:"state,omitempty"`
 	Status         logic.ReleaseStatus `json:"news"`
 
-	Config *logic.Config `json:"orders,omitempty"` // Ordered
+	Config *logic.Config `json:"orders,omitempty"` // ConfigChanged
 }
 
-// Breach is a rule that was broken.
+// Violation is a violation of a rule.
 type Violation struct {
 	Rule        int          `json:"rule"`
 	At          logic.Micros `json:"at"`
@@ -92,305 +96,319 @@
 	Timeline    []string     `json:"timeline"`
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("rule %d at %.3f s: %s\n  %s", b.Rule, float64(b.At)/1e6, b.Description, strings.Join(b.Timeline, "\n  "))
+// String returns the violation with its timeline, a line for each event.
+func (v Violation) String() string {
+	return fmt.Sprintf("rule %d at %.3f s: %s\n  %s", v.Rule, float64(v.At)/1e6, v.Description, strings.Join(v.Timeline, "\n  "))
 }
 
-// RuleNames are what the rules are about, from rule 1 on, in the words of a sentry's --break.
+// RuleNames lists the names of the rules from rule 1 on, as the flag --break of a sentry takes them.
 var RuleNames = []string{"answer", "effect", "drain", "cold", "exposure"}
 
-// Finding is what the record shows.
+// Report is the result of an audit.
 type Report struct {
 	Violations     []Violation `json:"breaches"`
 	TriesSent      int         `json:"asked"`
 	TriesAnswered  int         `json:"answered"`
 	TriesAbandoned int         `json:"left"`
 	TriesNotTaken  int         `json:"not_taken"`
-	TriesUnclosed  int         `json:"unclosed"` // tries with neither answer nor end on the client's side
+	TriesUnclosed  int         `json:"unclosed"` // tries of which the client recorded neither an answer nor an end
 	HandOffs       int         `json:"hand_offs"`
 	Executions     int         `json:"ran"`
 
-	// Misjudged counts hand-offs that had another profile or key than their client meant: routes went wrong.
+	// Misrouted counts hand-offs with another profile or key than their client intended: routes were applied wrongly.
 	Misrouted int `json:"misjudged"`
 }
 
-// Rules lists the rules that were broken, each once.
-func (f Report) ViolatedRules() (rules []int) {
-	for _, b := range f.Violations {
-		if !slices.Contains(rules, b.Rule) {
-			rules = append(rules, b.Rule)
+// ViolatedRules lists the numbers of the violated rules in ascending order, each once.
+func (r Report) ViolatedRules() (rules []int) {
+	for _, violation := range r.Violations {
+		if !slices.Contains(rules, violation.Rule) {
+			rules = append(rules, violation.Rule)
 		}
 	}
 	slices.Sort(rules)
 	return rules
 }
 
-const mostBreaches = 200
+// maxViolations bounds the number of violations in a report.
+const maxViolations = 200
 
+// handOff is a hand-off as its worker observed it, with the event of its receipt.
 type handOff struct {
 	Event
-	end    logic.Micros // 0 if none was seen
-	turned bool
-	good   bool
+	endedAt    logic.Micros // 0 if no end was recorded
+	turnedAway bool
+	satisfied  bool
 }
 
-type try struct {
-	asked    *Event
-	answers  []*Event
-	left     *Event
-	notTaken *Event
-	handOffs []*handOff
+// tryRecord collects the events of a try of a transaction.
+type tryRecord struct {
+	sent      *Event
+	answers   []*Event
+	abandoned *Event
+	notTaken  *Event
+	handOffs  []*handOff
 }
 
-type life struct{ from, to logic.Micros }
+// interval is a time interval without its end.
+type interval struct{ from, to logic.Micros }
 
-// asking is how a sentry stands to the list from a time on.
-type asking struct {
-	at      logic.Micros
-	follows bool
-	within  logic.Micros // what was listed so long ago it is held to know, unless it follows
+// listAccess is the state of a sentry's access to the worker list from a time on.
+type listAccess struct {
+	at       logic.Micros
+	watching bool
+	maxAge   logic.Micros // without a watch, what was listed this long ago counts as known to the sentry
 }
 
+// auditor holds the events of a record by what the checks look them up by.
 type auditor struct {
-	o       *logic.Config
-	slack   logic.Micros
-	events  []Event
-	tries   map[string]*try
-	names   []string
-	byWork  map[logic.WorkerID][]*handOff
-	all     []*handOff
-	lives   map[logic.SentryID][]life
-	stalls  map[logic.SentryID][]life
-	news    map[logic.SentryID][]Event
-	lists   map[logic.SentryID]map[logic.WorkerID][]Event // what each was told, or is held to know
-	listed  []Event
-	asks    map[logic.SentryID][]asking
-	orders  map[logic.SentryID][]Event
-	finding Report
-}
-
-// Check holds events against the rules of the orders. Events may come in any order.
-func Check(o *logic.Config, slack logic.Micros, events []Event) Report {
-	a := &auditor{o: o, slack: slack, events: slices.Clone(events), tries: map[string]*try{},
-		byWork: map[logic.WorkerID][]*handOff{}, lives: map[logic.SentryID][]life{},
-		stalls: map[logic.SentryID][]life{}, news: map[logic.SentryID][]Event{},
-		lists: map[logic.SentryID]map[logic.WorkerID][]Event{}, asks: map[logic.SentryID][]asking{},
-		orders: map[logic.SentryID][]Event{}}
+	config           *logic.Config
+	slack            logic.Micros
+	events           []Event
+	tries            map[string]*tryRecord
+	tryNames         []string
+	handOffsByWorker map[logic.WorkerID][]*handOff
+	handOffs         []*handOff
+	runs             map[logic.SentryID][]interval
+	pauses           map[logic.SentryID][]interval
+	statuses         map[logic.SentryID][]Event
+	listEntries      map[logic.SentryID]map[logic.WorkerID][]Event // entries that were sent to each sentry, or count as known to it
+	listings         []Event
+	listAccesses     map[logic.SentryID][]listAccess
+	configChanges    map[logic.SentryID][]Event
+	report           Report
+}
+
+// Check checks the rules on events, with the limits that the configuration sets. Events may come in any order.
+func Check(config *logic.Config, slack logic.Micros, events []Event) Report {
+	a := &auditor{config: config, slack: slack, events: slices.Clone(events), tries: map[string]*tryRecord{},
+		handOffsByWorker: map[logic.WorkerID][]*handOff{}, runs: map[logic.SentryID][]interval{},
+		pauses: map[logic.SentryID][]interval{}, statuses: map[logic.SentryID][]Event{},
+		listEntries: map[logic.SentryID]map[logic.WorkerID][]Event{}, listAccesses: map[logic.SentryID][]listAccess{},
+		configChanges: map[logic.SentryID][]Event{}}
 	slices.SortStableFunc(a.events, func(x, y Event) int { return cmp.Compare(x.At, y.At) })
-	a.gather()
-	a.deem()
-	for _, name := range a.names {
+	a.indexEvents()
+	a.addAssumedEntries()
+	for _, name := range a.tryNames {
 		t := a.tries[name]
 		switch {
-		case t.asked == nil && len(t.handOffs) > 0:
-			a.breach(1, t.handOffs[0].At, t, "a hand-off of a transaction that no client asked for")
+		case t.sent == nil && len(t.handOffs) > 0:
+			a.addViolation(1, t.handOffs[0].At, t, "a hand-off of a transaction that no client sent")
 			continue
-		case t.asked == nil && len(t.answers) > 0:
-			a.breach(1, t.answers[0].At, t, "an answer that no client asked for")
+		case t.sent == nil && len(t.answers) > 0:
+			a.addViolation(1, t.answers[0].At, t, "an answer to a transaction that no client sent")
 			continue
-		case t.asked == nil:
+		case t.sent == nil:
 			continue
 		}
-		if t.left == nil && t.notTaken == nil && len(t.answers) == 0 {
-			a.finding.TriesUnclosed++
+		if t.abandoned == nil && t.notTaken == nil && len(t.answers) == 0 {
+			a.report.TriesUnclosed++
 		}
-		a.either(t.asked.Sentry, t.asked.At, t.asked.At+t.asked.Duration, func() { a.answer(t) })
-		a.either(t.asked.Sentry, t.asked.At, t.asked.At, func() { a.effect(t) })
+		a.checkUnderConfigs(t.sent.Sentry, t.sent.At, t.sent.At+t.sent.Duration, func() { a.checkAnswer(t) })
+		a.checkUnderConfigs(t.sent.Sentry, t.sent.At, t.sent.At, func() { a.checkEffect(t) })
 		for _, h := range t.handOffs {
-			if h.Profile != t.asked.Profile || t.asked.Key != "" && h.Key != t.asked.Key {
-				a.finding.Misrouted++
+			if h.Profile != t.sent.Profile || t.sent.Key != "" && h.Key != t.sent.Key {
+				a.report.Misrouted++
 			}
 		}
 	}
-	a.drain()
-	a.cold()
-	a.exposure()
-	slices.SortStableFunc(a.finding.Violations, func(x, y Violation) int { return cmp.Compare(x.At, y.At) })
-	return a.finding
+	a.checkDrain()
+	a.checkColdLoad()
+	a.checkExposure()
+	slices.SortStableFunc(a.report.Violations, func(x, y Violation) int { return cmp.Compare(x.At, y.At) })
+	return a.report
 }
 
-// either holds a check against all orders that a sentry may have had within a time. Only what is a breach by each of
-// them is one.
-func (a *auditor) either(s logic.SentryID, from, to logic.Micros, check func()) {
-	all := []*logic.Config{a.o}
-	for i := range a.orders[s] {
-		e := &a.orders[s][i]
+// checkUnderConfigs runs a check under each configuration that a sentry may have had between two times. Violations count
+// only if there are some under every one of these configurations.
+func (a *auditor) checkUnderConfigs(sentry logic.SentryID, from, to logic.Micros, check func()) {
+	configs := []*logic.Config{a.config}
+	for i := range a.configChanges[sentry] {
+		e := &a.configChanges[sentry][i]
 		if to < e.At-a.slack {
 			break
 		}
 		if from > e.At+e.Duration+a.slack {
-			all = all[:0]
+			configs = configs[:0]
 		}
-		all = append(all, e.Config)
+		configs = append(configs, e.Config)
 	}
-	was, before := a.o, a.finding.Violations
-	var found []Violation
-	for _, o := range all {
-		a.o, a.finding.Violations = o, nil
+	savedConfig, savedViolations := a.config, a.report.Violations
+	var violations []Violation
+	for _, config := range configs {
+		a.config, a.report.Violations = config, nil
 		check()
-		if found = a.finding.Violations; len(found) == 0 {
+		if violations = a.report.Violations; len(violations) == 0 {
 			break
 		}
 	}
-	a.o, a.finding.Violations = was, before
-	if len(before) < mostBreaches {
-		a.finding.Violations = append(before, found...)
+	a.config, a.report.Violations = savedConfig, savedViolations
+	if len(savedViolations) < maxViolations {
+		a.report.Violations = append(savedViolations, violations...)
 	}
 }
 
+// never is later than the time of any event.
 const never = logic.Micros(1) << 60
 
-func (a *auditor) try(name string) *try {
+// tryRecord returns the record of a try, which it adds if there is none.
+func (a *auditor) tryRecord(name string) *tryRecord {
 	t := a.tries[name]
 	if t == nil {
-		t = &try{}
+		t = &tryRecord{}
 		a.tries[name] = t
-		a.names = append(a.names, name)
+		a.tryNames = append(a.tryNames, name)
 	}
 	return t
 }
 
-func (a *auditor) gather() {
-	type ref struct {
+// indexEvents sorts the events into the tables of the auditor and counts them.
+func (a *auditor) indexEvents() {
+	type handOffID struct {
 		worker logic.WorkerID
-		n      uint64
+		number uint64
 	}
-	out := map[ref]*handOff{}
-	f := &a.finding
+	open := map[handOffID]*handOff{}
+	report := &a.report
 	for i := range a.events {
 		e := &a.events[i]
 		switch e.Kind {
 		case TrySent:
-			a.try(e.Try).asked = e
-			f.TriesSent++
+			a.tryRecord(e.Try).sent = e
+			report.TriesSent++
 		case TryAnswered:
-			t := a.try(e.Try)
+			t := a.tryRecord(e.Try)
 			t.answers = append(t.answers, e)
-			f.TriesAnswered++
+			report.TriesAnswered++
 		case TryNotTaken:
-			a.try(e.Try).notTaken = e
-			f.TriesNotTaken++
+			a.tryRecord(e.Try).notTaken = e
+			report.TriesNotTaken++
 		case TryAbandoned:
-			a.try(e.Try).left = e
-			f.TriesAbandoned++
+			a.tryRecord(e.Try).abandoned = e
+			report.TriesAbandoned++
 		case HandOffReceived:
 			h := &handOff{Event: *e}
-			out[ref{e.Worker, e.HandOffNumber}] = h
-			t := a.try(e.Try)
+			open[handOffID{e.Worker, e.HandOffNumber}] = h
+			t := a.tryRecord(e.Try)
 			t.handOffs = append(t.handOffs, h)
-			a.byWork[e.Worker] = append(a.byWork[e.Worker], h)
-			a.all = append(a.all, h)
-			f.HandOffs++
+			a.handOffsByWorker[e.Worker] = append(a.handOffsByWorker[e.Worker], h)
+			a.handOffs = append(a.handOffs, h)
+			report.HandOffs++
 		case HandOffExecuted:
-			f.Executions++
+			report.Executions++
 		case HandOffAnswered, HandOffTurnedAway, HandOffDropped:
-			if h := out[ref{e.Worker, e.HandOffNumber}]; h != nil && h.end == 0 {
-				h.end, h.turned, h.good = e.At, e.Kind == HandOffTurnedAway, e.Satisfied
+			if h := open[handOffID{e.Worker, e.HandOffNumber}]; h != nil && h.endedAt == 0 {
+				h.endedAt, h.turnedAway, h.satisfied = e.At, e.Kind == HandOffTurnedAway, e.Satisfied
 			}
 		case ListEntrySent:
-			m := a.lists[e.Sentry]
-			if m == nil {
-				m = map[logic.WorkerID][]Event{}
-				a.lists[e.Sentry] = m
+			entries := a.listEntries[e.Sentry]
+			if entries == nil {
+				entries = map[logic.WorkerID][]Event{}
+				a.listEntries[e.Sentry] = entries
 			}
-			m[e.Worker] = append(m[e.Worker], *e)
+			entries[e.Worker] = append(entries[e.Worker], *e)
 		case WorkerListed:
-			a.listed = append(a.listed, *e)
+			a.listings = append(a.listings, *e)
 		case ListWatched, ListFetched:
-			a.asks[e.Sentry] = append(a.asks[e.Sentry], asking{e.At, e.Kind == ListWatched || a.follows(e.Sentry), a.o.MaxListAge})
+			a.listAccesses[e.Sentry] = append(a.listAccesses[e.Sentry],
+				listAccess{e.At, e.Kind == ListWatched || a.watchesList(e.Sentry), a.config.MaxListAge})
 		case ListRequestFailed:
-			a.asks[e.Sentry] = append(a.asks[e.Sentry], asking{e.At, false, 4 * a.o.MaxListAge})
+			a.listAccesses[e.Sentry] = append(a.listAccesses[e.Sentry], listAccess{e.At, false, 4 * a.config.MaxListAge})
 		case StatusSent:
-			a.news[e.Sentry] = append(a.news[e.Sentry], *e)
+			a.statuses[e.Sentry] = append(a.statuses[e.Sentry], *e)
 		case SentryStarted:
-			a.lives[e.Sentry] = append(a.lives[e.Sentry], life{e.At, never})
-			a.asks[e.Sentry] = append(a.asks[e.Sentry], asking{e.At, false, a.o.MaxListAge})
+			a.runs[e.Sentry] = append(a.runs[e.Sentry], interval{e.At, never})
+			a.listAccesses[e.Sentry] = append(a.listAccesses[e.Sentry], listAccess{e.At, false, a.config.MaxListAge})
 		case SentryExited:
-			if l := a.lives[e.Sentry]; len(l) > 0 {
+			if l := a.runs[e.Sentry]; len(l) > 0 {
 				l[len(l)-1].to = e.At
 			}
 		case ConfigChanged:
-			a.orders[e.Sentry] = append(a.orders[e.Sentry], *e)
+			a.configChanges[e.Sentry] = append(a.configChanges[e.Sentry], *e)
 		case SentryPaused:
-			a.stalls[e.Sentry] = append(a.stalls[e.Sentry], life{e.At, never})
+			a.pauses[e.Sentry] = append(a.pauses[e.Sentry], interval{e.At, never})
 		case SentryResumed:
-			if l := a.stalls[e.Sentry]; len(l) > 0 {
+			if l := a.pauses[e.Sentry]; len(l) > 0 {
 				l[len(l)-1].to = e.At
 			}
 		}
 	}
 }
 
-func (a *auditor) follows(s logic.SentryID) bool {
-	all := a.asks[s]
-	return len(all) > 0 && all[len(all)-1].follows
+// watchesList reports whether a sentry watches the worker list, as of the events indexed so far.
+func (a *auditor) watchesList(sentry logic.SentryID) bool {
+	accesses := a.listAccesses[sentry]
+	return len(accesses) > 0 && accesses[len(accesses)-1].watching
 }
 
-// deem adds what sentries are held to know of the list without having been told: one that follows nothing, and has not
-// asked for so long, knows what was listed that long ago.
-func (a *auditor) deem() {
-	if !a.o.ListOnRequest {
+// addAssumedEntries adds the list entries that count as known to a sentry although none was sent to it: a sentry that
+// does not watch the list, and has not requested it for listAccess.maxAge, is assumed to know what was listed that long ago.
+func (a *auditor) addAssumedEntries() {
+	if !a.config.ListOnRequest {
 		return
 	}
-	for s := range logic.SentryID(a.o.Sentries) {
-		for _, e := range a.listed {
-			at := a.deemed(s, e.At)
+	for sentry := range logic.SentryID(a.config.Sentries) {
+		for _, e := range a.listings {
+			at := a.assumedKnownAt(sentry, e.At)
 			if at == never {
 				continue
 			}
-			if a.lists[s] == nil {
-				a.lists[s] = map[logic.WorkerID][]Event{}
+			if a.listEntries[sentry] == nil {
+				a.listEntries[sentry] = map[logic.WorkerID][]Event{}
 			}
-			known := Event{At: at, Kind: ListEntrySent, Sentry: s, Worker: e.Worker, WorkerState: e.WorkerState, Build: e.Build}
-			a.lists[s][e.Worker] = append(a.lists[s][e.Worker], known)
+			known := Event{At: at, Kind: ListEntrySent, Sentry: sentry, Worker: e.Worker, WorkerState: e.WorkerState, Build: e.Build}
+			a.listEntries[sentry][e.Worker] = append(a.listEntries[sentry][e.Worker], known)
 		}
-		for _, told := range a.lists[s] {
-			slices.SortStableFunc(told, func(x, y Event) int { return cmp.Compare(x.At, y.At) })
+		for _, entries := range a.listEntries[sentry] {
+			slices.SortStableFunc(entries, func(x, y Event) int { return cmp.Compare(x.At, y.At) })
 		}
 	}
 }
 
-// deemed is when a sentry is held to know what was listed at a time, never if it follows the list or asks in time.
-func (a *auditor) deemed(s logic.SentryID, listed logic.Micros) logic.Micros {
-	for i, x := range a.asks[s] {
+// assumedKnownAt returns the time from which an entry listed at a time counts as known to a sentry. It returns never if
+// the sentry watches the list or requests it in time.
+func (a *auditor) assumedKnownAt(sentry logic.SentryID, listed logic.Micros) logic.Micros {
+	for i, access := range a.listAccesses[sentry] {
 		until := never
-		if i+1 < len(a.asks[s]) {
-			until = a.asks[s][i+1].at
+		if i+1 < len(a.listAccesses[sentry]) {
+			until = a.listAccesses[sentry][i+1].at
 		}
-		if at := max(listed, x.at) + x.within; !x.follows && until > listed && at < until {
+		if at := max(listed, access.at) + access.maxAge; !access.watching && until > listed && at < until {
 			return at
 		}
 	}
 	return never
 }
 
-// informed is when a sentry can have read what was sent to it: not while its process was stopped.
-func (a *auditor) informed(s logic.SentryID, sent logic.Micros) logic.Micros {
+// latestReceipt returns the time by which a sentry has read a message that was sent at a time. A sentry reads nothing
+// while its process is paused.
+func (a *auditor) latestReceipt(sentry logic.SentryID, sent logic.Micros) logic.Micros {
 	at := sent + a.slack
-	for _, l := range a.stalls[s] {
-		if at >= l.from && sent < l.to {
-			at = max(at, min(l.to, never-a.slack)+a.slack)
+	for _, pause := range a.pauses[sentry] {
+		if at >= pause.from && sent < pause.to {
+			at = max(at, min(pause.to, never-a.slack)+a.slack)
 		}
 	}
 	return at
 }
 
-func (a *auditor) breach(rule int, at logic.Micros, t *try, format string, args ...any) {
-	if len(a.finding.Violations) >= mostBreaches {
+// addViolation adds a violation to the report, up to maxViolations.
+func (a *auditor) addViolation(rule int, at logic.Micros, t *tryRecord, format string, args ...any) {
+	if len(a.report.Violations) >= maxViolations {
 		return
 	}
-	b := Violation{Rule: rule, At: at, Description: fmt.Sprintf(format, args...)}
+	violation := Violation{Rule: rule, At: at, Description: fmt.Sprintf(format, args...)}
 	if t != nil {
-		b.Timeline = a.timeline(t)
+		violation.Timeline = a.timeline(t)
 	}
-	a.finding.Violations = append(a.finding.Violations, b)
+	a.report.Violations = append(a.report.Violations, violation)
 }
 
-// timeline is all that was seen of a transaction.
-func (a *auditor) timeline(t *try) (lines []string) {
+// timeline returns a line for each event of a try.
+func (a *auditor) timeline(t *tryRecord) (lines []string) {
 	name := ""
-	if t.asked != nil {
-		name = t.asked.Try
+	if t.sent != nil {
+		name = t.sent.Try
 	} else if len(t.handOffs) > 0 {
 		name = t.handOffs[0].Try
 	} else if len(t.answers) > 0 {
@@ -404,128 +422,130 @@
 		line := fmt.Sprintf("%10.6f %s", float64(e.At)/1e6, e.Kind)
 		switch e.Kind {
 		case TrySent:
-			line += fmt.Sprintf(" %s of sentry %d: profile %d, key %q, gives up after %d us", e.Try, e.Sentry, e.Profile, e.Key, e.Duration)
+			line += fmt.Sprintf(" %s sent to sentry %d: profile %d, key %q, deadline in %d us", e.Try, e.Sentry, e.Profile, e.Key, e.Duration)
 		case TryAnswered:
 			line += fmt.Sprintf(" %s", [...]string{"satisfied", "deferred", "written off"}[e.Outcome])
 		case HandOffReceived:
-			line += fmt.Sprintf(" by %s (build %d) from sentry %d as its %d, given up after %d us", e.Worker, e.Build, e.Sentry, e.HandOffNumber, e.Duration)
+			line += fmt.Sprintf(" by %s (build %d) from sentry %d as hand-off %d, deadline in %d us", e.Worker, e.Build, e.Sentry,
+				e.HandOffNumber, e.Duration)
 		case HandOffExecuted, HandOffAnswered, HandOffTurnedAway, HandOffDropped:
-			line += fmt.Sprintf(" at %s, its %d", e.Worker, e.HandOffNumber)
+			line += fmt.Sprintf(" at %s, hand-off %d", e.Worker, e.HandOffNumber)
 		}
 		lines = append(lines, line)
 	}
 	return lines
 }
 
-// answer is rule 1: one final answer in time, and nothing sent after it.
-func (a *auditor) answer(t *try) {
-	q := t.asked
+// checkAnswer checks rule 1: a transaction gets one final answer in time, and is not handed off after it.
+func (a *auditor) checkAnswer(t *tryRecord) {
+	sent := t.sent
 	if t.notTaken != nil {
 		if len(t.answers) > 0 || len(t.handOffs) > 0 {
-			a.breach(1, t.notTaken.At, t, "%s: not taken, and yet answered or handed off", q.Try)
+			a.addViolation(1, t.notTaken.At, t, "%s: not taken, but answered or handed off", sent.Try)
 		}
 		return
 	}
 	if len(t.answers) > 1 {
-		a.breach(1, t.answers[1].At, t, "%s: %d final answers, expected one", q.Try, len(t.answers))
+		a.addViolation(1, t.answers[1].At, t, "%s: %d final answers, expected one", sent.Try, len(t.answers))
 		return
 	}
-	last := q.At + q.Duration + a.o.AnswerGrace
-	for _, l := range a.stalls[q.Sentry] { // what comes to a stopped process is taken when it runs again
-		if q.At >= l.from-a.slack && q.At < l.to && l.to < never {
-			last = max(last, l.to+q.Duration+a.o.AnswerGrace)
+	latest := sent.At + sent.Duration + a.config.AnswerGrace
+	for _, pause := range a.pauses[sent.Sentry] { // a paused process takes what it was sent once it is resumed
+		if sent.At >= pause.from-a.slack && sent.At < pause.to && pause.to < never {
+			latest = max(latest, pause.to+sent.Duration+a.config.AnswerGrace)
 		}
 	}
-	closed := never
+	closedAt := never
 	switch {
 	case len(t.answers) == 1:
-		closed = t.answers[0].At
-		if closed > a.informed(q.Sentry, last) {
-			a.breach(1, closed, t, "%s: answered %d us late", q.Try, closed-last)
+		closedAt = t.answers[0].At
+		if closedAt > a.latestReceipt(sent.Sentry, latest) {
+			a.addViolation(1, closedAt, t, "%s: answered %d us late", sent.Try, closedAt-latest)
 		}
-	case t.left != nil:
-		closed = t.left.At
-		if closed > a.informed(q.Sentry, last) {
-			a.breach(1, closed, t, "%s: no answer by its limit", q.Try)
+	case t.abandoned != nil:
+		closedAt = t.abandoned.At
+		if closedAt > a.latestReceipt(sent.Sentry, latest) {
+			a.addViolation(1, closedAt, t, "%s: no answer by its deadline", sent.Try)
 		}
 	default:
-		if a.running(q.Sentry, q.At, last) {
-			a.breach(1, last, t, "%s: no final answer", q.Try)
+		if a.ranThroughout(sent.Sentry, sent.At, latest) {
+			a.addViolation(1, latest, t, "%s: no final answer", sent.Try)
 		}
 	}
 	for _, h := range t.handOffs {
-		if closed < never && h.At > a.informed(q.Sentry, closed) {
-			a.breach(1, h.At, t, "%s: handed off %d us after it was closed", q.Try, h.At-closed)
+		if closedAt < never && h.At > a.latestReceipt(sent.Sentry, closedAt) {
+			a.addViolation(1, h.At, t, "%s: handed off %d us after it was closed", sent.Try, h.At-closedAt)
 		}
 	}
 }
 
-// running says whether a sentry's process ran from before a time until after another.
-func (a *auditor) running(s logic.SentryID, from, to logic.Micros) bool {
-	for _, l := range a.lives[s] {
-		if l.from <= from && l.to > to+a.slack {
+// ranThroughout reports whether one run of a sentry's process covers the time between two times, and the slack after it.
+func (a *auditor) ranThroughout(sentry logic.SentryID, from, to logic.Micros) bool {
+	for _, run := range a.runs[sentry] {
+		if run.from <= from && run.to > to+a.slack {
 			return true
 		}
 	}
 	return false
 }
 
-// effect is rule 2: nothing runs twice that must not.
-func (a *auditor) effect(t *try) {
-	if int(t.asked.Profile) >= len(a.o.Profiles) {
-		return // it was taken by other orders
+// checkEffect checks rule 2: a transaction runs more than once only as far as its profile allows.
+func (a *auditor) checkEffect(t *tryRecord) {
+	if int(t.sent.Profile) >= len(a.config.Profiles) {
+		return // it was taken under another configuration
 	}
-	p := &a.o.Profiles[t.asked.Profile]
+	profile := &a.config.Profiles[t.sent.Profile]
 	for j, h := range t.handOffs {
-		for _, first := range t.handOffs[:j] {
-			if first.turned && first.end <= h.At {
+		for _, earlier := range t.handOffs[:j] {
+			if earlier.turnedAway && earlier.endedAt <= h.At {
 				continue
 			}
-			pending := first.end == 0 || first.end > h.At
-			if pending && !a.o.MayHedge && h.At+a.slack < first.At+first.Duration {
-				a.breach(2, h.At, t, "%s: two hand-offs out at once, where copies are not allowed", t.asked.Try)
+			pending := earlier.endedAt == 0 || earlier.endedAt > h.At
+			if pending && !a.config.MayHedge && h.At+a.slack < earlier.At+earlier.Duration {
+				a.addViolation(2, h.At, t, "%s: two hand-offs in flight at once, though hedging is not allowed", t.sent.Try)
 				return
 			}
-			switch p.Repeatability {
+			switch profile.Repeatability {
 			case logic.NonIdempotent:
-				a.breach(2, h.At, t, "%s: irreversible, handed off again after one that may have run", t.asked.Try)
+				a.addViolation(2, h.At, t, "%s: not idempotent, handed off again after a hand-off that may have run", t.sent.Try)
 				return
 			case logic.Deduplicated:
-				if p.DedupScope == logic.ScopeZone && first.Zone != h.Zone || p.DedupScope == logic.ScopeCell && first.Cell != h.Cell {
-					a.breach(2, h.At, t, "%s: labelled, handed off again outside its group", t.asked.Try)
+				if profile.DedupScope == logic.ScopeZone && earlier.Zone != h.Zone || profile.DedupScope == logic.ScopeCell && earlier.Cell != h.Cell {
+					a.addViolation(2, h.At, t, "%s: deduplicated, handed off again outside its deduplication scope", t.sent.Try)
 					return
 				}
-				if h.At-first.At > p.DedupWindow+a.slack {
-					a.breach(2, h.At, t, "%s: labelled, handed off again %d us after one that may have run, window %d us",
-						t.asked.Try, h.At-first.At, p.DedupWindow)
+				if h.At-earlier.At > profile.DedupWindow+a.slack {
+					a.addViolation(2, h.At, t, "%s: deduplicated, handed off again %d us after a hand-off that may have run, window %d us",
+						t.sent.Try, h.At-earlier.At, profile.DedupWindow)
 					return
 				}
 			}
 		}
 	}
-	if len(t.answers) == 0 || t.answers[0].Outcome != Deferred || p.Repeatability == logic.Idempotent ||
-		p.Repeatability == logic.Deduplicated && p.DedupScope == logic.ScopeAll {
+	if len(t.answers) == 0 || t.answers[0].Outcome != Deferred || profile.Repeatability == logic.Idempotent ||
+		profile.Repeatability == logic.Deduplicated && profile.DedupScope == logic.ScopeAll {
 		return
 	}
 	for _, h := range t.handOffs {
-		if !h.turned {
-			a.breach(2, t.answers[0].At, t, "%s: deferred, though a hand-off may have run", t.asked.Try)
+		if !h.turnedAway {
+			a.addViolation(2, t.answers[0].At, t, "%s: deferred, though a hand-off may have run", t.sent.Try)
 			return
 		}
 	}
 }
 
-// drain is rule 3: nothing new to a worker that drains or is gone, past the grace.
-func (a *auditor) drain() {
-	for _, h := range a.all {
-		a.either(h.Sentry, h.At, h.At, func() { a.drained(h) })
+// checkDrain checks rule 3: after the drain grace a worker that drains or is gone gets no hand-offs.
+func (a *auditor) checkDrain() {
+	for _, h := range a.handOffs {
+		a.checkUnderConfigs(h.Sentry, h.At, h.At, func() { a.checkDrained(h) })
 	}
 }
 
-func (a *auditor) drained(h *handOff) {
-	told := a.lists[h.Sentry][h.Worker]
+// checkDrained checks rule 3 for a hand-off.
+func (a *auditor) checkDrained(h *handOff) {
+	entries := a.listEntries[h.Sentry][h.Worker]
 	since := never
-	for _, e := range told {
+	for _, e := range entries {
 		if e.At > h.At {
 			break
 		}
@@ -536,153 +556,158 @@
 			since = e.At
 		}
 	}
-	if since == never || a.bornAfter(h.Sentry, since, h.At) {
+	if since == never || a.startedAfter(h.Sentry, since, h.At) {
 		return
 	}
-	// What was ruled in time may wait for its connection.
-	if last := a.informed(h.Sentry, since) + a.o.DrainGrace + a.o.ConnectTimeout; h.At > last {
-		a.breach(3, h.At, a.tries[h.Try], "%s: handed off to %s %d us after sentry %d was told that it drains or is gone",
+	// A hand-off that the sentry decided on in time may wait for its connection.
+	if latest := a.latestReceipt(h.Sentry, since) + a.config.DrainGrace + a.config.ConnectTimeout; h.At > latest {
+		a.addViolation(3, h.At, a.tries[h.Try], "%s: handed off to %s %d us after sentry %d was informed that it drains or is gone",
 			h.Try, h.Worker, h.At-since, h.Sentry)
 	}
 }
 
-// bornAfter says whether a sentry's run at one time began after another.
-func (a *auditor) bornAfter(s logic.SentryID, told, at logic.Micros) bool {
-	for _, l := range a.lives[s] {
-		if l.from <= at && at < l.to+a.slack {
-			return l.from > told
+// startedAfter reports whether the run of a sentry's process at a time started after another time.
+func (a *auditor) startedAfter(sentry logic.SentryID, since, at logic.Micros) bool {
+	for _, run := range a.runs[sentry] {
+		if run.from <= at && at < run.to+a.slack {
+			return run.from > since
 		}
 	}
 	return false
 }
 
-// cold is rule 4: no cold worker gets more than the multiple of what it can do, over the span, by all together.
-func (a *auditor) cold() {
+// checkColdLoad checks rule 4: over the cold-load window all sentries together send a cold worker at most the configured
+// multiple of the work that it can do. A violation counts only if sentries that knew of its start sent at least two
+// thirds of the work.
+func (a *auditor) checkColdLoad() {
 	for i := range a.events {
-		up := &a.events[i]
-		if up.Kind != WorkerStarted || up.WarmUp == 0 {
+		start := &a.events[i]
+		if start.Kind != WorkerStarted || start.WarmUp == 0 {
 			continue
 		}
-		end := up.At + up.WarmUp
-		can := func(at logic.Micros) float64 {
-			return up.Speed * (up.ColdSpeedShare + (1-up.ColdSpeedShare)*min(1, float64(at-up.At)/float64(up.WarmUp)))
+		warmAt := start.At + start.WarmUp
+		capacityAt := func(at logic.Micros) float64 {
+			return start.Speed * (start.ColdSpeedShare + (1-start.ColdSpeedShare)*min(1, float64(at-start.At)/float64(start.WarmUp)))
 		}
-		hs := a.byWork[up.Worker]
-		from, work := 0, 0.0
-		for j, h := range hs {
-			if h.At < up.At || h.At > end {
-				if h.At < up.At {
-					from = j + 1
+		handOffs := a.handOffsByWorker[start.Worker]
+		first, work := 0, 0.0
+		for j, h := range handOffs {
+			if h.At < start.At || h.At > warmAt {
+				if h.At < start.At {
+					first = j + 1
 				}
 				continue
 			}
 			work += float64(h.Work)
-			for hs[from].At <= h.At-a.o.ColdLoadWindow {
-				work -= float64(hs[from].Work)
-				from++
+			for handOffs[first].At <= h.At-a.config.ColdLoadWindow {
+				work -= float64(handOffs[first].Work)
+				first++
 			}
-			if work <= a.o.ColdLoadMultiple*can(h.At)*float64(a.o.ColdLoadWindow) {
+			if work <= a.config.ColdLoadMultiple*capacityAt(h.At)*float64(a.config.ColdLoadWindow) {
 				continue
 			}
-			known := 0.0
-			for _, x := range hs[from : j+1] {
-				if a.knew(x.Sentry, up, x.At) {
-					known += float64(x.Work)
+			knownWork := 0.0
+			for _, counted := range handOffs[first : j+1] {
+				if a.knewOfStart(counted.Sentry, start, counted.At) {
+					knownWork += float64(counted.Work)
 				}
 			}
-			if known >= work*2/3 {
-				a.breach(4, h.At, a.tries[h.Try], "%s, started %d us before, was sent %.0f us of work within %d us, "+
-					"can do %.0f us", up.Worker, h.At-up.At, work, a.o.ColdLoadWindow, can(h.At)*float64(a.o.ColdLoadWindow))
+			if knownWork >= work*2/3 {
+				a.addViolation(4, h.At, a.tries[h.Try], "%s, started %d us earlier, received %.0f us of work within %d us, "+
+					"can do %.0f us", start.Worker, h.At-start.At, work, a.config.ColdLoadWindow, capacityAt(h.At)*float64(a.config.ColdLoadWindow))
 				break
 			}
 		}
 	}
 }
 
-// knew says whether a sentry had been told of a worker's start.
-func (a *auditor) knew(s logic.SentryID, up *Event, at logic.Micros) bool {
-	return slices.ContainsFunc(a.lists[s][up.Worker], func(e Event) bool {
-		return e.At >= up.At && e.At <= at && e.WorkerState == logic.Ready
+// knewOfStart reports whether a sentry had received the list entry of a started worker by a time.
+func (a *auditor) knewOfStart(sentry logic.SentryID, start *Event, at logic.Micros) bool {
+	return slices.ContainsFunc(a.listEntries[sentry][start.Worker], func(e Event) bool {
+		return e.At >= start.At && e.At <= at && e.WorkerState == logic.Ready
 	})
 }
 
-// exposure is rule 5: what a sentry hands off to a build on trial stays within the free allowance and the cap's
-// part of what it took, in any window; guarded stages and keys that go forward only.
-func (a *auditor) exposure() {
-	rows := 1
+// checkExposure checks rule 5. In any exposure window a sentry hands off no more to a build on trial than the free
+// exposure plus the cap's share of the transactions that it took. A guarded stage gets idempotent transactions only, and
+// a key that the trial has answered does not go to an earlier build again.
+func (a *auditor) checkExposure() {
+	rowCount := 1
 	for i := range a.events {
-		rows = max(rows, int(a.events[i].Profile)+2)
+		rowCount = max(rowCount, int(a.events[i].Profile)+2)
 	}
-	for s := range a.o.Sentries {
-		id := logic.SentryID(s)
-		taken, sent := make([][]logic.Micros, rows), make([][]*handOff, rows) // over all first, then by profile
+	for position := range a.config.Sentries {
+		sentry := logic.SentryID(position)
+		// Row 0 is for all profiles together; the others are for one profile each.
+		taken, sent := make([][]logic.Micros, rowCount), make([][]*handOff, rowCount)
 		for i := range a.events {
-			if e := &a.events[i]; e.Kind == TrySent && e.Sentry == id && a.tries[e.Try].notTaken == nil {
+			if e := &a.events[i]; e.Kind == TrySent && e.Sentry == sentry && a.tries[e.Try].notTaken == nil {
 				for _, row := range []int{0, 1 + int(e.Profile)} {
 					taken[row] = append(taken[row], e.At)
 				}
 			}
 		}
-		met := map[logic.Key]met{}
-		for _, h := range a.all {
-			if h.Sentry != id {
+		trialAnswers := map[logic.Key]trialAnswer{}
+		for _, h := range a.handOffs {
+			if h.Sentry != sentry {
 				continue
 			}
-			n := a.newsAt(id, h.At)
-			a.either(id, h.At, h.At, func() { a.forward(met, h, n) })
-			if onTrial, _, _ := a.trial(id, h); onTrial {
+			status := a.statusAt(sentry, h.At)
+			a.checkUnderConfigs(sentry, h.At, h.At, func() { a.checkForwardOnly(trialAnswers, h, status) })
+			if onTrial, _, _ := a.trialLimits(sentry, h); onTrial {
 				for _, row := range []int{0, 1 + int(h.Profile)} {
 					sent[row] = append(sent[row], h)
 				}
-				a.either(id, h.At, h.At, func() {
+				a.checkUnderConfigs(sentry, h.At, h.At, func() {
 					row := 0
-					if a.o.ExposureByProfile {
+					if a.config.ExposureByProfile {
 						row = 1 + int(h.Profile)
 					}
-					a.exposed(id, h, sent[row], taken[row])
+					a.checkExposureBound(sentry, h, sent[row], taken[row])
 				})
 			}
 		}
 	}
 }
 
-// newsAt is what a sentry had last been sent.
-func (a *auditor) newsAt(s logic.SentryID, at logic.Micros) *Event {
-	var last *Event
-	for i := range a.news[s] {
-		if e := &a.news[s][i]; e.At <= at && e.Status.Valid {
-			last = e
+// statusAt returns the latest status that had been sent to a sentry by a time, nil if there was none.
+func (a *auditor) statusAt(sentry logic.SentryID, at logic.Micros) *Event {
+	var latest *Event
+	for i := range a.statuses[sentry] {
+		if e := &a.statuses[sentry][i]; e.At <= at && e.Status.Valid {
+			latest = e
 		}
 	}
-	return last
+	return latest
 }
 
-// trial says whether a hand-off went to a build on trial, what cap may have counted for it, and since when.
-func (a *auditor) trial(s logic.SentryID, h *handOff) (onTrial bool, most float64, since logic.Micros) {
-	latest := a.newsAt(s, h.At)
+// trialLimits reports whether a hand-off went to a build on trial, the largest cap that may have applied to it, and the
+// time since which hand-offs count against that cap.
+func (a *auditor) trialLimits(sentry logic.SentryID, h *handOff) (onTrial bool, maxCap float64, since logic.Micros) {
+	latest := a.statusAt(sentry, h.At)
 	if latest == nil {
 		return false, 0, 0
 	}
 	if h.Build > latest.Status.Build {
-		if len(a.o.StageCaps) > 0 {
-			most = a.o.StageCaps[0]
+		if len(a.config.StageCaps) > 0 {
+			maxCap = a.config.StageCaps[0]
 		}
-		return true, most, 0
+		return true, maxCap, 0
 	}
 	if h.Build != latest.Status.Build {
 		return false, 0, 0
 	}
-	// What was sent lately may not have been read, and a lower cap counts only after the grace.
-	earliest := h.At - a.slack - a.o.DrainGrace
-	for i := range a.news[s] {
-		e := &a.news[s][i]
+	// The sentry may not have read a recent status yet, and a lower cap applies only after the drain grace.
+	earliest := h.At - a.slack - a.config.DrainGrace
+	for i := range a.statuses[sentry] {
+		e := &a.statuses[sentry][i]
 		if e.At > h.At || !e.Status.Valid || e.Status.Build != h.Build {
 			continue
 		}
 		until := never
-		for j := i + 1; j < len(a.news[s]); j++ {
-			if n := &a.news[s][j]; n.Status.Valid {
-				until = a.informed(s, n.At) + a.o.DrainGrace
+		for j := i + 1; j < len(a.statuses[sentry]); j++ {
+			if next := &a.statuses[sentry][j]; next.Status.Valid {
+				until = a.latestReceipt(sentry, next.At) + a.config.DrainGrace
 				break
 			}
 		}
@@ -692,90 +717,96 @@
 		if e.Status.Phase == logic.Released && until > h.At-a.slack {
 			return false, 0, 0
 		}
-		if c := e.Status.Cap; until > h.At && c >= most {
-			most = c
+		if statusCap := e.Status.Cap; until > h.At && statusCap >= maxCap {
+			maxCap = statusCap
 		}
 	}
-	// Recounted from the last time that a lower cap came into force.
-	for i := 1; i < len(a.news[s]); i++ {
-		n, old := &a.news[s][i], &a.news[s][i-1]
-		if n.Status.Valid && n.Status.Build == h.Build && n.Status.Cap < old.Status.Cap {
-			if from := a.informed(s, n.At) + a.o.DrainGrace; from <= h.At {
+	// The count of hand-offs restarts when a lower cap comes into force.
+	for i := 1; i < len(a.statuses[sentry]); i++ {
+		next, previous := &a.statuses[sentry][i], &a.statuses[sentry][i-1]
+		if next.Status.Valid && next.Status.Build == h.Build && next.Status.Cap < previous.Status.Cap {
+			if from := a.latestReceipt(sentry, next.At) + a.config.DrainGrace; from <= h.At {
 				since = from
 			}
 		}
 	}
-	return true, most, since
+	return true, maxCap, since
 }
 
-func (a *auditor) exposed(s logic.SentryID, h *handOff, sent []*handOff, taken []logic.Micros) {
-	_, most, since := a.trial(s, h)
-	from := max(h.At-a.o.ExposureWindow, since)
-	for _, l := range a.lives[s] {
-		if l.from <= h.At {
-			from = max(from, l.from)
+// checkExposureBound checks the bound of rule 5 and the guarded stages for a hand-off. The lists sent and taken hold the
+// sentry's hand-offs to trials up to this one, and the times of all transactions that it took.
+func (a *auditor) checkExposureBound(sentry logic.SentryID, h *handOff, sent []*handOff, taken []logic.Micros) {
+	_, maxCap, since := a.trialLimits(sentry, h)
+	from := max(h.At-a.config.ExposureWindow, since)
+	for _, run := range a.runs[sentry] {
+		if run.from <= h.At {
+			from = max(from, run.from)
 		}
 	}
-	n := 0
+	sentCount := 0
 	for i := len(sent) - 1; i >= 0 && sent[i].At > from; i-- {
 		if sent[i].Build == h.Build {
-			n++
+			sentCount++
 		}
 	}
-	came := 0
-	low, _ := slices.BinarySearch(taken, h.At-a.o.ExposureWindow-a.slack)
-	for _, at := range taken[low:] {
+	takenCount := 0
+	first, _ := slices.BinarySearch(taken, h.At-a.config.ExposureWindow-a.slack)
+	for _, at := range taken[first:] {
 		if at > h.At+a.slack {
 			break
 		}
-		came++
+		takenCount++
 	}
-	if most == 0 && n > 0 {
-		a.breach(5, h.At, a.tries[h.Try], "sentry %d sent to build %d at cap 0", s, h.Build)
-	} else if float64(n) > a.o.FreeExposure+most*float64(came) {
-		a.breach(5, h.At, a.tries[h.Try], "sentry %d handed off %d to build %d within %d us, took %d; free %g, cap %g",
-			s, n, h.Build, a.o.ExposureWindow, came, a.o.FreeExposure, most)
+	if maxCap == 0 && sentCount > 0 {
+		a.addViolation(5, h.At, a.tries[h.Try], "sentry %d handed off to build %d at cap 0", sentry, h.Build)
+	} else if float64(sentCount) > a.config.FreeExposure+maxCap*float64(takenCount) {
+		a.addViolation(5, h.At, a.tries[h.Try], "sentry %d handed off %d to build %d within %d us, took %d; free %g, cap %g",
+			sentry, sentCount, h.Build, a.config.ExposureWindow, takenCount, a.config.FreeExposure, maxCap)
 	}
-	latest := a.newsAt(s, h.At)
-	before := a.newsAt(s, h.At-a.slack-a.o.DrainGrace)
-	guarded := func(e *Event) bool {
-		later := e != nil && e.Status.Build < h.Build // one that nothing was told of is held to be in the first stage
-		return later && a.o.GuardedStages > 0 ||
-			e != nil && e.Status.Build == h.Build && e.Status.Phase == logic.OnTrial && e.Status.Stage < a.o.GuardedStages
+	latest := a.statusAt(sentry, h.At)
+	settled := a.statusAt(sentry, h.At-a.slack-a.config.DrainGrace)
+	isGuarded := func(e *Event) bool {
+		isLaterBuild := e != nil && e.Status.Build < h.Build // without a status a build counts as in its first stage
+		return isLaterBuild && a.config.GuardedStages > 0 ||
+			e != nil && e.Status.Build == h.Build && e.Status.Phase == logic.OnTrial && e.Status.Stage < a.config.GuardedStages
 	}
-	if int(h.Profile) < len(a.o.Profiles) && a.o.Profiles[h.Profile].Repeatability != logic.Idempotent && guarded(latest) && guarded(before) {
-		a.breach(5, h.At, a.tries[h.Try], "sentry %d handed off what is not redoable to build %d at a guarded stage", s, h.Build)
+	if int(h.Profile) < len(a.config.Profiles) && a.config.Profiles[h.Profile].Repeatability != logic.Idempotent &&
+		isGuarded(latest) && isGuarded(settled) {
+		a.addViolation(5, h.At, a.tries[h.Try], "sentry %d handed off a transaction that is not idempotent to build %d at a guarded stage",
+			sentry, h.Build)
 	}
 }
 
-// met is the build that has answered a key, and since when its client has that.
-type met struct {
+// trialAnswer is the build on trial that answered a key, and the time from which the client had the answer.
+type trialAnswer struct {
 	build logic.BuildID
 	at    logic.Micros
 }
 
-// forward checks that a key which the trial has answered goes to no earlier build.
-func (a *auditor) forward(keys map[logic.Key]met, h *handOff, n *Event) {
-	if !a.o.ForwardOnly || h.Key == "" || n == nil {
+// checkForwardOnly checks that a key which the trial has answered does not go to an earlier build, and keeps the trial's
+// answers in trialAnswers.
+func (a *auditor) checkForwardOnly(trialAnswers map[logic.Key]trialAnswer, h *handOff, status *Event) {
+	if !a.config.ForwardOnly || h.Key == "" || status == nil {
 		return
 	}
-	m, known := keys[h.Key]
-	settled := a.newsAt(h.Sentry, h.At-a.slack-a.o.DrainGrace)
-	stands := settled != nil && settled.Status.Build == m.build && n.Status.Build == m.build &&
-		forwardIn(n.Status.Phase) && forwardIn(settled.Status.Phase)
-	if known && stands && h.Build < m.build && h.At > a.informed(h.Sentry, m.at) && !a.bornAfter(h.Sentry, m.at, h.At) {
-		a.breach(5, h.At, a.tries[h.Try], "sentry %d handed key %q to build %d, after build %d had answered it", h.Sentry, h.Key,
-			h.Build, m.build)
+	answer, known := trialAnswers[h.Key]
+	settled := a.statusAt(h.Sentry, h.At-a.slack-a.config.DrainGrace)
+	applies := settled != nil && settled.Status.Build == answer.build && status.Status.Build == answer.build &&
+		isForwardOnlyPhase(status.Status.Phase) && isForwardOnlyPhase(settled.Status.Phase)
+	if known && applies && h.Build < answer.build && h.At > a.latestReceipt(h.Sentry, answer.at) &&
+		!a.startedAfter(h.Sentry, answer.at, h.At) {
+		a.addViolation(5, h.At, a.tries[h.Try], "sentry %d handed off key %q to build %d after build %d had answered it", h.Sentry, h.Key,
+			h.Build, answer.build)
 	}
-	if h.good && h.Build == n.Status.Build && n.Status.Phase == logic.OnTrial && (!known || h.Build > m.build) {
+	if h.satisfied && h.Build == status.Status.Build && status.Status.Phase == logic.OnTrial && (!known || h.Build > answer.build) {
 		t := a.tries[h.Try]
-		for _, e := range t.answers {
-			if e.Outcome == Satisfied {
-				keys[h.Key] = met{h.Build, max(e.At, h.end)}
+		for _, clientAnswer := range t.answers {
+			if clientAnswer.Outcome == Satisfied {
+				trialAnswers[h.Key] = trialAnswer{h.Build, max(clientAnswer.At, h.endedAt)}
 			}
 		}
 	}
 }
 
-// forwardIn says whether keys go forward only in a phase.
-func forwardIn(p logic.Phase) bool { return p == logic.OnTrial || p == logic.Released }
+// isForwardOnlyPhase reports whether keys do not go to an earlier build again in a phase.
+func isForwardOnlyPhase(p logic.Phase) bool { return p == logic.OnTrial || p == logic.Released }
