--- a/internal/plan/event.go
+++ b/internal/plan/event.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// EventKind is what happened to a release.
+// EventKind is the kind of an event. Its text is stored.
 type EventKind string
 
+// The kinds of events.
 const (
 	EventTick         EventKind = "tick"
 	EventFleetShare   EventKind = "reached"
@@ -19,7 +20,7 @@
 	EventRollBack     EventKind = "back"
 )
 
-// Event is one thing that happened, as it is kept on disk. Which fields count depends on its kind.
+// Event is an event of a release, as it is stored on disk. Which fields are set depends on the kind.
 type Event struct {
 	Kind     EventKind `json:"kind"`
 	At       time.Time `json:"at"`
@@ -28,12 +29,12 @@
 	Verdict  Verdict   `json:"verdict,omitempty"`
 	Approval string    `json:"approval,omitempty"`
 	Member   Member    `json:"member,omitempty"`
-	GrantID  string    `json:"name,omitempty"` // of the approval given, its own
-	Share    float64   `json:"share,omitempty"`
+	GrantID  string    `json:"name,omitempty"`  // the grant's own ID
+	Share    float64   `json:"share,omitempty"` // of the fleet; for EventCapConfirmed, the cap
 }
 
-// Step takes an event. The same events from the same state give the same effects and state. One that is refused changes
-// nothing but the clock.
+// Apply applies an event and returns the actions to take. The same events on the same state always give the same actions
+// and the same state. An event that is rejected changes nothing but the time of the last event.
 func (r *Release) Apply(e *Event) ([]Action, error) {
 	switch e.Kind {
 	case EventTick:
@@ -54,5 +55,5 @@
 	case EventRollBack:
 		return r.RollBack(e.At)
 	}
-	return nil, fmt.Errorf("found an event of kind %q, expected one that is known", e.Kind)
+	return nil, fmt.Errorf("found an event of kind %q, expected a known kind", e.Kind)
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Build is a build's number; a later one has a higher.
+// Build is the number of a build. A later build has a higher number.
 type Build int
 
-// Plan is how one release goes. Places among windows, approvals and groups are their indexes.
+// Plan is a release plan. Waves and approvals refer to profiles, windows, approvals and groups by index.
 type Plan struct {
 	Name      string
 	Build     Build
-	Sentries  int      // that may vote
+	Sentries  int      // number of sentries that may vote
 	Profiles  []string // that waves may guard
 	Labels    map[string]string
 	Windows   []Window
@@ -24,167 +24,168 @@
 	Waves     []Wave
 }
 
-// Wave is one step: a share of the fleet runs the build, and sentries may send it so much.
+// Wave is a step of a release: a share of the fleet runs the build, and it gets traffic up to a cap.
 type Wave struct {
 	Name      string
 	Share     float64 // of the fleet
-	Cap       float64 // of each sentry's transactions
+	Cap       float64 // largest share of each sentry's transactions that the build gets
 	Bake      time.Duration
-	On        int   // votes to go on; 0: the bake alone
-	Back      int   // votes to go back
+	On        int   // votes needed to advance; 0 if the bake is enough
+	Back      int   // votes needed to roll back
 	Guarded   []int // profiles that the build does not get yet
-	Windows   []int // it begins in one of these; none: at any time
-	Approvals []int // all of these before it begins
-	Hold      bool  // it waits for a resume by hand before it begins
+	Windows   []int // the wave starts in one of these; at any time if there are none
+	Approvals []int // all of these are needed before the wave starts
+	Hold      bool  // the wave waits for a manual resume before it starts
 }
 
-// Group is people who may approve, by their keys' names.
+// Group is a group of people who may approve. Members are the names of their keys.
 type Group struct {
 	Name    string
 	Members []string
 }
 
-// Approval is what so many of a group give.
+// Approval requires a number of members of a group to approve.
 type Approval struct {
 	Name  string
 	Group int
-	Count int
-	Valid time.Duration // for how long after it is given
+	Count int           // of members
+	Valid time.Duration // how long a member's approval is valid
 }
 
-// Fault is what is wrong with a part of a plan: a kind of block, which one of them, and its attribute.
+// Problem is a problem of a plan, in an attribute of a block of the plan's file.
 type Problem struct {
 	BlockType string
-	Index     int
-	Attribute string // empty: the block as a whole
+	Index     int    // among the blocks of this type
+	Attribute string // empty if the problem concerns the whole block
 	Text      string
 }
 
-func (f Problem) String() string {
-	return fmt.Sprintf("%s %d, %s: %s", f.BlockType, f.Index, f.Attribute, f.Text)
+// String returns the block, the attribute and the text.
+func (p Problem) String() string {
+	return fmt.Sprintf("%s %d, %s: %s", p.BlockType, p.Index, p.Attribute, p.Text)
 }
 
-// Check finds all that a plan can never come to, as of a moment.
-func (p *Plan) Check(now time.Time) (faults []Problem) {
-	add := func(kind string, at int, attribute, format string, args ...any) {
-		faults = append(faults, Problem{kind, at, attribute, fmt.Sprintf(format, args...)})
+// Check finds the problems that keep a plan from being completed when it starts at the given time.
+func (p *Plan) Check(now time.Time) (problems []Problem) {
+	addProblem := func(blockType string, index int, attribute, format string, args ...any) {
+		problems = append(problems, Problem{blockType, index, attribute, fmt.Sprintf(format, args...)})
 	}
 	for i := range p.Windows {
 		w := &p.Windows[i]
 		if _, opens := w.NextTime(now, true); !opens {
-			add("window", i, "", "found a window that does not open in three years, expected days, hours and dates that leave it some time")
+			addProblem("window", i, "", "found a window that does not open within three years, expected days, hours and dates at which it is open")
 		}
 	}
 	for i, g := range p.Groups {
 		for j, m := range g.Members {
 			if slices.Contains(g.Members[:j], m) {
-				add("group", i, "members", "found %q twice, expected each once", m)
+				addProblem("group", i, "members", "found %q twice, expected each member once", m)
 			}
 		}
 	}
 	for i, a := range p.Approvals {
 		if members := p.Groups[a.Group].Members; a.Count > len(members) {
-			add("approval", i, "count", "found %d, expected at most the %d members of %s: nobody may give it", a.Count, len(members),
+			addProblem("approval", i, "count", "found %d, expected at most %d, the number of members of %s", a.Count, len(members),
 				p.Groups[a.Group].Name)
 		}
 		if !slices.ContainsFunc(p.Waves, func(w Wave) bool { return slices.Contains(w.Approvals, i) }) {
-			add("approval", i, "", "found an approval that no wave asks for, expected one that does")
+			addProblem("approval", i, "", "found an approval that no wave requires, expected at least one wave that does")
 		}
 	}
 	if len(p.Waves) == 0 {
-		add("plan", 0, "", "found no wave, expected one at least")
-		return faults
+		addProblem("plan", 0, "", "found no wave, expected at least one")
+		return problems
 	}
 	for i := range p.Waves {
 		w := &p.Waves[i]
 		if i > 0 {
-			before := &p.Waves[i-1]
-			for _, x := range []struct {
-				attribute string
-				now, then float64
-			}{{"share", w.Share, before.Share}, {"cap", w.Cap, before.Cap}} {
-				if x.now < x.then {
-					add("wave", i, x.attribute, "found %g after %g of %s, expected none to fall", x.now, x.then, before.Name)
+			previous := &p.Waves[i-1]
+			for _, limit := range []struct {
+				attribute         string
+				current, previous float64
+			}{{"share", w.Share, previous.Share}, {"cap", w.Cap, previous.Cap}} {
+				if limit.current < limit.previous {
+					addProblem("wave", i, limit.attribute, "found %g after %g in wave %s, expected no decrease", limit.current, limit.previous, previous.Name)
 				}
 			}
 			for _, g := range w.Guarded {
-				if !slices.Contains(before.Guarded, g) {
-					add("wave", i, "guard", "found %s, which %s does not guard, expected no profile to be guarded again", p.Profiles[g], before.Name)
+				if !slices.Contains(previous.Guarded, g) {
+					addProblem("wave", i, "guard", "found %s, which wave %s does not guard, expected profiles that it guards", p.Profiles[g], previous.Name)
 				}
 			}
 		}
 		if w.On > p.Sentries {
-			add("wave", i, "on_votes", "found %d, expected at most the %d sentries: they can never come", w.On, p.Sentries)
+			addProblem("wave", i, "on_votes", "found %d, expected at most %d, the number of sentries", w.On, p.Sentries)
 		}
 		if w.Back > p.Sentries {
-			add("wave", i, "back_votes", "found %d, expected at most the %d sentries: they can never come", w.Back, p.Sentries)
+			addProblem("wave", i, "back_votes", "found %d, expected at most %d, the number of sentries", w.Back, p.Sentries)
 		}
 		if _, opens := p.WaveStart(i, now); !opens {
-			add("wave", i, "windows", "found a wave that no window can reach, expected one that opens")
+			addProblem("wave", i, "windows", "found windows that do not open within three years, expected at least one that does")
 		}
 	}
 	if last := &p.Waves[len(p.Waves)-1]; last.Cap < 1 || last.Share < 1 || len(last.Guarded) > 0 {
-		add("wave", len(p.Waves)-1, "cap", "found a last wave with share %g, cap %g and %d guarded profiles, expected 1, 1 and none: "+
-			"the release would never be whole", last.Share, last.Cap, len(last.Guarded))
+		addProblem("wave", len(p.Waves)-1, "cap", "found a last wave with share %g, cap %g and %d guarded profiles, expected 1, 1 and none: "+
+			"the release would never be complete", last.Share, last.Cap, len(last.Guarded))
 	}
-	return faults
+	return problems
 }
 
-// Begin is the first moment from t on at which a wave's windows let it begin. False if none does.
+// WaveStart returns the first time from t on at which a wave's windows allow it to start, and false if there is none.
 func (p *Plan) WaveStart(wave int, t time.Time) (time.Time, bool) {
 	w := &p.Waves[wave]
 	if len(w.Windows) == 0 {
 		return t, true
 	}
-	var moments []time.Time
-	for _, at := range w.Windows {
-		if m, opens := p.Windows[at].NextTime(t, true); opens {
-			moments = append(moments, m)
+	var starts []time.Time
+	for _, index := range w.Windows {
+		if start, opens := p.Windows[index].NextTime(t, true); opens {
+			starts = append(starts, start)
 		}
 	}
-	if len(moments) == 0 {
+	if len(starts) == 0 {
 		return time.Time{}, false
 	}
-	return slices.MinFunc(moments, func(a, b time.Time) int { return a.Compare(b) }), true
+	return slices.MinFunc(starts, func(a, b time.Time) int { return a.Compare(b) }), true
 }
 
-// Earliest is when each wave begins and when the release is whole, if votes and approvals come at once and every wave
-// takes no longer than its bake.
-func (p *Plan) EarliestSchedule(from time.Time) (begins []time.Time, whole time.Time) {
+// EarliestSchedule returns when each wave starts and when the release is complete, if votes and approvals come at once and
+// no wave takes longer than its bake.
+func (p *Plan) EarliestSchedule(from time.Time) (starts []time.Time, end time.Time) {
 	t := from
 	for i := range p.Waves {
-		begin, ok := p.WaveStart(i, t)
+		start, ok := p.WaveStart(i, t)
 		if !ok {
-			return begins, time.Time{}
+			return starts, time.Time{}
 		}
-		begins = append(begins, begin)
-		t = begin.Add(p.Waves[i].Bake)
+		starts = append(starts, start)
+		t = start.Add(p.Waves[i].Bake)
 	}
-	return begins, t
+	return starts, t
 }
 
-// Summary says in a line what a wave waits for.
+// WaveSummary returns in one line what a wave waits for before it starts.
 func (p *Plan) WaveSummary(wave int) string {
 	w := &p.Waves[wave]
 	var parts []string
-	names := func(what string, all []string) {
-		if len(all) > 0 {
-			parts = append(parts, what+" "+strings.Join(all, ", "))
+	addNames := func(prefix string, names []string) {
+		if len(names) > 0 {
+			parts = append(parts, prefix+" "+strings.Join(names, ", "))
 		}
 	}
 	var windows, approvals, guarded []string
-	for _, at := range w.Windows {
-		windows = append(windows, p.Windows[at].Name)
+	for _, index := range w.Windows {
+		windows = append(windows, p.Windows[index].Name)
 	}
-	for _, at := range w.Approvals {
-		approvals = append(approvals, p.Approvals[at].Name)
+	for _, index := range w.Approvals {
+		approvals = append(approvals, p.Approvals[index].Name)
 	}
-	for _, at := range w.Guarded {
-		guarded = append(guarded, p.Profiles[at])
+	for _, index := range w.Guarded {
+		guarded = append(guarded, p.Profiles[index])
 	}
-	names("in", windows)
-	names("after", approvals)
-	names("without", guarded)
+	addNames("in", windows)
+	addNames("after", approvals)
+	addNames("without", guarded)
 	if w.Hold {
 		parts = append(parts, "held")
 	}
--- a/internal/release/read.go
+++ b/internal/release/read.go
@@ -49,7 +49,7 @@
 		r.blocks[kind] = f.Root.Blocks(kind, 1)
 		for _, b := range r.blocks[kind] {
 			if slices.Contains(names[kind], b.Labels[0]) {
-				b.Errorf("%s %s stands twice, expected once", kind, b.Labels[0])
+				b.Errorf("%s %s is declared twice, expected once", kind, b.Labels[0])
 			}
 			names[kind] = append(names[kind], b.Labels[0])
 		}
@@ -139,7 +139,7 @@
 	name := b.Text("zone", true, "UTC")
 	zone, err := time.LoadLocation(name)
 	if err != nil || name == "Local" { // that of the machine is no name
-		b.AttributeErrorf("zone", "found %q, expected a name as Europe/Berlin", name)
+		b.AttributeErrorf("zone", "found %q, expected a name such as Europe/Berlin", name)
 		zone = time.UTC
 	}
 	w.Zone = zone
--- a/internal/release/read_test.go
+++ b/internal/release/read_test.go
@@ -36,26 +36,26 @@
 	}
 }
 
-// What a plan can never come to is refused with its place, as is what can't be read.
+// Plans that can never be completed are rejected with the location of the problem, as are files that cannot be read.
 func TestFaults(t *testing.T) {
 	for _, x := range [][3]string{
-		{`days   = ["mon", "tue", "wed", "thu"]`, `days = []`, "plan.hcl:13:1: found a window that does not open in three years"},
-		{`except = ["2026-12-24 to 2027-01-03"]`, `except = ["2020-01-01 to 2099-12-31"]`, "windows: found a wave that no window can reach"},
-		{`cap       = 0.6`, `cap = 0.1`, "cap: found 0.1 after 0.2 of first, expected none to fall"},
-		{`share     = 0.5`, `share = 0.05`, "share: found 0.05 after 0.1 of first"},
-		{`count = 2`, `count = 4`, "count: found 4, expected at most the 3 members of owners: nobody may give it"},
-		{`on_votes  = 3`, `on_votes = 5`, "on_votes: found 5, expected at most the 4 sentries: they can never come"},
-		{`back_votes = 2`, `back_votes = 5`, "back_votes: found 5, expected at most the 4 sentries"},
-		{`approvals = ["two of the owners"]`, ``, "found an approval that no wave asks for"},
+		{`days   = ["mon", "tue", "wed", "thu"]`, `days = []`, "plan.hcl:13:1: found a window that does not open within three years"},
+		{`except = ["2026-12-24 to 2027-01-03"]`, `except = ["2020-01-01 to 2099-12-31"]`, "windows: found windows that do not open within three years"},
+		{`cap       = 0.6`, `cap = 0.1`, "cap: found 0.1 after 0.2 in wave first, expected no decrease"},
+		{`share     = 0.5`, `share = 0.05`, "share: found 0.05 after 0.1 in wave first"},
+		{`count = 2`, `count = 4`, "count: found 4, expected at most 3, the number of members of owners"},
+		{`on_votes  = 3`, `on_votes = 5`, "on_votes: found 5, expected at most 4, the number of sentries"},
+		{`back_votes = 2`, `back_votes = 5`, "back_votes: found 5, expected at most 4, the number of sentries"},
+		{`approvals = ["two of the owners"]`, ``, "found an approval that no wave requires"},
 		{`approvals = ["two of the owners"]`, `approvals = ["one"]`, `approvals: found "one", expected some of [two of the owners]`},
-		{`guard     = ["handover"]`, `guard = ["reading"]`, `guard: found reading, which first does not guard`},
+		{`guard     = ["handover"]`, `guard = ["reading"]`, `guard: found reading, which wave first does not guard`},
 		{`guard     = ["handover"]`, `guard = ["hand"]`, `guard: found "hand", expected some of [reading handover]`},
-		{`cap     = 1`, `cap = 0.9`, "the release would never be whole"},
-		{`zone   = "America/Jamaica"`, `zone = "Kingston"`, `zone: found "Kingston", expected a name as Europe/Berlin`},
+		{`cap     = 1`, `cap = 0.9`, "the release would never be complete"},
+		{`zone   = "America/Jamaica"`, `zone = "Kingston"`, `zone: found "Kingston", expected a name such as Europe/Berlin`},
 		{`zone   = "America/Jamaica"`, `zone = "Local"`, `zone: found "Local"`},
-		{`from   = "09:00"`, `from = "9"`, `from: found "9", expected a time as 09:30`},
-		{`except = ["2026-12-24 to 2027-01-03"]`, `except = ["christmas"]`, `except: found "christmas", expected a date`},
-		{`wave "whole"`, `wave "first"`, "wave first stands twice"}, {`group "owners"`, `group "owner"`, `group: found "owners", expected one of owner`},
+		{`from   = "09:00"`, `from = "9"`, `from: found "9", expected a time such as 09:30`},
+		{`except = ["2026-12-24 to 2027-01-03"]`, `except = ["christmas"]`, `except: found "christmas", expected a date such as 2026-12-24`},
+		{`wave "whole"`, `wave "first"`, "wave first is declared twice"}, {`group "owners"`, `group "owner"`, `group: found "owners", expected one of owner`},
 		{`"release-1", "release-2"`, `"release-1", "release-1"`, `members: found "release-1" twice`},
 		{`plan "`, `plans "`, "found 0 blocks plan, expected one"}, {`bake       = "30m"`, `bake = "30"`, `bake: found "30", expected a span`},
 		{`valid = "8h"`, `valid = "1s"`, `valid: found "1s", expected a span from 1m0s`},
