--- a/internal/release/pages.go
+++ b/internal/release/pages.go
@@ -7,145 +7,149 @@
 	"hash/fnv"
 )
 
-// checkPages walks the pages of a bbolt file in memory, with every bound checked, before bbolt maps it: bbolt trusts its
-// pages, and one that was cut off or changed ends the process where nobody can catch it. It refuses a file of whose two
-// heads one is damaged too: bbolt would take the older one, and the desk would come back to less than it had told.
+// checkPages walks the pages of a bbolt file in memory, with bounds checks, before bbolt maps the file. bbolt trusts its
+// pages: a truncated or changed page ends the process with a memory fault that cannot be recovered. checkPages also rejects
+// a file with one damaged meta page: bbolt would use the older meta page, and the control plane would restart with a state
+// older than what it had sent.
 func checkPages(data []byte) (err error) {
-	w := &walker{data: data, seen: map[uint64]bool{}}
-	if err := w.heads(); err != nil {
+	w := &pageWalker{data: data, visited: map[uint64]bool{}}
+	if err := w.readMetaPages(); err != nil {
 		return err
 	}
-	if err := w.page(w.root, 0); err != nil {
+	if err := w.walkPage(w.rootPage, 0); err != nil {
 		return err
 	}
-	return w.free()
+	return w.checkFreelist()
 }
 
+// Page flags and sizes in bytes of bbolt's file format, and a bound on the depth of its B+ tree.
 const (
-	branchPage, leafPage, freePage = 0x01, 0x02, 0x10
+	branchFlag, leafFlag, freelistFlag = 0x01, 0x02, 0x10
 
-	headSize   = 16 // of a page
-	branchSize = 16 // of an element
-	leafSize   = 16
-	mostDepth  = 64
+	pageHeaderSize    = 16
+	branchElementSize = 16
+	leafElementSize   = 16
+	maxDepth          = 64
 )
 
-type walker struct {
-	data           []byte
-	size           uint64 // of a page
-	root, freelist uint64
-	pages          uint64 // in use or free, the heads too
-	seen           map[uint64]bool
+// pageWalker walks the pages of a bbolt file.
+type pageWalker struct {
+	data                   []byte
+	pageSize               uint64 // in bytes
+	rootPage, freelistPage uint64
+	pageCount              uint64 // all pages: in use, free and meta pages
+	visited                map[uint64]bool
 }
 
-// heads reads both and takes the newer.
-func (w *walker) heads() error {
-	order := binary.NativeEndian
-	newest := uint64(0)
-	w.size = 4096
-	if len(w.data) >= headSize+12 {
-		w.size = uint64(order.Uint32(w.data[headSize+8:]))
+// readMetaPages checks both meta pages and reads the newer one.
+func (w *pageWalker) readMetaPages() error {
+	byteOrder := binary.NativeEndian
+	newestTransaction := uint64(0)
+	w.pageSize = 4096
+	if len(w.data) >= pageHeaderSize+12 {
+		w.pageSize = uint64(byteOrder.Uint32(w.data[pageHeaderSize+8:]))
 	}
-	if w.size < 512 || w.size > 1<<16 || w.size&(w.size-1) != 0 || uint64(len(w.data)) < 2*w.size {
-		return fmt.Errorf("a head that can't be read")
+	if w.pageSize < 512 || w.pageSize > 1<<16 || w.pageSize&(w.pageSize-1) != 0 || uint64(len(w.data)) < 2*w.pageSize {
+		return fmt.Errorf("an unreadable meta page")
 	}
 	for i := range uint64(2) {
-		head := w.data[i*w.size+headSize:][:64]
-		sum := fnv.New64a()
-		sum.Write(head[:56])
-		if order.Uint64(w.data[i*w.size:]) != i || order.Uint32(head) != 0xED0CDAED || order.Uint64(head[56:]) != sum.Sum64() ||
-			uint64(order.Uint32(head[8:])) != w.size {
-			return fmt.Errorf("a head that does not agree with its sum")
+		meta := w.data[i*w.pageSize+pageHeaderSize:][:64]
+		hash := fnv.New64a()
+		hash.Write(meta[:56])
+		if byteOrder.Uint64(w.data[i*w.pageSize:]) != i || byteOrder.Uint32(meta) != 0xED0CDAED || byteOrder.Uint64(meta[56:]) != hash.Sum64() ||
+			uint64(byteOrder.Uint32(meta[8:])) != w.pageSize {
+			return fmt.Errorf("a meta page with a wrong checksum")
 		}
-		if txid := order.Uint64(head[48:]); txid >= newest {
-			newest = txid
-			w.root, w.freelist, w.pages = order.Uint64(head[16:]), order.Uint64(head[32:]), order.Uint64(head[40:])
+		if transaction := byteOrder.Uint64(meta[48:]); transaction >= newestTransaction {
+			newestTransaction = transaction
+			w.rootPage, w.freelistPage, w.pageCount = byteOrder.Uint64(meta[16:]), byteOrder.Uint64(meta[32:]), byteOrder.Uint64(meta[40:])
 		}
 	}
-	if w.pages > uint64(len(w.data))/w.size {
-		return fmt.Errorf("%d pages cut off", w.pages-uint64(len(w.data))/w.size)
+	if w.pageCount > uint64(len(w.data))/w.pageSize {
+		return fmt.Errorf("a file that is %d pages too short", w.pageCount-uint64(len(w.data))/w.pageSize)
 	}
-	w.seen[0], w.seen[1] = true, true
+	w.visited[0], w.visited[1] = true, true
 	return nil
 }
 
-// body is a page with its overflow, marked as in use.
-func (w *walker) body(id uint64) (body []byte, flags uint16, count uint64, err error) {
-	if id >= w.pages {
-		return nil, 0, 0, fmt.Errorf("page %d beyond the end", id)
-	}
-	order := binary.NativeEndian
-	head := w.data[id*w.size:]
-	overflow := uint64(order.Uint32(head[12:]))
-	if order.Uint64(head) != id || id+overflow >= w.pages {
-		return nil, 0, 0, fmt.Errorf("page %d that is not what it says", id)
-	}
-	for n := id; n <= id+overflow; n++ {
-		if w.seen[n] {
-			return nil, 0, 0, fmt.Errorf("page %d used twice", n)
+// readPage returns a page with its overflow pages, and marks them as visited.
+func (w *pageWalker) readPage(id uint64) (body []byte, flags uint16, count uint64, err error) {
+	if id >= w.pageCount {
+		return nil, 0, 0, fmt.Errorf("a reference to page %d, which is beyond the end", id)
+	}
+	byteOrder := binary.NativeEndian
+	page := w.data[id*w.pageSize:]
+	overflow := uint64(byteOrder.Uint32(page[12:]))
+	if byteOrder.Uint64(page) != id || id+overflow >= w.pageCount {
+		return nil, 0, 0, fmt.Errorf("page %d with a wrong header", id)
+	}
+	for pageID := id; pageID <= id+overflow; pageID++ {
+		if w.visited[pageID] {
+			return nil, 0, 0, fmt.Errorf("page %d used twice", pageID)
 		}
-		w.seen[n] = true
+		w.visited[pageID] = true
 	}
-	return head[:(overflow+1)*w.size], order.Uint16(head[8:]), uint64(order.Uint16(head[10:])), nil
+	return page[:(overflow+1)*w.pageSize], byteOrder.Uint16(page[8:]), uint64(byteOrder.Uint16(page[10:])), nil
 }
 
-func (w *walker) page(id uint64, depth int) error {
-	if depth > mostDepth {
-		return fmt.Errorf("pages without end")
+// walkPage walks a page of the tree and all pages below it.
+func (w *pageWalker) walkPage(id uint64, depth int) error {
+	if depth > maxDepth {
+		return fmt.Errorf("a tree of pages that is too deep")
 	}
-	body, flags, count, err := w.body(id)
+	body, flags, count, err := w.readPage(id)
 	if err != nil {
 		return err
 	}
-	return w.elements(id, body, flags, count, depth)
+	return w.walkElements(id, body, flags, count, depth)
 }
 
-// elements walks those of a page, or of a small bucket that lies within one.
-func (w *walker) elements(id uint64, body []byte, flags uint16, count uint64, depth int) error {
-	if flags != branchPage && flags != leafPage || headSize+count*leafSize > uint64(len(body)) {
-		return fmt.Errorf("page %d of no known kind", id)
+// walkElements walks the elements of a page, or of an inline bucket within a page.
+func (w *pageWalker) walkElements(id uint64, body []byte, flags uint16, count uint64, depth int) error {
+	if flags != branchFlag && flags != leafFlag || pageHeaderSize+count*leafElementSize > uint64(len(body)) {
+		return fmt.Errorf("page %d of an unknown type", id)
 	}
-	order := binary.NativeEndian
-	var before []byte
+	byteOrder := binary.NativeEndian
+	var previousKey []byte
 	for i := range count {
-		at := headSize + i*leafSize
-		e := body[at:]
-		posAt, lenAt := 4, 8
-		if flags == branchPage {
-			posAt, lenAt = 0, 4
+		offset := pageHeaderSize + i*leafElementSize
+		element := body[offset:]
+		positionOffset, lengthOffset := 4, 8
+		if flags == branchFlag {
+			positionOffset, lengthOffset = 0, 4
 		}
-		from := at + uint64(order.Uint32(e[posAt:]))
-		to := from + uint64(order.Uint32(e[lenAt:]))
-		end := to
-		if flags == leafPage {
-			end += uint64(order.Uint32(e[12:]))
+		keyStart := offset + uint64(byteOrder.Uint32(element[positionOffset:]))
+		keyEnd := keyStart + uint64(byteOrder.Uint32(element[lengthOffset:]))
+		valueEnd := keyEnd
+		if flags == leafFlag {
+			valueEnd += uint64(byteOrder.Uint32(element[12:]))
 		}
-		if from < headSize+count*leafSize || end > uint64(len(body)) {
-			return fmt.Errorf("page %d with an entry beyond its end", id)
+		if keyStart < pageHeaderSize+count*leafElementSize || valueEnd > uint64(len(body)) {
+			return fmt.Errorf("page %d with an element beyond its end", id)
 		}
-		key := body[from:to]
-		if i > 0 && bytes.Compare(before, key) >= 0 {
-			return fmt.Errorf("page %d out of order", id)
+		key := body[keyStart:keyEnd]
+		if i > 0 && bytes.Compare(previousKey, key) >= 0 {
+			return fmt.Errorf("page %d with keys out of order", id)
 		}
-		before = key
+		previousKey = key
 		var err error
-		switch kind := order.Uint32(e); {
-		case flags == branchPage:
-			err = w.page(order.Uint64(e[8:]), depth+1)
-		case kind == 1: // a bucket: its root, and its page if it is small
-			value := body[to:end]
+		switch kind := byteOrder.Uint32(element); {
+		case flags == branchFlag:
+			err = w.walkPage(byteOrder.Uint64(element[8:]), depth+1)
+		case kind == 1: // a bucket: the ID of its root page, or 0 and an inline page
+			value := body[keyEnd:valueEnd]
 			if len(value) < 16 {
-				return fmt.Errorf("page %d with a bucket that is none", id)
+				return fmt.Errorf("page %d with an invalid bucket", id)
 			}
-			if root := order.Uint64(value); root > 0 {
-				err = w.page(root, depth+1)
-			} else if small := value[16:]; len(small) < headSize {
-				err = fmt.Errorf("page %d with a bucket that is none", id)
+			if root := byteOrder.Uint64(value); root > 0 {
+				err = w.walkPage(root, depth+1)
+			} else if inlinePage := value[16:]; len(inlinePage) < pageHeaderSize {
+				err = fmt.Errorf("page %d with an invalid bucket", id)
 			} else {
-				err = w.elements(id, small, order.Uint16(small[8:]), uint64(order.Uint16(small[10:])), depth+1)
+				err = w.walkElements(id, inlinePage, byteOrder.Uint16(inlinePage[8:]), uint64(byteOrder.Uint16(inlinePage[10:])), depth+1)
 			}
 		case kind != 0:
-			err = fmt.Errorf("page %d with an entry of no known kind", id)
+			err = fmt.Errorf("page %d with an element of an unknown type", id)
 		}
 		if err != nil {
 			return err
@@ -154,29 +158,29 @@
 	return nil
 }
 
-// free sees that every page is either in use or free.
-func (w *walker) free() error {
-	body, flags, count, err := w.body(w.freelist)
+// checkFreelist checks that every page is either in use or in the freelist.
+func (w *pageWalker) checkFreelist() error {
+	body, flags, count, err := w.readPage(w.freelistPage)
 	if err != nil {
 		return err
 	}
-	from := uint64(headSize)
-	order := binary.NativeEndian
+	offset := uint64(pageHeaderSize)
+	byteOrder := binary.NativeEndian
 	if count == 0xFFFF {
-		count, from = order.Uint64(body[headSize:]), headSize+8
+		count, offset = byteOrder.Uint64(body[pageHeaderSize:]), pageHeaderSize+8
 	}
-	if flags != freePage || count > (uint64(len(body))-from)/8 {
-		return fmt.Errorf("free pages that can't be read")
+	if flags != freelistFlag || count > (uint64(len(body))-offset)/8 {
+		return fmt.Errorf("an unreadable freelist")
 	}
 	for i := range count {
-		id := order.Uint64(body[from+8*i:])
-		if id >= w.pages || w.seen[id] {
+		id := byteOrder.Uint64(body[offset+8*i:])
+		if id >= w.pageCount || w.visited[id] {
 			return fmt.Errorf("page %d both free and in use", id)
 		}
-		w.seen[id] = true
+		w.visited[id] = true
 	}
-	if uint64(len(w.seen)) != w.pages {
-		return fmt.Errorf("%d pages neither free nor in use", w.pages-uint64(len(w.seen)))
+	if uint64(len(w.visited)) != w.pageCount {
+		return fmt.Errorf("%d pages neither free nor in use", w.pageCount-uint64(len(w.visited)))
 	}
 	return nil
 }
--- a/internal/release/read.go
+++ b/internal/release/read.go
@@ -1,4 +1,5 @@
-// Package release reads release plans. What they mean and whether they can come to anything is in internal/plan.
+// Package release reads release plans from HCL files, and keeps the state of a release on disk. Package plan defines the
+// plans, checks them, and runs releases.
 package release
 
 import (
@@ -10,98 +11,100 @@
 	"scalechute/logic"
 )
 
-// Load reads a plan's file and checks it whole, as of a moment.
+// Load reads a plan's file and checks the plan, as of the given time.
 func Load(name string, now time.Time) (*plan.Plan, error) {
 	f, err := hclread.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	return read(f, now)
+	return readPlan(f, now)
 }
 
-// Parse is Load for what was read already.
+// Parse is Load for a file that has already been read.
 func Parse(name string, source []byte, now time.Time) (*plan.Plan, error) {
 	f, err := hclread.Parse(name, source)
 	if err != nil {
 		return nil, err
 	}
-	return read(f, now)
+	return readPlan(f, now)
 }
 
 const week = 7 * 24 * time.Hour
 
-// reader keeps the blocks of each kind, so that a fault of the plan is told where it stands.
+// reader builds a plan. It keeps the blocks by type, so that problems of the plan are reported with their location.
 type reader struct {
-	p      *plan.Plan
+	plan   *plan.Plan
 	blocks map[string][]*hclread.Body
 }
 
-func read(f *hclread.File, now time.Time) (*plan.Plan, error) {
-	r := &reader{p: &plan.Plan{}, blocks: map[string][]*hclread.Body{}}
-	head := f.Root.Blocks("plan", 1)
-	if len(head) != 1 {
-		f.Root.Errorf("found %d blocks plan, expected one", len(head))
+// readPlan reads and checks a plan.
+func readPlan(f *hclread.File, now time.Time) (*plan.Plan, error) {
+	r := &reader{plan: &plan.Plan{}, blocks: map[string][]*hclread.Body{}}
+	planBlocks := f.Root.Blocks("plan", 1)
+	if len(planBlocks) != 1 {
+		f.Root.Errorf("found %d blocks plan, expected one", len(planBlocks))
 		return nil, f.Err()
 	}
-	r.head(head[0])
+	r.readPlanBlock(planBlocks[0])
 	names := map[string][]string{}
-	for _, kind := range []string{"window", "group", "approval", "wave"} {
-		r.blocks[kind] = f.Root.Blocks(kind, 1)
-		for _, b := range r.blocks[kind] {
-			if slices.Contains(names[kind], b.Labels[0]) {
-				b.Errorf("%s %s is declared twice, expected once", kind, b.Labels[0])
+	for _, blockType := range []string{"window", "group", "approval", "wave"} {
+		r.blocks[blockType] = f.Root.Blocks(blockType, 1)
+		for _, b := range r.blocks[blockType] {
+			if slices.Contains(names[blockType], b.Labels[0]) {
+				b.Errorf("%s %s is declared twice, expected once", blockType, b.Labels[0])
 			}
-			names[kind] = append(names[kind], b.Labels[0])
+			names[blockType] = append(names[blockType], b.Labels[0])
 		}
 	}
 	for _, b := range r.blocks["window"] {
-		r.window(b)
+		r.readWindow(b)
 	}
 	for _, b := range r.blocks["group"] {
-		r.p.Groups = append(r.p.Groups, plan.Group{Name: b.Labels[0], Members: b.Texts("members", true)})
+		r.plan.Groups = append(r.plan.Groups, plan.Group{Name: b.Labels[0], Members: b.Texts("members", true)})
 		b.RejectUnknown()
 	}
 	for _, b := range r.blocks["approval"] {
-		a := plan.Approval{Name: b.Labels[0], Group: one(b, "group", names["group"]), Count: b.Int("count", false, 1, 1, 100),
-			Valid: span(b.Duration("valid", true, time.Hour, time.Minute, 4*week))}
+		approval := plan.Approval{Name: b.Labels[0], Group: nameIndex(b, "group", names["group"]), Count: b.Int("count", false, 1, 1, 100),
+			Valid: duration(b.Duration("valid", true, time.Hour, time.Minute, 4*week))}
 		b.RejectUnknown()
-		r.p.Approvals = append(r.p.Approvals, a)
+		r.plan.Approvals = append(r.plan.Approvals, approval)
 	}
 	for _, b := range r.blocks["wave"] {
-		w := plan.Wave{Name: b.Labels[0], Share: b.Float("share", true, 1, 0, 1), Cap: b.Float("cap", true, 1, 0, 1),
-			Bake: span(b.Duration("bake", true, 0, 0, 4*week)), On: b.Int("on_votes", false, 1, 0, 100_000),
+		wave := plan.Wave{Name: b.Labels[0], Share: b.Float("share", true, 1, 0, 1), Cap: b.Float("cap", true, 1, 0, 1),
+			Bake: duration(b.Duration("bake", true, 0, 0, 4*week)), On: b.Int("on_votes", false, 1, 0, 100_000),
 			Back: b.Int("back_votes", false, 1, 1, 100_000), Hold: b.Bool("hold", false),
-			Guarded: several(b, "guard", r.p.Profiles), Windows: several(b, "windows", names["window"]),
-			Approvals: several(b, "approvals", names["approval"])}
+			Guarded: nameIndexes(b, "guard", r.plan.Profiles), Windows: nameIndexes(b, "windows", names["window"]),
+			Approvals: nameIndexes(b, "approvals", names["approval"])}
 		b.RejectUnknown()
-		r.p.Waves = append(r.p.Waves, w)
+		r.plan.Waves = append(r.plan.Waves, wave)
 	}
 	f.Root.RejectUnknown()
-	if err := f.Err(); err != nil { // what the plan means is looked at only if it could be read
+	if err := f.Err(); err != nil { // a plan is checked only if all of it could be read
 		return nil, err
 	}
-	for _, x := range r.p.Check(now) {
-		b := r.blocks[x.BlockType][x.Index]
-		if x.Attribute == "" {
-			b.Errorf("%s", x.Text)
+	for _, problem := range r.plan.Check(now) {
+		b := r.blocks[problem.BlockType][problem.Index]
+		if problem.Attribute == "" {
+			b.Errorf("%s", problem.Text)
 		} else {
-			b.AttributeErrorf(x.Attribute, "%s", x.Text)
+			b.AttributeErrorf(problem.Attribute, "%s", problem.Text)
 		}
 	}
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
-	return r.p, nil
+	return r.plan, nil
 }
 
-func (r *reader) head(b *hclread.Body) {
+// readPlanBlock reads the block plan.
+func (r *reader) readPlanBlock(b *hclread.Body) {
 	r.blocks["plan"] = []*hclread.Body{b}
-	r.p.Name = b.Labels[0]
-	r.p.Build = plan.Build(b.Int("build", true, 1, 1, 65535))
-	r.p.Sentries = b.Int("sentries", true, 1, 1, 100_000)
-	r.p.Labels = map[string]string{}
+	r.plan.Name = b.Labels[0]
+	r.plan.Build = plan.Build(b.Int("build", true, 1, 1, 65535))
+	r.plan.Sentries = b.Int("sentries", true, 1, 1, 100_000)
+	r.plan.Labels = map[string]string{}
 	if b.Has("profiles") {
-		r.p.Profiles = b.Texts("profiles", true)
+		r.plan.Profiles = b.Texts("profiles", true)
 	}
 	if b.Has("labels") {
 		for _, pair := range b.Pairs("labels", true) {
@@ -109,23 +112,25 @@
 				b.AttributeErrorf("labels", "found a list as %s, expected a text", pair.Name)
 				continue
 			}
-			r.p.Labels[pair.Name] = pair.Values[0]
+			r.plan.Labels[pair.Name] = pair.Values[0]
 		}
 	}
 	b.RejectUnknown()
 }
 
-var days = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
+// dayNames are the names of the days of the week, by time.Weekday.
+var dayNames = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
-func (r *reader) window(b *hclread.Body) {
+// readWindow reads a block window.
+func (r *reader) readWindow(b *hclread.Body) {
 	w := plan.Window{Name: b.Labels[0], Zone: time.UTC, To: 24 * 60}
-	for _, at := range several(b, "days", days) {
-		w.Days[at] = true
+	for _, index := range nameIndexes(b, "days", dayNames) {
+		w.Days[index] = true
 	}
 	if !b.Has("days") {
 		w.Days = [7]bool{true, true, true, true, true, true, true}
 	}
-	for name, to := range map[string]*int{"from": &w.From, "to": &w.To} {
+	for name, target := range map[string]*int{"from": &w.From, "to": &w.To} {
 		text := b.Text(name, false, "")
 		if text == "" {
 			continue
@@ -134,30 +139,30 @@
 		if err != nil {
 			b.AttributeErrorf(name, "%v", err)
 		}
-		*to = minute
+		*target = minute
 	}
 	name := b.Text("zone", true, "UTC")
 	zone, err := time.LoadLocation(name)
-	if err != nil || name == "Local" { // that of the machine is no name
+	if err != nil || name == "Local" { // "Local" would be the machine's zone
 		b.AttributeErrorf("zone", "found %q, expected a name such as Europe/Berlin", name)
 		zone = time.UTC
 	}
 	w.Zone = zone
 	if b.Has("except") {
 		for _, text := range b.Texts("except", true) {
-			s, err := plan.ParseDateRange(text)
+			dates, err := plan.ParseDateRange(text)
 			if err != nil {
 				b.AttributeErrorf("except", "%v", err)
 			}
-			w.Except = append(w.Except, s)
+			w.Except = append(w.Except, dates)
 		}
 	}
 	b.RejectUnknown()
-	r.p.Windows = append(r.p.Windows, w)
+	r.plan.Windows = append(r.plan.Windows, w)
 }
 
-// one is the place of a name among others, several those of a list of names.
-func one(b *hclread.Body, attribute string, names []string) int {
+// nameIndex returns the index in names of the name that an attribute gives.
+func nameIndex(b *hclread.Body, attribute string, names []string) int {
 	if len(names) == 0 {
 		b.Errorf("%s %s: the file has no %s, expected one", b.Kind, b.Labels[0], attribute)
 		return 0
@@ -165,19 +170,20 @@
 	return b.Enum(attribute, true, 0, names...)
 }
 
-func several(b *hclread.Body, attribute string, names []string) (places []int) {
+// nameIndexes returns the indexes in names of the names that an attribute lists.
+func nameIndexes(b *hclread.Body, attribute string, names []string) (indexes []int) {
 	if !b.Has(attribute) {
 		return nil
 	}
 	for _, text := range b.Texts(attribute, true) {
-		at := slices.Index(names, text)
-		if at < 0 {
+		index := slices.Index(names, text)
+		if index < 0 {
 			b.AttributeErrorf(attribute, "found %q, expected some of %v", text, names)
 			continue
 		}
-		places = append(places, at)
+		indexes = append(indexes, index)
 	}
-	return places
+	return indexes
 }
 
-func span(m logic.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func duration(m logic.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/release/read_test.go
+++ b/internal/release/read_test.go
@@ -9,7 +9,7 @@
 
 var now = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-func example(t *testing.T) string {
+func exampleSource(t *testing.T) string {
 	data, err := os.ReadFile("../../deploy/plan.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -18,18 +18,19 @@
 }
 
 func TestTheExample(t *testing.T) {
-	p, err := Parse("plan.hcl", []byte(example(t)), now)
+	p, err := Parse("plan.hcl", []byte(exampleSource(t)), now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	begins, whole := p.EarliestSchedule(now)
-	for i, want := range []string{"2026-12-01 14:00", "2026-12-01 14:30", "2026-12-02 14:00"} { // 09:00 in Kingston; the second misses the day
-		if got := begins[i].Format("2006-01-02 15:04"); got != want {
-			t.Errorf("wave %d begins at %s, expected %s", i, got, want)
+	starts, end := p.EarliestSchedule(now)
+	// 14:00 UTC is 09:00 in Kingston. The bake of the second wave ends after the first day's window has closed.
+	for i, want := range []string{"2026-12-01 14:00", "2026-12-01 14:30", "2026-12-02 14:00"} {
+		if got := starts[i].Format("2006-01-02 15:04"); got != want {
+			t.Errorf("wave %d starts at %s, expected %s", i, got, want)
 		}
 	}
-	if got := whole.Format("2006-01-02 15:04"); got != "2026-12-02 16:00" {
-		t.Errorf("whole at %s", got)
+	if got := end.Format("2006-01-02 15:04"); got != "2026-12-02 16:00" {
+		t.Errorf("complete at %s, expected 2026-12-02 16:00", got)
 	}
 	if s := p.WaveSummary(1); s != "in office hours; after two of the owners; without handover" {
 		t.Error(s)
@@ -61,8 +62,8 @@
 		{`valid = "8h"`, `valid = "1s"`, `valid: found "1s", expected a span from 1m0s`},
 		{`team = "cold chain"`, `team = ["a"]`, "labels: found a list as team"},
 	} {
-		text := strings.Replace(example(t), x[0], x[1], 1)
-		if text == example(t) {
+		text := strings.Replace(exampleSource(t), x[0], x[1], 1)
+		if text == exampleSource(t) {
 			t.Fatalf("%q is not in the file", x[0])
 		}
 		if _, err := Parse("plan.hcl", []byte(text), now); err == nil || !strings.Contains(err.Error(), x[2]) {
--- a/internal/release/store.go
+++ b/internal/release/store.go
@@ -14,24 +14,25 @@
 	"scalechute/internal/plan"
 )
 
-// Store keeps a release on disk: a snapshot of its state and the events since. An event is on disk before anyone is told
-// its effect, so a desk that comes back has come as far as it had told, or further. Each record carries a sum over
-// itself and all before it: a file that was cut or changed is refused, never read in part.
+// Store keeps a release on disk: a snapshot of its state and the events since then. An event is on disk before its actions
+// are carried out, so after a restart the state is at least as recent as anything that was sent. Each record carries a
+// checksum over itself and all earlier records: a truncated or changed file is rejected as a whole.
 type Store struct {
-	db      *bbolt.DB
-	release *plan.Release
-	next    uint64 // number of the next event
-	sum     uint64 // of the last record
-	since   int    // events since the snapshot
-	every   int
-	plan    uint64 // sum of the plan
+	db                  *bbolt.DB
+	release             *plan.Release
+	nextEvent           uint64 // its number
+	checksum            uint64 // of the last record
+	eventsSinceSnapshot int
+	snapshotInterval    int // in events
+	planHash            uint64
 }
 
-// StoreFault says that a file can't be relied on, and what to do.
+// CorruptStoreError reports a file that is damaged.
 type CorruptStoreError struct{ File, Problem string }
 
-func (f *CorruptStoreError) Error() string {
-	return fmt.Sprintf("%s: found %s, expected a whole file; put back a copy of it, or move it away and begin the plan anew", f.File, f.Problem)
+// Error returns the file, the problem, and what to do about it.
+func (e *CorruptStoreError) Error() string {
+	return fmt.Sprintf("%s: found %s, expected an intact file; restore a copy of it, or move it away and start the plan again", e.File, e.Problem)
 }
 
 var (
@@ -40,17 +41,18 @@
 	snapshotKey  = []byte("snapshot")
 )
 
-// snapshot is the state after so many events.
-type snapshot struct {
-	Plan  uint64     `json:"plan"` // sum of the plan that this is about
-	Next  uint64     `json:"next"`
-	Sum   uint64     `json:"sum"`
-	State plan.State `json:"state"`
+// storeSnapshot is the state of the release before the event NextEvent.
+type storeSnapshot struct {
+	PlanHash  uint64     `json:"plan"`
+	NextEvent uint64     `json:"next"`
+	Checksum  uint64     `json:"sum"` // of the record before NextEvent
+	State     plan.State `json:"state"`
 }
 
-// OpenStore opens a file or begins one, and has the release where it was. A snapshot is taken after so many events.
-func OpenStore(file string, r *plan.Release, every int) (s *Store, err error) {
-	s = &Store{release: r, every: every, plan: planSum(r.Plan)}
+// OpenStore opens a file, or creates it, and restores the state of the release from it. The store takes a snapshot after
+// every snapshotInterval events.
+func OpenStore(file string, release *plan.Release, snapshotInterval int) (s *Store, err error) {
+	s = &Store{release: release, snapshotInterval: snapshotInterval, planHash: planHash(release.Plan)}
 	defer func() {
 		if err != nil {
 			if s.db != nil {
@@ -59,16 +61,16 @@
 			s = nil
 		}
 	}()
-	if data, bad := os.ReadFile(file); bad == nil {
-		if bad := checkPages(data); bad != nil {
-			return s, &CorruptStoreError{file, bad.Error()}
+	if data, readErr := os.ReadFile(file); readErr == nil {
+		if readErr := checkPages(data); readErr != nil {
+			return s, &CorruptStoreError{file, readErr.Error()}
 		}
-	} else if !errors.Is(bad, os.ErrNotExist) {
-		return s, bad
+	} else if !errors.Is(readErr, os.ErrNotExist) {
+		return s, readErr
 	}
 	if s.db, err = bbolt.Open(file, 0o600, &bbolt.Options{Timeout: time.Second, FreelistType: bbolt.FreelistMapType}); err != nil {
 		if errors.Is(err, bbolt.ErrTimeout) {
-			return s, fmt.Errorf("%s: found it in use by another desk, expected it free", file)
+			return s, fmt.Errorf("%s: found the file in use by another process, expected it to be free", file)
 		}
 		return s, &CorruptStoreError{file, err.Error()}
 	}
@@ -83,19 +85,19 @@
 		}
 		if head.Get(snapshotKey) == nil {
 			if k, _ := events.Cursor().First(); k != nil {
-				return &CorruptStoreError{file, "events without the snapshot before them"}
+				return &CorruptStoreError{file, "events without a snapshot"}
 			}
-			return s.snapshot(tx)
+			return s.storeSnapshot(tx)
 		}
-		return s.load(file, head, events)
+		return s.restore(file, head, events)
 	})
 	return s, err
 }
 
-// planSum tells plans apart.
-func planSum(p *plan.Plan) uint64 {
+// planHash returns a hash that identifies a plan.
+func planHash(p *plan.Plan) uint64 {
 	text, err := json.Marshal(p)
-	if err != nil { // it has no value that JSON lacks: caps and shares are checked
+	if err != nil { // no value is beyond JSON: caps and shares have been checked
 		panic(err)
 	}
 	for i := range p.Windows {
@@ -104,98 +106,101 @@
 	return xxh3.Hash(text)
 }
 
-// load takes the snapshot and the events after it.
-func (s *Store) load(file string, head, events *bbolt.Bucket) error {
+// restore reads the snapshot and applies the events after it.
+func (s *Store) restore(file string, head, events *bbolt.Bucket) error {
 	text := head.Get(snapshotKey)
-	var snap snapshot
-	if len(text) < 8 || binary.BigEndian.Uint64(text) != xxh3.Hash(text[8:]) || json.Unmarshal(text[8:], &snap) != nil {
-		return &CorruptStoreError{file, "a snapshot that does not agree with its sum"}
+	var snapshot storeSnapshot
+	if len(text) < 8 || binary.BigEndian.Uint64(text) != xxh3.Hash(text[8:]) || json.Unmarshal(text[8:], &snapshot) != nil {
+		return &CorruptStoreError{file, "a snapshot with a wrong checksum"}
 	}
-	if snap.Plan != s.plan {
-		return fmt.Errorf("%s: found the state of another plan, expected that of %s; a plan that has begun is not changed", file, s.release.Plan.Name)
+	if snapshot.PlanHash != s.planHash {
+		return fmt.Errorf("%s: found the state of another plan, expected that of %s; a plan cannot change once it has started", file, s.release.Plan.Name)
 	}
-	s.release.State, s.next, s.sum = snap.State, snap.Next, snap.Sum
+	s.release.State, s.nextEvent, s.checksum = snapshot.State, snapshot.NextEvent, snapshot.Checksum
 	cursor := events.Cursor()
-	for k, v := cursor.Seek(number(snap.Next)); k != nil; k, v = cursor.Next() {
-		var e plan.Event
-		if len(k) != 8 || binary.BigEndian.Uint64(k) != s.next || len(v) < 8 || binary.BigEndian.Uint64(v) != chain(s.sum, v[8:]) ||
-			json.Unmarshal(v[8:], &e) != nil {
-			return &CorruptStoreError{file, fmt.Sprintf("event %d missing or not in agreement with its sum", s.next)}
+	for k, v := cursor.Seek(encodeNumber(snapshot.NextEvent)); k != nil; k, v = cursor.Next() {
+		var event plan.Event
+		if len(k) != 8 || binary.BigEndian.Uint64(k) != s.nextEvent || len(v) < 8 ||
+			binary.BigEndian.Uint64(v) != chainChecksum(s.checksum, v[8:]) || json.Unmarshal(v[8:], &event) != nil {
+			return &CorruptStoreError{file, fmt.Sprintf("event %d missing or with a wrong checksum", s.nextEvent)}
 		}
-		if _, err := s.release.Apply(&e); err != nil {
-			return &CorruptStoreError{file, fmt.Sprintf("event %d that the plan refuses (%v)", s.next, err)}
+		if _, err := s.release.Apply(&event); err != nil {
+			return &CorruptStoreError{file, fmt.Sprintf("event %d that the plan rejects (%v)", s.nextEvent, err)}
 		}
-		s.sum = binary.BigEndian.Uint64(v)
-		s.next++
-		s.since++
+		s.checksum = binary.BigEndian.Uint64(v)
+		s.nextEvent++
+		s.eventsSinceSnapshot++
 	}
 	return nil
 }
 
-func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+// encodeNumber returns a number in big-endian order, in which keys sort by number.
+func encodeNumber(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-func chain(before uint64, text []byte) uint64 { return xxh3.HashSeed(text, before) }
+// chainChecksum returns the checksum of a record after one with the previous checksum.
+func chainChecksum(previous uint64, text []byte) uint64 { return xxh3.HashSeed(text, previous) }
 
-// errQuiet gives a write up that has nothing to write.
-var errQuiet = errors.New("nothing to keep")
+// errNothingToStore rolls back a transaction that has nothing to write.
+var errNothingToStore = errors.New("nothing to store")
 
-// Step takes events in their order. Those that the plan refuses, and ticks that come to nothing, are not kept; the others are on disk when their effects
-// come back. If the disk does not take them the release stands where it stood, and nothing may be told.
-func (s *Store) Apply(all ...*plan.Event) (effects []plan.Action, refused []error, err error) {
-	before, next, sum, since := s.release.State.Clone(), s.next, s.sum, s.since
+// Apply applies events in order and returns the actions to take, and the errors of the events that the plan rejects.
+// Rejected events, and ticks without actions, are not stored; all others are on disk when Apply returns. If writing fails,
+// the release keeps its earlier state, and nothing may be sent.
+func (s *Store) Apply(events ...*plan.Event) (actions []plan.Action, rejected []error, err error) {
+	savedState, savedNextEvent, savedChecksum, savedCount := s.release.State.Clone(), s.nextEvent, s.checksum, s.eventsSinceSnapshot
 	err = s.db.Update(func(tx *bbolt.Tx) error {
-		events := tx.Bucket(eventsBucket)
-		for _, e := range all {
-			now := s.release.State.Now
-			es, no := s.release.Apply(e)
-			if no != nil {
-				s.release.State.Now = now // a refusal leaves no trace, so that a replay without it comes to the same
-				refused = append(refused, no)
+		bucket := tx.Bucket(eventsBucket)
+		for _, event := range events {
+			lastEventTime := s.release.State.Now
+			eventActions, rejection := s.release.Apply(event)
+			if rejection != nil {
+				s.release.State.Now = lastEventTime // a rejected event changes nothing, so that a replay without it gives the same state
+				rejected = append(rejected, rejection)
 				continue
 			}
-			if e.Kind == plan.EventTick && len(es) == 0 {
-				s.release.State.Now = now // nothing but time has passed: not worth a write
+			if event.Kind == plan.EventTick && len(eventActions) == 0 {
+				s.release.State.Now = lastEventTime // only time has passed, which is not worth a write
 				continue
 			}
-			text, err := json.Marshal(e)
+			text, err := json.Marshal(event)
 			if err != nil {
 				return err
 			}
-			s.sum = chain(s.sum, text)
-			if err := events.Put(number(s.next), append(number(s.sum), text...)); err != nil {
+			s.checksum = chainChecksum(s.checksum, text)
+			if err := bucket.Put(encodeNumber(s.nextEvent), append(encodeNumber(s.checksum), text...)); err != nil {
 				return err
 			}
-			s.next++
-			s.since++
-			effects = append(effects, es...)
+			s.nextEvent++
+			s.eventsSinceSnapshot++
+			actions = append(actions, eventActions...)
 		}
-		if s.next == next {
-			return errQuiet
+		if s.nextEvent == savedNextEvent {
+			return errNothingToStore
 		}
-		if s.since >= s.every {
-			return s.snapshot(tx)
+		if s.eventsSinceSnapshot >= s.snapshotInterval {
+			return s.storeSnapshot(tx)
 		}
 		return nil
 	})
-	if err != nil && !errors.Is(err, errQuiet) {
-		s.release.State, s.next, s.sum, s.since = before, next, sum, since
+	if err != nil && !errors.Is(err, errNothingToStore) {
+		s.release.State, s.nextEvent, s.checksum, s.eventsSinceSnapshot = savedState, savedNextEvent, savedChecksum, savedCount
 		return nil, nil, err
 	}
-	return effects, refused, nil
+	return actions, rejected, nil
 }
 
-// snapshot writes the state and forgets the events before it.
-func (s *Store) snapshot(tx *bbolt.Tx) error {
-	text, err := json.Marshal(&snapshot{s.plan, s.next, s.sum, s.release.State})
+// storeSnapshot writes a snapshot of the state and deletes the events before it.
+func (s *Store) storeSnapshot(tx *bbolt.Tx) error {
+	text, err := json.Marshal(&storeSnapshot{s.planHash, s.nextEvent, s.checksum, s.release.State})
 	if err != nil {
 		return err
 	}
-	if err := tx.Bucket(headBucket).Put(snapshotKey, append(number(xxh3.Hash(text)), text...)); err != nil {
+	if err := tx.Bucket(headBucket).Put(snapshotKey, append(encodeNumber(xxh3.Hash(text)), text...)); err != nil {
 		return err
 	}
-	s.since = 0
+	s.eventsSinceSnapshot = 0
 	cursor := tx.Bucket(eventsBucket).Cursor()
-	for k, _ := cursor.First(); k != nil && binary.BigEndian.Uint64(k) < s.next; k, _ = cursor.Next() {
+	for k, _ := cursor.First(); k != nil && binary.BigEndian.Uint64(k) < s.nextEvent; k, _ = cursor.Next() {
 		if err := cursor.Delete(); err != nil {
 			return err
 		}
@@ -203,8 +208,8 @@
 	return nil
 }
 
-// Events is how many have been kept so far.
-func (s *Store) EventCount() uint64 { return s.next }
+// EventCount returns the number of events stored so far.
+func (s *Store) EventCount() uint64 { return s.nextEvent }
 
-// Close gives the file free.
+// Close closes the file, so that another process can open it.
 func (s *Store) Close() error { return s.db.Close() }
