--- a/internal/drill/file.go
+++ b/internal/drill/file.go
@@ -1,5 +1,5 @@
-// Package drill runs sentries as processes against stand-ins on loopback through a scripted day of troubles, and has
-// the record of what passed on the sockets audited.
+// Package drill runs sentries as processes against stand-ins on loopback, and injects faults by a scripted timeline. A
+// Scenario is read from a drill's file; Run plays it, has package audit check the recorded events, and returns a Result.
 package drill
 
 import (
@@ -14,59 +14,59 @@
 	"scalechute/standin"
 )
 
-// Kinds are the troubles that a day may have.
+// FaultKinds lists the kinds of faults that a scenario may contain.
 var FaultKinds = []string{"bad_build", "balancer_crash", "balancer_roll", "balancer_stall", "burst", "control_down", "crash",
 	"fast_errors", "handshake_slow", "hot_caller", "hot_key", "neighbour", "one_sided", "peer_down", "probe_fail", "reload",
 	"shift", "slow", "slow_link", "zone_cut"}
 
-// Blocks names those of a drill's file that are no sentry's orders.
+// Blocks lists the types of the blocks of a drill's file that are not part of a sentry's settings.
 var Blocks = []string{"drill", "fleet", "load", "release", "trouble"}
 
-// Day is what a drill's file says.
+// Scenario is the content of a drill's file.
 type Scenario struct {
-	Name        string
-	Settings    *orders.Settings
-	shared      []byte // the blocks of orders, as they stand in the file
-	Duration    logic.Micros
-	Slack       logic.Micros
-	Seed        int64
-	RunBaseline bool
-	Fleet       FleetConfig
-	Workload    standin.Workload
-	Releases    []Release
-	Faults      []Fault
+	Name         string
+	Settings     *orders.Settings
+	sharedSource []byte // source of the blocks of sentry settings
+	Duration     logic.Micros
+	Slack        logic.Micros // of the audit
+	Seed         int64
+	RunBaseline  bool // the scenario is also run with random workers
+	Fleet        FleetConfig
+	Workload     standin.Workload
+	Releases     []Release
+	Faults       []Fault
 }
 
-// FleetPlan is what the stand-ins are made of.
+// FleetConfig configures the stand-in workers and the delays between the stand-ins.
 type FleetConfig struct {
 	WorkerCount    int
 	CoresPerWorker int
-	SpeedSpread    float64 // of the workers' speeds about 1
-	WarmUp         logic.Micros
-	ColdSpeedShare float64
-	StartDelay     logic.Micros
-	ListDelay      logic.Micros
-	StatusDelay    logic.Micros
+	SpeedSpread    float64      // largest deviation of the workers' speeds from 1
+	WarmUp         logic.Micros // from a worker's start until it is warm
+	ColdSpeedShare float64      // a worker's speed at its start, as a share of its speed when warm
+	StartDelay     logic.Micros // until a new worker listens
+	ListDelay      logic.Micros // until discovery lists a change
+	StatusDelay    logic.Micros // of the control plane's messages
 	LinkDelay      logic.Micros // one way between zones
 }
 
-// Release is a build that is put on trial.
+// Release is the release of a build that is put on trial at a time.
 type Release struct {
 	Build    logic.BuildID
 	At       logic.Micros
 	Behavior standin.BuildBehavior
 }
 
-// Trouble is one entry of the timeline. What its figures mean depends on its kind; docs/operating.md has a table.
+// Fault is an injected fault of the timeline. What its fields mean depends on its kind; docs/operating.md has a table.
 type Fault struct {
 	Kind      string
 	At        logic.Micros
 	Duration  logic.Micros
-	Count     int     // workers or sentries
-	First     int     // the first of them
+	Count     int     // of workers or sentries
+	First     int     // index of the first of them
 	Magnitude float64 // a factor or a share
 	Delay     logic.Micros
-	Zone      int // -1: none named
+	Zone      int // -1 if no zone is given
 	Mode      string
 }
 
@@ -75,36 +75,37 @@
 	second = logic.Micros(1_000_000)
 )
 
-// Load reads a drill's file and checks it whole.
+// Load reads and checks a drill's file.
 func Load(name string) (*Scenario, error) {
 	f, err := hclread.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	return read(name, f)
+	return readScenario(name, f)
 }
 
-// Parse is Load for what was read already.
+// Parse is Load for a file that has already been read.
 func Parse(name string, source []byte) (*Scenario, error) {
 	f, err := hclread.Parse(name, source)
 	if err != nil {
 		return nil, err
 	}
-	return read(name, f)
+	return readScenario(name, f)
 }
 
-func read(name string, f *hclread.File) (*Scenario, error) {
+// readScenario reads all blocks of a drill's file.
+func readScenario(name string, f *hclread.File) (*Scenario, error) {
 	root := f.Root
-	d := &Scenario{Name: name, Settings: orders.ReadShared(root), shared: orders.SharedSource(root)}
+	s := &Scenario{Name: name, Settings: orders.ReadShared(root), sharedSource: orders.SharedSource(root)}
 	b := root.Block("drill", true)
-	d.Duration = b.Duration("length", true, 10*time.Second, time.Second, 10*time.Minute)
-	d.Slack = b.Duration("slack", false, 60*ms, 0, 5*time.Second)
-	d.Seed = int64(b.Int("seed", false, 1, 0, 1<<31))
-	d.RunBaseline = b.Bool("baseline", false)
+	s.Duration = b.Duration("length", true, 10*time.Second, time.Second, 10*time.Minute)
+	s.Slack = b.Duration("slack", false, 60*ms, 0, 5*time.Second)
+	s.Seed = int64(b.Int("seed", false, 1, 0, 1<<31))
+	s.RunBaseline = b.Bool("baseline", false)
 	b.RejectUnknown()
 
 	b = root.Block("fleet", true)
-	d.Fleet = FleetConfig{
+	s.Fleet = FleetConfig{
 		WorkerCount: b.Int("workers", true, 4, 1, 256), CoresPerWorker: b.Int("cores", false, 2, 1, 64),
 		SpeedSpread: b.Float("spread", false, 0.1, 0, 0.9), WarmUp: b.Duration("warm_up", false, 2*time.Second, 0, time.Minute),
 		ColdSpeedShare: b.Float("cold_from", false, 0.5, 0.01, 1), StartDelay: b.Duration("boot", false, 300*ms, 0, time.Minute),
@@ -112,128 +113,133 @@
 		StatusDelay: b.Duration("news_late", false, 200*ms, 0, time.Minute), LinkDelay: b.Duration("link", false, ms, 0, time.Second),
 	}
 	b.RejectUnknown()
-	if o := &d.Settings.Policy; d.Fleet.WarmUp > o.WarmUp || d.Fleet.ColdSpeedShare < o.ColdCapacity {
-		b.Errorf("workers are colder than the rules state: warm_up at most %d us and cold_from at least %g expected",
-			o.WarmUp, o.ColdCapacity)
+	if config := &s.Settings.Policy; s.Fleet.WarmUp > config.WarmUp || s.Fleet.ColdSpeedShare < config.ColdCapacity {
+		b.Errorf("workers are colder than the settings allow, expected warm_up of at most %d us and cold_from of at least %g",
+			config.WarmUp, config.ColdCapacity)
 	}
-	d.load(root.Block("load", true))
+	s.readWorkload(root.Block("load", true))
 	for _, b := range root.Blocks("release", 1) {
-		d.Releases = append(d.Releases, d.release(b))
+		s.Releases = append(s.Releases, s.readRelease(b))
 	}
 	for _, b := range root.Blocks("trouble", 1) {
-		d.trouble(b)
+		s.readFault(b)
 	}
 	root.RejectUnknown()
-	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return int(a.At - b.At) })
-	return d, f.Err()
+	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return int(a.At - b.At) })
+	return s, f.Err()
 }
 
-func (d *Scenario) load(b *hclread.Body) {
-	d.Workload = standin.Workload{
+// readWorkload reads the block load.
+func (s *Scenario) readWorkload(b *hclread.Body) {
+	s.Workload = standin.Workload{
 		PerSecond: b.Float("per_second", true, 100, 0.1, 100_000), KeyCount: b.Int("keys", false, 1000, 1, 1<<20),
 		ZipfExponent: b.Float("zipf", false, 0.7, 0, 3), MaxRetries: b.Int("retries", false, 2, 0, 10),
-		Backoff: span(b.Duration("backoff", false, 30*ms, 0, time.Minute)), UseAttributes: b.Bool("attributes", false),
-		ProfileNames: d.Settings.ProfileNames, AccountNames: d.Settings.AccountNames,
+		Backoff: duration(b.Duration("backoff", false, 30*ms, 0, time.Minute)), UseAttributes: b.Bool("attributes", false),
+		ProfileNames: s.Settings.ProfileNames, AccountNames: s.Settings.AccountNames,
 		TryTimeoutShare: b.Float("try_share", false, 0.9, 0.1, 1), AbandonShare: b.Float("leaves", false, 0, 0, 1),
 	}
-	d.Workload.Profiles = make([]standin.ProfileLoad, len(d.Settings.ProfileNames))
-	total := 0.0
-	for _, m := range b.Blocks("mix", 1) {
-		at := slices.Index(d.Settings.ProfileNames, m.Labels[0])
-		mix := standin.ProfileLoad{Share: m.Float("share", true, 0, 0, 1), MeanWork: m.Duration("work", true, ms, 10*time.Microsecond, time.Minute)}
-		m.RejectUnknown()
-		if at < 0 {
-			m.Errorf("mix %q, expected one of the profiles %v", m.Labels[0], d.Settings.ProfileNames)
+	s.Workload.Profiles = make([]standin.ProfileLoad, len(s.Settings.ProfileNames))
+	totalShare := 0.0
+	for _, mixBlock := range b.Blocks("mix", 1) {
+		index := slices.Index(s.Settings.ProfileNames, mixBlock.Labels[0])
+		mix := standin.ProfileLoad{Share: mixBlock.Float("share", true, 0, 0, 1),
+			MeanWork: mixBlock.Duration("work", true, ms, 10*time.Microsecond, time.Minute)}
+		mixBlock.RejectUnknown()
+		if index < 0 {
+			mixBlock.Errorf("mix %q, expected one of the profiles %v", mixBlock.Labels[0], s.Settings.ProfileNames)
 			continue
 		}
-		d.Workload.Profiles[at] = mix
-		total += mix.Share
+		s.Workload.Profiles[index] = mix
+		totalShare += mix.Share
 	}
-	if total < 0.999 || total > 1.001 {
-		b.Errorf("shares of all mixes are %g together, expected 1", total)
+	if totalShare < 0.999 || totalShare > 1.001 {
+		b.Errorf("the shares of all mixes add up to %g, expected 1", totalShare)
 	}
-	if d.Workload.UseAttributes && d.Settings.Routes == nil {
+	if s.Workload.UseAttributes && s.Settings.Routes == nil {
 		b.AttributeErrorf("attributes", "transactions carry attributes only, expected routes for them")
 	}
-	for _, a := range d.Settings.Policy.Accounts {
-		d.Workload.AccountShares = append(d.Workload.AccountShares, a.Share)
+	for _, a := range s.Settings.Policy.Accounts {
+		s.Workload.AccountShares = append(s.Workload.AccountShares, a.Share)
 	}
 	b.RejectUnknown()
 }
 
-func (d *Scenario) release(b *hclread.Body) Release {
-	n, err := strconv.Atoi(b.Labels[0])
-	if err != nil || n <= firstBuild || n > 65535 {
+// readRelease reads a block release.
+func (s *Scenario) readRelease(b *hclread.Body) Release {
+	build, err := strconv.Atoi(b.Labels[0])
+	if err != nil || build <= firstBuild || build > 65535 {
 		b.Errorf("release %q, expected a whole number above %d", b.Labels[0], firstBuild)
 	}
-	r := Release{Build: logic.BuildID(n), At: b.Duration("at", true, 0, 0, 10*time.Minute)}
-	r.Behavior = d.make(b)
+	release := Release{Build: logic.BuildID(build), At: b.Duration("at", true, 0, 0, 10*time.Minute)}
+	release.Behavior = s.make(b)
 	b.RejectUnknown()
-	return r
+	return release
 }
 
-// make reads how a build behaves.
-func (d *Scenario) make(b *hclread.Body) standin.BuildBehavior {
-	m := standin.BuildBehavior{
+// make reads the behavior of a build.
+func (s *Scenario) make(b *hclread.Body) standin.BuildBehavior {
+	behavior := standin.BuildBehavior{
 		RelativeSpeed: b.Float("speed", false, 1, 0.01, 10), ErrorShare: b.Float("errors", false, 0, 0, 1), FailingProfile: -1,
 		SlowAfterAge: b.Duration("slow_after", false, 0, 0, 10*time.Minute), SlowFactor: b.Float("slow_by", false, 1, 1, 100),
 		FleetSlowdown: b.Float("slows_all", false, 0, 0, 100),
 	}
 	if b.Has("profile") {
-		m.FailingProfile = logic.ProfileID(b.Enum("profile", true, 0, d.Settings.ProfileNames...))
+		behavior.FailingProfile = logic.ProfileID(b.Enum("profile", true, 0, s.Settings.ProfileNames...))
 	}
-	return m
+	return behavior
 }
 
-func (d *Scenario) trouble(b *hclread.Body) {
-	t := Fault{Kind: b.Labels[0], Zone: -1}
-	if !slices.Contains(FaultKinds, t.Kind) {
-		b.Errorf("trouble %q, expected one of %v", t.Kind, FaultKinds)
-	}
-	t.At = b.Duration("at", true, 0, 0, 10*time.Minute)
-	if t.Kind == "bad_build" { // another word for a release that is bad
-		t.Mode = b.Text("build", true, "")
-		n, err := strconv.Atoi(t.Mode)
-		if err != nil || n <= firstBuild || n > 65535 {
-			b.AttributeErrorf("build", "found %q, expected a whole number above %d", t.Mode, firstBuild)
+// readFault reads a block trouble.
+func (s *Scenario) readFault(b *hclread.Body) {
+	fault := Fault{Kind: b.Labels[0], Zone: -1}
+	if !slices.Contains(FaultKinds, fault.Kind) {
+		b.Errorf("trouble %q, expected one of %v", fault.Kind, FaultKinds)
+	}
+	fault.At = b.Duration("at", true, 0, 0, 10*time.Minute)
+	if fault.Kind == "bad_build" { // the release of a build with faults
+		fault.Mode = b.Text("build", true, "")
+		build, err := strconv.Atoi(fault.Mode)
+		if err != nil || build <= firstBuild || build > 65535 {
+			b.AttributeErrorf("build", "found %q, expected a whole number above %d", fault.Mode, firstBuild)
 		}
-		d.Releases = append(d.Releases, Release{Build: logic.BuildID(n), At: t.At, Behavior: d.make(b)})
+		s.Releases = append(s.Releases, Release{Build: logic.BuildID(build), At: fault.At, Behavior: s.make(b)})
 		b.RejectUnknown()
 		return
 	}
-	t.Duration = b.Duration("for", true, 0, 0, 10*time.Minute)
-	t.Count = b.Int("count", false, 1, 1, 256)
-	t.First = b.Int("first", false, 0, 0, 255)
-	t.Magnitude = b.Float("size", false, defaultSize[t.Kind], 0, 1000)
-	t.Delay = b.Duration("delay", false, 100*ms, 0, time.Minute)
-	if b.Has("zone") && len(d.Settings.Zones) > 0 {
-		t.Zone = b.Enum("zone", true, 0, d.Settings.Zones...)
+	fault.Duration = b.Duration("for", true, 0, 0, 10*time.Minute)
+	fault.Count = b.Int("count", false, 1, 1, 256)
+	fault.First = b.Int("first", false, 0, 0, 255)
+	fault.Magnitude = b.Float("size", false, defaultMagnitude[fault.Kind], 0, 1000)
+	fault.Delay = b.Duration("delay", false, 100*ms, 0, time.Minute)
+	if b.Has("zone") && len(s.Settings.Zones) > 0 {
+		fault.Zone = b.Enum("zone", true, 0, s.Settings.Zones...)
 	}
-	if t.Kind == "control_down" {
-		t.Mode = []string{"quiet", "deny", "late"}[b.Enum("how", false, 0, "quiet", "deny", "late")]
+	if fault.Kind == "control_down" {
+		fault.Mode = []string{"quiet", "deny", "late"}[b.Enum("how", false, 0, "quiet", "deny", "late")]
 	}
 	b.RejectUnknown()
-	d.Faults = append(d.Faults, t)
+	s.Faults = append(s.Faults, fault)
 }
 
-// defaultSize is a kind's usual strength.
-var defaultSize = map[string]float64{"burst": 2, "fast_errors": 0.6, "hot_caller": 0.5, "hot_key": 0.3, "neighbour": 2,
+// defaultMagnitude is the default magnitude by kind of fault.
+var defaultMagnitude = map[string]float64{"burst": 2, "fast_errors": 0.6, "hot_caller": 0.5, "hot_key": 0.3, "neighbour": 2,
 	"shift": 0.8, "slow": 4}
 
+// firstBuild is the build that runs when the drill starts.
 const firstBuild = 10
 
-func span(m logic.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func duration(m logic.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
-// sentryFile is the orders of one sentry of the drill.
-func (d *Scenario) sentryFile(position int, zone, listen, memory, list, desk string, peers map[int]string) []byte {
-	s := fmt.Appendf(nil, "sentry {\n  position = %d\n  zone = %q\n  listen = %q\n  memory = %q\n  list = %q\n  desk = %q\n  seed = %d\n",
-		position, zone, listen, memory, list, desk, d.Seed*1000+int64(position)+1)
-	for i := range d.Settings.Policy.Sentries {
+// sentrySettings returns the settings file of a sentry.
+func (s *Scenario) sentrySettings(position int, zone, address, listFile, discovery, controlPlane string, peers map[int]string) []byte {
+	text := fmt.Appendf(nil, "sentry {\n  position = %d\n  zone = %q\n  listen = %q\n  memory = %q\n  list = %q\n  desk = %q\n  seed = %d\n",
+		position, zone, address, listFile, discovery, controlPlane, s.Seed*1000+int64(position)+1)
+	for i := range s.Settings.Policy.Sentries {
 		if peers[i] != "" {
-			s = fmt.Appendf(s, "  peer \"%d\" {\n    address = %q\n  }\n", i, peers[i])
+			text = fmt.Appendf(text, "  peer \"%d\" {\n    address = %q\n  }\n", i, peers[i])
 		}
 	}
-	return append(append(s, "}\n\n"...), d.shared...)
+	return append(append(text, "}\n\n"...), s.sharedSource...)
 }
 
 func seconds(m logic.Micros) float64 { return float64(m) / float64(second) }
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -11,159 +11,164 @@
 	"scalechute/standin"
 )
 
-// place is where a machine of the fleet stands, and the workers that it has there.
-type place struct {
+// machine is a machine of the fleet, with the workers that run or have run on it.
+type machine struct {
 	zone, cell int
 	speed      float64
-	workers    []*spot
+	workers    []*instance
 }
 
-type spot struct {
-	w        *standin.Worker
+// instance is a worker on a machine.
+type instance struct {
+	worker   *standin.Worker
 	build    logic.BuildID
 	draining bool
 	starting bool
 }
 
-// fleet starts and drains workers for the desk.
+// fleet starts and drains workers for the control plane. It implements standin.Fleet.
 type fleet struct {
-	d      *Scenario
-	stage  *standin.Environment
-	list   *standin.Discovery
-	mu     sync.Mutex
-	places []*place
-	all    []*standin.Worker // in the order in which they first started
-	since  map[*standin.Worker]*spot
+	scenario    *Scenario
+	environment *standin.Environment
+	discovery   *standin.Discovery
+	mu          sync.Mutex
+	machines    []*machine
+	workers     []*standin.Worker // in the order in which they first started
+	instances   map[*standin.Worker]*instance
 }
 
-func newFleet(d *Scenario, stage *standin.Environment, list *standin.Discovery) *fleet {
-	f := &fleet{d: d, stage: stage, list: list, since: map[*standin.Worker]*spot{}}
-	chance := rand.New(rand.NewSource(d.Seed))
-	zones := len(d.Settings.Zones)
-	for i := range d.Fleet.WorkerCount {
-		speed := 1 + d.Fleet.SpeedSpread*(2*chance.Float64()-1)
-		f.places = append(f.places, &place{zone: i % zones, cell: i / 4, speed: speed})
+// newFleet returns a fleet whose machines run no workers yet.
+func newFleet(scenario *Scenario, environment *standin.Environment, discovery *standin.Discovery) *fleet {
+	f := &fleet{scenario: scenario, environment: environment, discovery: discovery, instances: map[*standin.Worker]*instance{}}
+	random := rand.New(rand.NewSource(scenario.Seed))
+	zoneCount := len(scenario.Settings.Zones)
+	for i := range scenario.Fleet.WorkerCount {
+		speed := 1 + scenario.Fleet.SpeedSpread*(2*random.Float64()-1)
+		f.machines = append(f.machines, &machine{zone: i % zoneCount, cell: i / 4, speed: speed})
 	}
 	return f
 }
 
-// start has a place run a build.
-func (f *fleet) start(at *place, i int, b logic.BuildID, warm bool) *spot {
-	cores := f.d.Fleet.CoresPerWorker
-	w := standin.NewWorker(f.stage, logic.Worker{ID: logic.WorkerID(fmt.Sprintf("w%02d-b%d", i, b)), Build: b,
-		Zone: logic.ZoneID(at.zone), Cell: at.cell, Size: float64(cores)}, cores, at.speed)
-	w.WarmUp, w.ColdSpeedShare = f.d.Fleet.WarmUp, f.d.Fleet.ColdSpeedShare
-	s := &spot{w: w, build: b}
-	at.workers = append(at.workers, s)
-	f.all = append(f.all, w)
-	f.since[w] = s
+// startWorker starts a worker of a build on a machine. A cold worker starts after the start delay. The lock is held.
+func (f *fleet) startWorker(m *machine, number int, build logic.BuildID, warm bool) *instance {
+	cores := f.scenario.Fleet.CoresPerWorker
+	worker := standin.NewWorker(f.environment, logic.Worker{ID: logic.WorkerID(fmt.Sprintf("w%02d-b%d", number, build)), Build: build,
+		Zone: logic.ZoneID(m.zone), Cell: m.cell, Size: float64(cores)}, cores, m.speed)
+	worker.WarmUp, worker.ColdSpeedShare = f.scenario.Fleet.WarmUp, f.scenario.Fleet.ColdSpeedShare
+	started := &instance{worker: worker, build: build}
+	m.workers = append(m.workers, started)
+	f.workers = append(f.workers, worker)
+	f.instances[worker] = started
 	if warm {
-		_ = w.Start(true)
-		return s
+		_ = worker.Start(true)
+		return started
 	}
-	s.starting = true
-	time.AfterFunc(span(f.d.Fleet.StartDelay), func() {
-		if err := w.Start(false); err == nil {
-			f.list.ReportWorker(w, logic.Ready)
+	started.starting = true
+	time.AfterFunc(duration(f.scenario.Fleet.StartDelay), func() {
+		if err := worker.Start(false); err == nil {
+			f.discovery.ReportWorker(worker, logic.Ready)
 		}
 		f.mu.Lock()
-		s.starting = false
+		started.starting = false
 		f.mu.Unlock()
 	})
-	return s
+	return started
 }
 
-// Reach implements standin.Fleet.
-func (f *fleet) RollOut(b logic.BuildID, share float64) bool {
+// RollOut implements standin.Fleet: it starts workers of the build on a share of the machines, and drains earlier builds
+// there unless they stay until the release. It reports whether all of these workers run.
+func (f *fleet) RollOut(build logic.BuildID, share float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	want := int(math.Ceil(share * float64(len(f.places))))
+	wantCount := int(math.Ceil(share * float64(len(f.machines))))
 	reached := true
-	for i, at := range f.places[:min(want, len(f.places))] {
-		var mine *spot
-		for _, s := range at.workers {
-			if s.build == b && !s.draining {
-				mine = s
+	for i, m := range f.machines[:min(wantCount, len(f.machines))] {
+		var current *instance
+		for _, other := range m.workers {
+			if other.build == build && !other.draining {
+				current = other
 			}
 		}
 		switch {
-		case mine == nil:
-			f.start(at, i, b, false)
+		case current == nil:
+			f.startWorker(m, i, build, false)
 			reached = false
-		case mine.starting:
+		case current.starting:
 			reached = false
-		case !f.d.Settings.Policy.EarlierWorkersStay:
-			f.drainAt(at, func(x logic.BuildID) bool { return x < b })
+		case !f.scenario.Settings.Policy.EarlierWorkersStay:
+			f.drainWorkers(m, func(x logic.BuildID) bool { return x < build })
 		}
 	}
 	return reached
 }
 
-// Release implements standin.Fleet.
-func (f *fleet) DrainEarlierBuilds(b logic.BuildID) {
+// DrainEarlierBuilds implements standin.Fleet: it drains all workers of builds before a build.
+func (f *fleet) DrainEarlierBuilds(build logic.BuildID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, at := range f.places {
-		f.drainAt(at, func(x logic.BuildID) bool { return x < b })
+	for _, m := range f.machines {
+		f.drainWorkers(m, func(x logic.BuildID) bool { return x < build })
 	}
 }
 
-// Recall implements standin.Fleet. Places whose earlier worker was drained get a new one.
-func (f *fleet) DrainBuild(b logic.BuildID) {
+// DrainBuild implements standin.Fleet: it drains all workers of a build. Machines without a worker of an earlier build get
+// a new one.
+func (f *fleet) DrainBuild(build logic.BuildID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	earlier := logic.BuildID(0)
-	for _, at := range f.places {
-		for _, s := range at.workers {
-			if s.build < b {
-				earlier = max(earlier, s.build)
+	earlierBuild := logic.BuildID(0)
+	for _, m := range f.machines {
+		for _, other := range m.workers {
+			if other.build < build {
+				earlierBuild = max(earlierBuild, other.build)
 			}
 		}
 	}
-	for i, at := range f.places {
-		f.drainAt(at, func(x logic.BuildID) bool { return x == b })
-		has := false
-		for _, s := range at.workers {
-			has = has || s.build < b && !s.draining
+	for i, m := range f.machines {
+		f.drainWorkers(m, func(x logic.BuildID) bool { return x == build })
+		hasEarlier := false
+		for _, other := range m.workers {
+			hasEarlier = hasEarlier || other.build < build && !other.draining
 		}
-		if !has {
-			f.start(at, 100+i, earlier, false)
+		if !hasEarlier {
+			f.startWorker(m, 100+i, earlierBuild, false)
 		}
 	}
 }
 
-// drainAt drains some workers of a place: listed as draining, turning new work away once sentries must know, stopped
-// when what it holds must be over.
-func (f *fleet) drainAt(at *place, which func(logic.BuildID) bool) {
-	o := &f.d.Settings.Policy
-	for _, s := range at.workers {
-		if s.draining || !which(s.build) {
+// drainWorkers drains the workers of a machine whose builds match. Each is listed as draining at once, turns hand-offs away
+// once the sentries must know, and stops once its hand-offs must have ended. The lock is held.
+func (f *fleet) drainWorkers(m *machine, matches func(logic.BuildID) bool) {
+	config := &f.scenario.Settings.Policy
+	for _, drained := range m.workers {
+		if drained.draining || !matches(drained.build) {
 			continue
 		}
-		s.draining = true
-		w := s.w
-		f.list.ReportWorker(w, logic.Draining)
-		grace := span(f.d.Fleet.ListDelay + o.DrainGrace)
-		time.AfterFunc(grace, w.Drain)
-		time.AfterFunc(grace+span(f.d.Settings.MaxDeadline())+time.Second, func() {
-			f.list.ReportWorker(w, logic.Gone)
-			w.Stop()
+		drained.draining = true
+		worker := drained.worker
+		f.discovery.ReportWorker(worker, logic.Draining)
+		grace := duration(f.scenario.Fleet.ListDelay + config.DrainGrace)
+		time.AfterFunc(grace, worker.Drain)
+		time.AfterFunc(grace+duration(f.scenario.Settings.MaxDeadline())+time.Second, func() {
+			f.discovery.ReportWorker(worker, logic.Gone)
+			worker.Stop()
 		})
 	}
 }
 
-// some are workers that run and are not drained, from the first given on.
-func (f *fleet) some(first, count, zone int) (found []*standin.Worker) {
+// runningWorkers returns up to count workers that run and do not drain, in a zone or in all zones (-1), one for each
+// machine from the first given on.
+func (f *fleet) runningWorkers(first, count, zone int) (found []*standin.Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for i := range f.places {
-		at := f.places[(first+i)%len(f.places)]
-		if zone >= 0 && at.zone != zone {
+	for i := range f.machines {
+		m := f.machines[(first+i)%len(f.machines)]
+		if zone >= 0 && m.zone != zone {
 			continue
 		}
-		for _, s := range at.workers {
-			if up, _, _ := s.w.RunState(); up && !s.draining && len(found) < count {
-				found = append(found, s.w)
+		for _, candidate := range m.workers {
+			if isUp, _, _ := candidate.worker.RunState(); isUp && !candidate.draining && len(found) < count {
+				found = append(found, candidate.worker)
 				break
 			}
 		}
@@ -171,17 +176,19 @@
 	return found
 }
 
-func (f *fleet) draining(w *standin.Worker) bool {
+// isDraining reports whether a worker drains or has been drained.
+func (f *fleet) isDraining(w *standin.Worker) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.since[w] != nil && f.since[w].draining
+	return f.instances[w] != nil && f.instances[w].draining
 }
 
+// stop stops all workers.
 func (f *fleet) stop() {
 	f.mu.Lock()
-	all := f.all
+	workers := f.workers
 	f.mu.Unlock()
-	for _, w := range all {
+	for _, w := range workers {
 		w.Stop()
 	}
 }
--- a/internal/drill/fromday.go
+++ b/internal/drill/fromday.go
@@ -9,8 +9,8 @@
 	"scalechute/standin"
 )
 
-// dayFile is what is read of a day that the bench has drawn. Times are in microseconds.
-type dayFile struct {
+// benchDay is the part of a bench's day file that is read. Times are in microseconds.
+type benchDay struct {
 	Length   logic.Micros
 	Zones    []string
 	Troubles []struct {
@@ -35,72 +35,74 @@
 	}
 }
 
-// Take replaces the drill's releases and troubles by those of a day of the bench: the kinds and their order in time,
-// at the drill's length and the drill's numbers of workers and sentries. The day's own sizes stay where they are.
-func (d *Scenario) ApplyBenchDay(data []byte) error {
-	var f dayFile
-	if err := json.Unmarshal(data, &f); err != nil {
-		return fmt.Errorf("found no day as the bench draws them: %w", err)
+// ApplyBenchDay replaces the scenario's releases and faults by those of a bench's day file. Kinds and order are those of
+// the day; times are scaled to the scenario's duration, and counts to its numbers of workers and sentries. Faults get the
+// default magnitude of their kind, not that of the day.
+func (s *Scenario) ApplyBenchDay(data []byte) error {
+	var day benchDay
+	if err := json.Unmarshal(data, &day); err != nil {
+		return fmt.Errorf("found no day file of the bench: %w", err)
 	}
-	if f.Length <= 0 {
-		return fmt.Errorf("found a length of %d us, expected a day as the bench draws them", f.Length)
+	if day.Length <= 0 {
+		return fmt.Errorf("found a length of %d us, expected a positive length", day.Length)
 	}
-	scale := min(1, float64(d.Duration)/float64(f.Length))
-	at := func(m logic.Micros) logic.Micros { return logic.Micros(float64(m) * scale) }
-	part := func(n, of, have int) int {
-		if of == 0 {
+	scale := min(1, float64(s.Duration)/float64(day.Length))
+	scaleTime := func(m logic.Micros) logic.Micros { return logic.Micros(float64(m) * scale) }
+	scaleCount := func(affected, total, available int) int {
+		if total == 0 {
 			return 1
 		}
-		return min(have, max(1, (n*have+of/2)/of))
+		return min(available, max(1, (affected*available+total/2)/total))
 	}
-	d.Faults, d.Releases = nil, nil
-	for i, r := range f.Fam.Releases {
-		m := standin.BuildBehavior{RelativeSpeed: max(0.1, r.Speed), FailingProfile: -1, SlowFactor: 1}
-		if r.Bad != "" {
-			m = bad(r.Bad, r.Strength, m.RelativeSpeed, logic.ProfileID(min(r.Class, len(d.Settings.ProfileNames)-1)))
+	s.Faults, s.Releases = nil, nil
+	for i, release := range day.Fam.Releases {
+		behavior := standin.BuildBehavior{RelativeSpeed: max(0.1, release.Speed), FailingProfile: -1, SlowFactor: 1}
+		if release.Bad != "" {
+			behavior = badBehavior(release.Bad, release.Strength, behavior.RelativeSpeed,
+				logic.ProfileID(min(release.Class, len(s.Settings.ProfileNames)-1)))
 		}
-		d.Releases = append(d.Releases, Release{Build: logic.BuildID(firstBuild + 1 + i), At: at(r.At), Behavior: m})
+		s.Releases = append(s.Releases, Release{Build: logic.BuildID(firstBuild + 1 + i), At: scaleTime(release.At), Behavior: behavior})
 	}
-	for _, x := range f.Troubles {
-		if x.Kind == "bad_build" { // the releases say how
+	for _, benchFault := range day.Troubles {
+		if benchFault.Kind == "bad_build" { // the releases describe it
 			continue
 		}
-		if !slices.Contains(FaultKinds, x.Kind) {
-			return fmt.Errorf("found a trouble %q, expected one of %v", x.Kind, FaultKinds)
+		if !slices.Contains(FaultKinds, benchFault.Kind) {
+			return fmt.Errorf("found a trouble %q, expected one of %v", benchFault.Kind, FaultKinds)
 		}
-		t := Fault{Kind: x.Kind, At: at(x.At), Duration: max(second, at(x.Len)), First: x.Which,
-			Zone: -1, Magnitude: defaultSize[x.Kind], Delay: 100_000, Mode: "quiet"}
-		switch x.Kind {
+		fault := Fault{Kind: benchFault.Kind, At: scaleTime(benchFault.At), Duration: max(second, scaleTime(benchFault.Len)),
+			First: benchFault.Which, Zone: -1, Magnitude: defaultMagnitude[benchFault.Kind], Delay: 100_000, Mode: "quiet"}
+		switch benchFault.Kind {
 		case "balancer_crash", "balancer_roll", "balancer_stall":
-			t.Count = part(len(x.On), len(f.Balancers), d.Settings.Policy.Sentries)
+			fault.Count = scaleCount(len(benchFault.On), len(day.Balancers), s.Settings.Policy.Sentries)
 		case "zone_cut", "one_sided", "slow_link", "shift":
-			t.Zone = x.Which % len(d.Settings.Zones)
+			fault.Zone = benchFault.Which % len(s.Settings.Zones)
 		default:
-			t.Count = part(len(x.On), len(f.Servers), d.Fleet.WorkerCount)
+			fault.Count = scaleCount(len(benchFault.On), len(day.Servers), s.Fleet.WorkerCount)
 		}
-		t.At = min(t.At, max(0, d.Duration-t.Duration))
-		d.Faults = append(d.Faults, t)
+		fault.At = min(fault.At, max(0, s.Duration-fault.Duration))
+		s.Faults = append(s.Faults, fault)
 	}
-	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return int(a.At - b.At) })
+	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 	return nil
 }
 
-// bad is a build that is bad in one of the ways of the bench, by the words that it may use for them.
-func bad(how string, strength, speed float64, p logic.ProfileID) standin.BuildBehavior {
-	m := standin.BuildBehavior{RelativeSpeed: speed, FailingProfile: -1, SlowFactor: 1}
-	strength = min(1, max(0, strength)) // how far within its range the day has drawn it
-	failing := 0.25 + 0.65*strength
-	switch how {
+// badBehavior returns the behavior of a bad build, by the bench's name for its kind.
+func badBehavior(kind string, strength, speed float64, profile logic.ProfileID) standin.BuildBehavior {
+	behavior := standin.BuildBehavior{RelativeSpeed: speed, FailingProfile: -1, SlowFactor: 1}
+	strength = min(1, max(0, strength)) // position within the kind's range, 0 to 1
+	errorShare := 0.25 + 0.65*strength
+	switch kind {
 	case "slow", "load":
-		m.RelativeSpeed = speed / (1.7 + 2*strength)
+		behavior.RelativeSpeed = speed / (1.7 + 2*strength)
 	case "late":
-		m.SlowAfterAge, m.SlowFactor, m.ErrorShare = 3*second, 2+2*strength, 0.2
+		behavior.SlowAfterAge, behavior.SlowFactor, behavior.ErrorShare = 3*second, 2+2*strength, 0.2
 	case "shared":
-		m.FleetSlowdown = 1 + 2*strength
+		behavior.FleetSlowdown = 1 + 2*strength
 	case "class":
-		m.ErrorShare, m.FailingProfile = failing, p
+		behavior.ErrorShare, behavior.FailingProfile = errorShare, profile
 	default:
-		m.ErrorShare = failing
+		behavior.ErrorShare = errorShare
 	}
-	return m
+	return behavior
 }
--- a/internal/drill/result.go
+++ b/internal/drill/result.go
@@ -15,32 +15,32 @@
 	"scalechute/logic"
 )
 
-// Result is what became of a day.
+// Result is the result of a run.
 type Result struct {
 	Scenario               string          `json:"day"`
-	WorkerSelection        string          `json:"policy"`
+	WorkerSelection        string          `json:"policy"` // module or random
 	DurationSeconds        float64         `json:"seconds"`
 	Profiles               []ProfileResult `json:"profiles"`
-	ServedInDueTime        float64         `json:"served_in_due_time"` // share of the value asked for
+	ServedInDueTime        float64         `json:"served_in_due_time"` // share of the value of all transactions; late answers add a part
 	HandOffsPerTransaction float64         `json:"hand_offs_a_transaction"`
 	HandOffsToLaterBuilds  int             `json:"hand_offs_to_later_builds"`
 	WorkersOverloaded      int             `json:"workers_pushed_over"`
 	StatusChanges          []StatusChange  `json:"builds"`
-	AllClosed              bool            `json:"every_account_closed"`
-	Violated               []int           `json:"rules_broken"`
+	AllClosed              bool            `json:"every_account_closed"` // every try has an answer or an end
+	Violated               []int           `json:"rules_broken"`         // numbers of the violated rules
 	Audit                  audit.Report    `json:"finding"`
 	SlackMicros            logic.Micros    `json:"slack_us"`
-	MaxStallMicros         int64           `json:"hiccup_us"`
+	MaxStallMicros         int64           `json:"hiccup_us"` // longest stall of the recording process
 	BrokenRule             string          `json:"broken_on_purpose,omitempty"`
 	SentryStarts           int             `json:"sentry_starts"`
 }
 
-// ProfileLine is one profile's part.
+// ProfileResult is the result for a profile.
 type ProfileResult struct {
 	Name            string  `json:"name"`
 	Transactions    int     `json:"asked"`
-	ServedInDueTime float64 `json:"in_due_time"`
-	ServedLate      float64 `json:"late"`
+	ServedInDueTime float64 `json:"in_due_time"` // share of the transactions
+	ServedLate      float64 `json:"late"`        // share of the transactions
 	TriesDeferred   int     `json:"tries_deferred"`
 	TriesWrittenOff int     `json:"tries_written_off"`
 	TriesLost       int     `json:"tries_left_or_lost"`
@@ -48,7 +48,7 @@
 	P99Micros       int64   `json:"p99_us"`
 }
 
-// BuildTurn is a change of the newest build's state.
+// StatusChange is a change of the release status.
 type StatusChange struct {
 	AtSeconds float64 `json:"at_s"`
 	Build     int     `json:"build"`
@@ -57,87 +57,92 @@
 	Cap       float64 `json:"cap"`
 }
 
+// phaseNames are the names of the phases in reports, by logic.Phase.
 var phaseNames = [...]string{"on trial", "going back", "released", "withdrawn"}
 
-// Good says whether the rules hold, every account is closed, and every transaction was judged as its client meant.
+// Passed reports whether no rule is violated, every try is closed, and every hand-off has the profile and key that its
+// client intended.
 func (r *Result) Passed() bool { return len(r.Violated) == 0 && r.AllClosed && r.Audit.Misrouted == 0 }
 
-func (r *runner) result() (*Result, error) {
-	d, o := r.d, &r.d.Settings.Policy
-	events := r.stage.StopRecording()
+// makeResult audits the recorded events and computes the result.
+func (r *runner) makeResult() (*Result, error) {
+	scenario, config := r.scenario, &r.scenario.Settings.Policy
+	events := r.environment.StopRecording()
 	r.linkMu.Lock()
-	hiccup := r.hiccup
+	maxStall := r.maxStall
 	r.linkMu.Unlock()
-	out := &Result{Scenario: d.Name, WorkerSelection: "module", DurationSeconds: seconds(d.Duration), BrokenRule: r.p.BrokenRule,
-		MaxStallMicros: hiccup.Microseconds(), SlackMicros: d.Slack + logic.Micros(hiccup.Microseconds())}
-	if r.p.RandomWorkers {
-		out.WorkerSelection = "random"
+	result := &Result{Scenario: scenario.Name, WorkerSelection: "module", DurationSeconds: seconds(scenario.Duration),
+		BrokenRule: r.options.BrokenRule, MaxStallMicros: maxStall.Microseconds(),
+		SlackMicros: scenario.Slack + logic.Micros(maxStall.Microseconds())}
+	if r.options.RandomWorkers {
+		result.WorkerSelection = "random"
 	}
-	out.Audit = audit.Check(o, out.SlackMicros, events)
-	out.Violated = out.Audit.ViolatedRules()
-	f := &out.Audit
-	out.AllClosed = r.open() == 0 && out.Audit.TriesUnclosed == 0
-	value, worth := 0.0, 0.0
-	for i, name := range d.Settings.ProfileNames {
-		p := &o.Profiles[i]
-		line := ProfileResult{Name: name}
-		times := hdrhistogram.New(1, 3_600_000_000, 3)
-		due, late := 0, 0
-		for _, c := range r.callers {
-			for _, t := range c.Transactions() {
-				if int(t.Profile) != i {
+	result.Audit = audit.Check(config, result.SlackMicros, events)
+	result.Violated = result.Audit.ViolatedRules()
+	report := &result.Audit
+	result.AllClosed = r.openTries() == 0 && result.Audit.TriesUnclosed == 0
+	servedValue, totalValue := 0.0, 0.0
+	for i, name := range scenario.Settings.ProfileNames {
+		profile := &config.Profiles[i]
+		profileResult := ProfileResult{Name: name}
+		latencies := hdrhistogram.New(1, 3_600_000_000, 3)
+		inDueTime, late := 0, 0
+		for _, pool := range r.clientPools {
+			for _, transaction := range pool.Transactions() {
+				if int(transaction.Profile) != i {
 					continue
 				}
-				line.Transactions++
-				line.TriesDeferred += t.Outcomes[audit.Deferred]
-				line.TriesWrittenOff += t.Outcomes[audit.WrittenOff]
-				line.TriesLost += t.Outcomes[3]
-				worth += p.Value
-				if t.SatisfiedAfter == 0 {
+				profileResult.Transactions++
+				profileResult.TriesDeferred += transaction.Outcomes[audit.Deferred]
+				profileResult.TriesWrittenOff += transaction.Outcomes[audit.WrittenOff]
+				profileResult.TriesLost += transaction.Outcomes[3]
+				totalValue += profile.Value
+				if transaction.SatisfiedAfter == 0 {
 					continue
 				}
-				_ = times.RecordValue(int64(t.SatisfiedAfter))
+				_ = latencies.RecordValue(int64(transaction.SatisfiedAfter))
 				switch {
-				case t.SatisfiedAfter <= p.DueTime:
-					due++
-					value += p.Value
-				case t.SatisfiedAfter <= p.MaxDeadline:
+				case transaction.SatisfiedAfter <= profile.DueTime:
+					inDueTime++
+					servedValue += profile.Value
+				case transaction.SatisfiedAfter <= profile.MaxDeadline:
 					late++
-					value += p.Value * p.LateValueShare
+					servedValue += profile.Value * profile.LateValueShare
 				}
 			}
 		}
-		if line.Transactions > 0 {
-			line.ServedInDueTime, line.ServedLate = float64(due)/float64(line.Transactions), float64(late)/float64(line.Transactions)
+		if profileResult.Transactions > 0 {
+			profileResult.ServedInDueTime, profileResult.ServedLate = float64(inDueTime)/float64(profileResult.Transactions),
+				float64(late)/float64(profileResult.Transactions)
 		}
-		line.P50Micros, line.P99Micros = times.ValueAtQuantile(50), times.ValueAtQuantile(99)
-		out.Profiles = append(out.Profiles, line)
+		profileResult.P50Micros, profileResult.P99Micros = latencies.ValueAtQuantile(50), latencies.ValueAtQuantile(99)
+		result.Profiles = append(result.Profiles, profileResult)
 	}
-	if worth > 0 {
-		out.ServedInDueTime = value / worth
+	if totalValue > 0 {
+		result.ServedInDueTime = servedValue / totalValue
 	}
-	if f.TriesSent > 0 {
-		out.HandOffsPerTransaction = float64(f.HandOffs) / float64(f.TriesSent)
+	if report.TriesSent > 0 {
+		result.HandOffsPerTransaction = float64(report.HandOffs) / float64(report.TriesSent)
 	}
 	for i := range events {
 		switch e := &events[i]; {
 		case e.Kind == audit.HandOffReceived && e.Build > firstBuild:
-			out.HandOffsToLaterBuilds++
+			result.HandOffsToLaterBuilds++
 		case e.Kind == audit.WorkerOverloaded:
-			out.WorkersOverloaded++
+			result.WorkersOverloaded++
 		case e.Kind == audit.SentryStarted:
-			out.SentryStarts++
+			result.SentryStarts++
 		}
 	}
-	for _, t := range r.desk.StatusChanges() {
-		out.StatusChanges = append(out.StatusChanges, StatusChange{seconds(t.At), int(t.Status.Build), t.Status.Stage,
-			phaseNames[t.Status.Phase], t.Status.Cap})
+	for _, change := range r.control.StatusChanges() {
+		result.StatusChanges = append(result.StatusChanges, StatusChange{seconds(change.At), int(change.Status.Build), change.Status.Stage,
+			phaseNames[change.Status.Phase], change.Status.Cap})
 	}
-	return out, out.write(r.p.Dir, events)
+	return result, result.writeFiles(r.options.Dir, events)
 }
 
-// write leaves the report, and the record if a rule was broken.
-func (r *Result) write(dir string, events []audit.Event) error {
+// writeFiles writes the report, and the recorded events if a rule is violated.
+func (r *Result) writeFiles(dir string, events []audit.Event) error {
 	data, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
 		return err
@@ -148,57 +153,57 @@
 	if len(r.Violated) == 0 {
 		return nil
 	}
-	f, err := os.Create(filepath.Join(dir, "record-"+r.WorkerSelection+".jsonl"))
+	file, err := os.Create(filepath.Join(dir, "record-"+r.WorkerSelection+".jsonl"))
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	enc := json.NewEncoder(f)
+	defer file.Close()
+	encoder := json.NewEncoder(file)
 	for i := range events {
-		if err := enc.Encode(&events[i]); err != nil {
+		if err := encoder.Encode(&events[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Print writes the table of one result or of two side by side.
+// Print writes a table of one or more results, and the details of each.
 func Print(w io.Writer, results ...*Result) {
-	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(tw, "policy\tprofile\tasked\tin due time\tlate\tdeferred\twritten off\tleft or lost\tp50 ms\tp99 ms\t\n")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprint(table, "policy\tprofile\ttransactions\tin due time\tlate\tdeferred\twritten off\tabandoned or lost\tp50 ms\tp99 ms\t\n")
 	for _, r := range results {
-		for _, p := range r.Profiles {
-			fmt.Fprintf(tw, "%s\t%s\t%d\t%.1f%%\t%.1f%%\t%d\t%d\t%d\t%.1f\t%.1f\t\n", r.WorkerSelection, p.Name, p.Transactions, 100*p.ServedInDueTime,
-				100*p.ServedLate, p.TriesDeferred, p.TriesWrittenOff, p.TriesLost, float64(p.P50Micros)/1e3, float64(p.P99Micros)/1e3)
+		for _, profile := range r.Profiles {
+			fmt.Fprintf(table, "%s\t%s\t%d\t%.1f%%\t%.1f%%\t%d\t%d\t%d\t%.1f\t%.1f\t\n", r.WorkerSelection, profile.Name, profile.Transactions, 100*profile.ServedInDueTime,
+				100*profile.ServedLate, profile.TriesDeferred, profile.TriesWrittenOff, profile.TriesLost, float64(profile.P50Micros)/1e3, float64(profile.P99Micros)/1e3)
 		}
 	}
-	tw.Flush()
+	table.Flush()
 	for _, r := range results {
-		f := &r.Audit
-		fmt.Fprintf(w, "\n%s: %.1f%% of the value served in due time; %.3f hand-offs a transaction, %d to later builds; %d workers pushed over\n",
+		report := &r.Audit
+		fmt.Fprintf(w, "\n%s: %.1f%% of the value served in due time; %.3f hand-offs per transaction, %d to later builds; %d workers overloaded\n",
 			r.WorkerSelection, 100*r.ServedInDueTime, r.HandOffsPerTransaction, r.HandOffsToLaterBuilds, r.WorkersOverloaded)
-		fmt.Fprintf(w, "  accounts: %d asked = %d answered + %d left + %d not taken; closed: %v\n", f.TriesSent, f.TriesAnswered, f.TriesAbandoned,
-			f.TriesNotTaken, r.AllClosed)
-		if f.Misrouted > 0 {
-			fmt.Fprintf(w, "  %d hand-offs had another profile or key than their client meant\n", f.Misrouted)
+		fmt.Fprintf(w, "  tries: %d sent = %d answered + %d abandoned + %d not taken; all closed: %v\n", report.TriesSent, report.TriesAnswered,
+			report.TriesAbandoned, report.TriesNotTaken, r.AllClosed)
+		if report.Misrouted > 0 {
+			fmt.Fprintf(w, "  %d hand-offs had another profile or key than their client intended\n", report.Misrouted)
 		}
-		for _, b := range r.StatusChanges {
-			fmt.Fprintf(w, "  %6.1f s  build %d %s, stage %d, cap %g\n", b.AtSeconds, b.Build, b.Phase, b.Stage, b.Cap)
+		for _, change := range r.StatusChanges {
+			fmt.Fprintf(w, "  %6.1f s  build %d %s, stage %d, cap %g\n", change.AtSeconds, change.Build, change.Phase, change.Stage, change.Cap)
 		}
 		if len(r.Violated) == 0 {
-			fmt.Fprintf(w, "  rules: all five hold (slack %.1f ms)\n", float64(r.SlackMicros)/1e3)
+			fmt.Fprintf(w, "  rules: none of the five is violated (slack %.1f ms)\n", float64(r.SlackMicros)/1e3)
 			continue
 		}
 		names := []string{}
-		for _, n := range r.Violated {
-			names = append(names, fmt.Sprintf("%d (%s)", n, audit.RuleNames[n-1]))
+		for _, rule := range r.Violated {
+			names = append(names, fmt.Sprintf("%d (%s)", rule, audit.RuleNames[rule-1]))
 		}
-		fmt.Fprintf(w, "  rules broken: %v, %d breaches; the first of each:\n", names, len(f.Violations))
+		fmt.Fprintf(w, "  rules violated: %v, %d violations; the first of each rule:\n", names, len(report.Violations))
 		var shown []int
-		for _, b := range f.Violations {
-			if !slices.Contains(shown, b.Rule) {
-				shown = append(shown, b.Rule)
-				fmt.Fprintln(w, "  "+b.String())
+		for _, violation := range report.Violations {
+			if !slices.Contains(shown, violation.Rule) {
+				shown = append(shown, violation.Rule)
+				fmt.Fprintln(w, "  "+violation.String())
 			}
 		}
 	}
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -17,281 +17,285 @@
 	"scalechute/standin"
 )
 
-// Plan is how a day is run.
+// Options are the options of a run.
 type Options struct {
-	Program       []string // runs this program; `sentry --config F` follows
-	Dir           string   // for the sentries' files and logs
-	BrokenRule    string   // rule that the first sentry breaks on purpose, empty if none
-	RandomWorkers bool     // sentries choose workers at random instead of by the module
-	Logf          func(format string, args ...any)
+	Program       []string                         // command of this program, which `sentry --config FILE` follows
+	Dir           string                           // for the sentries' files and logs
+	BrokenRule    string                           // rule that the first sentry breaks on purpose, empty if none
+	RandomWorkers bool                             // sentries choose workers at random instead of by the decision module
+	Logf          func(format string, args ...any) // prints the timeline
 }
 
-// process is one sentry's.
-type process struct {
-	position int
-	zone     int
-	listen   string
-	config   string
-	cmd      *exec.Cmd
-	exited   chan struct{}
-	trouble  sync.Mutex // held by the one trouble that it is in
+// sentryProcess is the process of a sentry.
+type sentryProcess struct {
+	position     int
+	zone         int
+	address      string
+	settingsFile string
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	faultMu      sync.Mutex // held by the fault that affects the process; there is at most one
 }
 
+// runner runs a scenario.
 type runner struct {
-	d        *Scenario
-	p        Options
-	stage    *standin.Environment
-	list     *standin.Discovery
-	desk     *standin.ControlPlane
-	fleet    *fleet
-	mu       sync.Mutex
-	sentries []*process
-	callers  []*standin.ClientPool // by zone
-	linkMu   sync.Mutex            // of relays and reach alone
-	relays   []*standin.Relay
-	reach    map[string]string
-	weather  [][]*standin.Impairment // between zones, one way
-	peers    *standin.Impairment     // on all links between sentries
-	hiccup   time.Duration
-	restart  sync.WaitGroup
+	scenario       *Scenario
+	options        Options
+	environment    *standin.Environment
+	discovery      *standin.Discovery
+	control        *standin.ControlPlane
+	fleet          *fleet
+	mu             sync.Mutex
+	sentries       []*sentryProcess
+	clientPools    []*standin.ClientPool // by zone
+	linkMu         sync.Mutex            // guards relays, relayAddresses and maxStall only
+	relays         []*standin.Relay
+	relayAddresses map[string]string       // by zone and worker address
+	impairments    [][]*standin.Impairment // of the links between zones, in one direction each
+	peerImpairment *standin.Impairment     // of all links between sentries
+	maxStall       time.Duration
+	pendingEnds    sync.WaitGroup // faults that have not ended
 }
 
-// Run plays a day and gives what became of it.
-func Run(d *Scenario, p Options) (*Result, error) {
-	if err := os.MkdirAll(p.Dir, 0o755); err != nil {
+// Run runs a scenario and returns the result.
+func Run(scenario *Scenario, options Options) (*Result, error) {
+	if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	r := &runner{d: d, p: p, reach: map[string]string{}, peers: &standin.Impairment{}}
+	r := &runner{scenario: scenario, options: options, relayAddresses: map[string]string{}, peerImpairment: &standin.Impairment{}}
 	r.prepare()
 	defer r.close()
-	if err := r.set(); err != nil {
+	if err := r.startAll(); err != nil {
 		return nil, err
 	}
-	watched := make(chan struct{})
-	go r.watch(watched)
-	r.play()
-	close(watched)
-	return r.result()
+	done := make(chan struct{})
+	go r.measureStalls(done)
+	r.runTimeline()
+	close(done)
+	return r.makeResult()
 }
 
-// prepare makes the stage and the links between zones.
+// prepare creates the environment of the stand-ins and the links between zones.
 func (r *runner) prepare() {
-	d := r.d
-	r.stage = standin.NewEnvironment(&d.Settings.Policy, d.Settings.Zones, d.Seed)
-	for range d.Settings.Zones {
-		row := make([]*standin.Impairment, len(d.Settings.Zones))
+	scenario := r.scenario
+	r.environment = standin.NewEnvironment(&scenario.Settings.Policy, scenario.Settings.Zones, scenario.Seed)
+	for range scenario.Settings.Zones {
+		row := make([]*standin.Impairment, len(scenario.Settings.Zones))
 		for j := range row {
 			row[j] = &standin.Impairment{}
 		}
-		r.weather = append(r.weather, row)
+		r.impairments = append(r.impairments, row)
 	}
-	r.calm()
+	r.resetLinks()
 }
 
-// calm has every link carry what it usually does.
-func (r *runner) calm() {
-	for i, row := range r.weather {
-		for j, w := range row {
+// resetLinks gives every link between zones its usual delay.
+func (r *runner) resetLinks() {
+	for i, row := range r.impairments {
+		for j, impairment := range row {
 			if i != j {
-				w.Set(span(r.d.Fleet.LinkDelay), false)
+				impairment.Set(duration(r.scenario.Fleet.LinkDelay), false)
 			}
 		}
 	}
 }
 
-// services brings up the list, the desk and the fleet.
-func (r *runner) services() error {
-	d := r.d
-	r.list = standin.NewDiscovery(r.stage)
-	r.list.AddressFrom = r.reached
-	r.fleet = newFleet(d, r.stage, r.list)
-	r.desk = standin.NewControlPlane(r.stage, r.fleet, firstBuild)
-	r.desk.Delay = span(d.Fleet.StatusDelay)
-	if err := errors.Join(r.list.Start(), r.desk.Start()); err != nil {
+// startServices starts discovery, the control plane and the first workers.
+func (r *runner) startServices() error {
+	scenario := r.scenario
+	r.discovery = standin.NewDiscovery(r.environment)
+	r.discovery.AddressFrom = r.addressFrom
+	r.fleet = newFleet(scenario, r.environment, r.discovery)
+	r.control = standin.NewControlPlane(r.environment, r.fleet, firstBuild)
+	r.control.Delay = duration(scenario.Fleet.StatusDelay)
+	if err := errors.Join(r.discovery.Start(), r.control.Start()); err != nil {
 		return err
 	}
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
-	for i, at := range r.fleet.places { // these are listed at once
-		r.list.ReportWorker(r.fleet.start(at, i, firstBuild, true).w, logic.Ready)
+	for i, m := range r.fleet.machines { // the first workers are listed without delay
+		r.discovery.ReportWorker(r.fleet.startWorker(m, i, firstBuild, true).worker, logic.Ready)
 	}
-	r.list.Set(func(l *standin.Discovery) { l.Delay = span(d.Fleet.ListDelay) })
+	r.discovery.Set(func(d *standin.Discovery) { d.Delay = duration(scenario.Fleet.ListDelay) })
 	return nil
 }
 
-// set brings everything up.
-func (r *runner) set() error {
-	d := r.d
-	if err := r.services(); err != nil {
+// startAll starts the services and the sentries, and creates the client pools.
+func (r *runner) startAll() error {
+	scenario := r.scenario
+	if err := r.startServices(); err != nil {
 		return err
 	}
 	time.Sleep(50 * time.Millisecond)
-	for i := range d.Settings.Policy.Sentries {
-		listen, err := standin.FreeAddress()
+	for i := range scenario.Settings.Policy.Sentries {
+		address, err := standin.FreeAddress()
 		if err != nil {
 			return err
 		}
-		r.sentries = append(r.sentries, &process{position: i, zone: i % len(d.Settings.Zones), listen: listen,
-			config: filepath.Join(r.p.Dir, fmt.Sprintf("sentry-%d.hcl", i))})
+		r.sentries = append(r.sentries, &sentryProcess{position: i, zone: i % len(scenario.Settings.Zones), address: address,
+			settingsFile: filepath.Join(r.options.Dir, fmt.Sprintf("sentry-%d.hcl", i))})
 	}
 	for _, s := range r.sentries {
-		peers := map[int]string{}
+		peerAddresses := map[int]string{}
 		for _, to := range r.sentries {
-			if s == to || !d.Settings.Policy.MayMessage {
+			if s == to || !scenario.Settings.Policy.MayMessage {
 				continue
 			}
-			relay, err := standin.NewRelay(to.listen, r.peers, r.peers)
+			relay, err := standin.NewRelay(to.address, r.peerImpairment, r.peerImpairment)
 			if err != nil {
 				return err
 			}
 			r.linkMu.Lock()
 			r.relays = append(r.relays, relay)
 			r.linkMu.Unlock()
-			peers[to.position] = relay.Address
+			peerAddresses[to.position] = relay.Address
 		}
-		memory := filepath.Join(r.p.Dir, fmt.Sprintf("sentry-%d.list", s.position))
-		os.Remove(memory)
-		file := d.sentryFile(s.position, d.Settings.Zones[s.zone], s.listen, memory, r.list.Address, r.desk.Address, peers)
-		if err := os.WriteFile(s.config, file, 0o644); err != nil {
+		listFile := filepath.Join(r.options.Dir, fmt.Sprintf("sentry-%d.list", s.position))
+		os.Remove(listFile)
+		settings := scenario.sentrySettings(s.position, scenario.Settings.Zones[s.zone], s.address, listFile, r.discovery.Address,
+			r.control.Address, peerAddresses)
+		if err := os.WriteFile(s.settingsFile, settings, 0o644); err != nil {
 			return err
 		}
-		if err := r.launch(s); err != nil {
+		if err := r.startSentry(s); err != nil {
 			return err
 		}
 	}
-	for z := range d.Settings.Zones {
-		reach, order := map[logic.SentryID]string{}, []logic.SentryID(nil)
+	for zone := range scenario.Settings.Zones {
+		addresses, sentryIDs := map[logic.SentryID]string{}, []logic.SentryID(nil)
 		for _, s := range r.sentries {
-			if s.zone == z {
-				reach[logic.SentryID(s.position)] = s.listen
-				order = append(order, logic.SentryID(s.position))
+			if s.zone == zone {
+				addresses[logic.SentryID(s.position)] = s.address
+				sentryIDs = append(sentryIDs, logic.SentryID(s.position))
 			}
 		}
-		part := float64(len(order)) / float64(len(r.sentries))
-		r.callers = append(r.callers, standin.NewClientPool(r.stage, fmt.Sprintf("z%d/", z), d.Workload, part, reach, order,
-			d.Seed*100+int64(z)))
+		loadShare := float64(len(sentryIDs)) / float64(len(r.sentries))
+		r.clientPools = append(r.clientPools, standin.NewClientPool(r.environment, fmt.Sprintf("z%d/", zone), scenario.Workload,
+			loadShare, addresses, sentryIDs, scenario.Seed*100+int64(zone)))
 	}
 	return nil
 }
 
-// reached is how a zone reaches a worker: directly at home, else over the relay of that link. It is called with the
-// list's lock held, on the poller: it takes no lock that is ever held for long, nor one under which the list is told.
-func (r *runner) reached(address, zone, from string) string {
-	at, to := slices.Index(r.d.Settings.Zones, from), slices.Index(r.d.Settings.Zones, zone)
-	if at == to || at < 0 || to < 0 {
+// addressFrom returns the address under which the zone from reaches a worker: its own address within its zone, otherwise
+// that of a relay. It is called on the poller with discovery's lock held. It therefore takes no lock that is ever held for
+// long, and none under which changes are reported to discovery.
+func (r *runner) addressFrom(address, zone, from string) string {
+	fromIndex, toIndex := slices.Index(r.scenario.Settings.Zones, from), slices.Index(r.scenario.Settings.Zones, zone)
+	if fromIndex == toIndex || fromIndex < 0 || toIndex < 0 {
 		return address
 	}
 	r.linkMu.Lock()
 	defer r.linkMu.Unlock()
 	key := from + " " + address
-	if r.reach[key] == "" {
-		relay, err := standin.NewRelay(address, r.weather[at][to], r.weather[to][at])
+	if r.relayAddresses[key] == "" {
+		relay, err := standin.NewRelay(address, r.impairments[fromIndex][toIndex], r.impairments[toIndex][fromIndex])
 		if err != nil {
 			return address
 		}
 		r.relays = append(r.relays, relay)
-		r.reach[key] = relay.Address
+		r.relayAddresses[key] = relay.Address
 	}
-	return r.reach[key]
+	return r.relayAddresses[key]
 }
 
-// launch starts a sentry's process and waits until it listens.
-func (r *runner) launch(s *process) error {
-	args := append(append([]string(nil), r.p.Program[1:]...), "sentry", "--config", s.config)
-	if r.p.BrokenRule != "" && s.position == 0 {
-		args = append(args, "--break", r.p.BrokenRule)
+// startSentry starts a sentry's process and waits until it listens.
+func (r *runner) startSentry(s *sentryProcess) error {
+	args := append(append([]string(nil), r.options.Program[1:]...), "sentry", "--config", s.settingsFile)
+	if r.options.BrokenRule != "" && s.position == 0 {
+		args = append(args, "--break", r.options.BrokenRule)
 	}
-	if r.p.RandomWorkers {
+	if r.options.RandomWorkers {
 		args = append(args, "--random")
 	}
-	log, err := os.OpenFile(filepath.Join(r.p.Dir, fmt.Sprintf("sentry-%d.log", s.position)),
+	logFile, err := os.OpenFile(filepath.Join(r.options.Dir, fmt.Sprintf("sentry-%d.log", s.position)),
 		os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(r.p.Program[0], args...)
-	cmd.Stderr, cmd.Stdout = log, log
-	r.stage.Record(audit.Event{Kind: audit.SentryStarted, Sentry: logic.SentryID(s.position)})
+	cmd := exec.Command(r.options.Program[0], args...)
+	cmd.Stderr, cmd.Stdout = logFile, logFile
+	r.environment.Record(audit.Event{Kind: audit.SentryStarted, Sentry: logic.SentryID(s.position)})
 	if err := cmd.Start(); err != nil {
-		log.Close()
+		logFile.Close()
 		return err
 	}
 	exited := make(chan struct{})
 	go func() {
 		_ = cmd.Wait()
-		r.stage.Record(audit.Event{Kind: audit.SentryExited, Sentry: logic.SentryID(s.position)})
-		log.Close()
+		r.environment.Record(audit.Event{Kind: audit.SentryExited, Sentry: logic.SentryID(s.position)})
+		logFile.Close()
 		close(exited)
 	}()
 	s.cmd, s.exited = cmd, exited
 	for range 500 {
-		conn, err := net.DialTimeout("tcp", s.listen, 100*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", s.address, 100*time.Millisecond)
 		if err == nil {
 			conn.Close()
 			return nil
 		}
 		select {
 		case <-exited:
-			return fmt.Errorf("sentry %d ended at its start; see %s", s.position, log.Name())
+			return fmt.Errorf("sentry %d exited during startup; see %s", s.position, logFile.Name())
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("sentry %d does not listen on %s", s.position, s.listen)
+	return fmt.Errorf("sentry %d does not listen on %s", s.position, s.address)
 }
 
-func (r *runner) signal(s *process, sig syscall.Signal) {
+// signal sends a signal to a sentry's process.
+func (r *runner) signal(s *sentryProcess, sig syscall.Signal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_ = s.cmd.Process.Signal(sig)
 }
 
-// watch measures by how much this process is late at the worst: the record's clock is no better than that.
-func (r *runner) watch(done chan struct{}) {
+// measureStalls measures the longest stall of this process. Recorded times can be late by as much.
+func (r *runner) measureStalls(done chan struct{}) {
 	for {
-		at := time.Now()
+		before := time.Now()
 		select {
 		case <-done:
 			return
 		case <-time.After(2 * time.Millisecond):
 		}
 		r.linkMu.Lock()
-		r.hiccup = max(r.hiccup, time.Since(at)-2*time.Millisecond)
+		r.maxStall = max(r.maxStall, time.Since(before)-2*time.Millisecond)
 		r.linkMu.Unlock()
 	}
 }
 
-// play runs the timeline.
-func (r *runner) play() {
-	start := time.Now()
-	at := func(m logic.Micros, f func()) *time.Timer { return time.AfterFunc(time.Until(start.Add(span(m))), f) }
-	for _, c := range r.callers {
-		c.Start()
-	}
-	for _, x := range r.d.Releases {
-		r.stage.SetBuildBehavior(x.Build, x.Behavior)
-		at(x.At, func() {
-			r.p.Logf("%6.1f s  build %d offered", seconds(x.At), x.Build)
-			r.desk.StartTrial(x.Build)
+// runTimeline runs the releases and faults, then waits until all tries are closed and stops the sentries.
+func (r *runner) runTimeline() {
+	t0 := time.Now()
+	schedule := func(m logic.Micros, f func()) *time.Timer { return time.AfterFunc(time.Until(t0.Add(duration(m))), f) }
+	for _, pool := range r.clientPools {
+		pool.Start()
+	}
+	for _, release := range r.scenario.Releases {
+		r.environment.SetBuildBehavior(release.Build, release.Behavior)
+		schedule(release.At, func() {
+			r.options.Logf("%6.1f s  trial of build %d starts", seconds(release.At), release.Build)
+			r.control.StartTrial(release.Build)
 		})
 	}
-	for _, t := range r.d.Faults {
-		at(t.At, func() {
-			r.p.Logf("%6.1f s  %s for %.1f s", seconds(t.At), t.Kind, seconds(t.Duration))
-			end := r.begin(t)
+	for _, fault := range r.scenario.Faults {
+		schedule(fault.At, func() {
+			r.options.Logf("%6.1f s  %s for %.1f s", seconds(fault.At), fault.Kind, seconds(fault.Duration))
+			end := r.beginFault(fault)
 			if end != nil {
-				r.restart.Add(1)
-				time.AfterFunc(span(t.Duration), func() { defer r.restart.Done(); end() })
+				r.pendingEnds.Add(1)
+				time.AfterFunc(duration(fault.Duration), func() { defer r.pendingEnds.Done(); end() })
 			}
 		})
 	}
-	time.Sleep(time.Until(start.Add(span(r.d.Duration))))
-	for _, c := range r.callers {
-		c.Stop()
+	time.Sleep(time.Until(t0.Add(duration(r.scenario.Duration))))
+	for _, pool := range r.clientPools {
+		pool.Stop()
 	}
-	r.restart.Wait()
-	longest := r.d.Settings.MaxDeadline()
-	// What is open closes by its limit; a client waits half as long again for an answer that is late.
-	for end := time.Now().Add(span(longest)*3/2 + time.Second); time.Now().Before(end) && r.open() > 0; {
+	r.pendingEnds.Wait()
+	maxDeadline := r.scenario.Settings.MaxDeadline()
+	// Every try closes by its deadline; a client waits half as long again for a late answer.
+	for end := time.Now().Add(duration(maxDeadline)*3/2 + time.Second); time.Now().Before(end) && r.openTries() > 0; {
 		time.Sleep(20 * time.Millisecond)
 	}
 	for _, s := range r.sentries {
@@ -300,19 +304,21 @@
 	for _, s := range r.sentries {
 		select {
 		case <-s.exited:
-		case <-time.After(span(longest) + 2*time.Second):
+		case <-time.After(duration(maxDeadline) + 2*time.Second):
 			r.signal(s, syscall.SIGKILL)
 		}
 	}
 }
 
-func (r *runner) open() (n int) {
-	for _, c := range r.callers {
-		n += c.OpenTries()
+// openTries returns the number of tries that have neither an answer nor an end.
+func (r *runner) openTries() (n int) {
+	for _, pool := range r.clientPools {
+		n += pool.OpenTries()
 	}
 	return n
 }
 
+// close stops all processes and stand-ins.
 func (r *runner) close() {
 	for _, s := range r.sentries {
 		if s.cmd != nil {
@@ -320,21 +326,21 @@
 			<-s.exited
 		}
 	}
-	for _, c := range r.callers {
-		c.Close()
+	for _, pool := range r.clientPools {
+		pool.Close()
 	}
-	if r.desk != nil && r.desk.Address != "" {
-		r.desk.Stop()
+	if r.control != nil && r.control.Address != "" {
+		r.control.Stop()
 	}
-	if r.list != nil && r.list.Address != "" {
-		r.list.Stop()
+	if r.discovery != nil && r.discovery.Address != "" {
+		r.discovery.Stop()
 	}
 	if r.fleet != nil {
 		r.fleet.stop()
 	}
 	r.linkMu.Lock()
 	defer r.linkMu.Unlock()
-	for _, x := range r.relays {
-		x.Close()
+	for _, relay := range r.relays {
+		relay.Close()
 	}
 }
--- a/internal/drill/trouble.go
+++ b/internal/drill/trouble.go
@@ -12,253 +12,265 @@
 	"scalechute/standin"
 )
 
-// begin brings a trouble about and gives what ends it, nil if nothing does.
-func (r *runner) begin(t Fault) (end func()) {
-	switch t.Kind {
+// beginFault injects a fault and returns a function that ends it, or nil if the fault ends by itself.
+func (r *runner) beginFault(fault Fault) (end func()) {
+	switch fault.Kind {
 	case "balancer_crash":
-		hit := r.pick(t)
-		for _, s := range hit {
+		affected := r.claimSentries(fault)
+		for _, s := range affected {
 			r.signal(s, syscall.SIGKILL)
 		}
 		return func() {
-			for _, s := range hit {
+			for _, s := range affected {
 				<-s.exited
-				r.relaunch(s)
-				s.trouble.Unlock()
+				r.restartSentry(s)
+				s.faultMu.Unlock()
 			}
 		}
 	case "balancer_roll":
-		r.restart.Add(1)
+		r.pendingEnds.Add(1)
 		go func() {
-			defer r.restart.Done()
-			for i := range min(t.Count, len(r.sentries)) {
-				s := r.sentries[(t.First+i)%len(r.sentries)]
-				s.trouble.Lock()
+			defer r.pendingEnds.Done()
+			for i := range min(fault.Count, len(r.sentries)) {
+				s := r.sentries[(fault.First+i)%len(r.sentries)]
+				s.faultMu.Lock()
 				r.signal(s, syscall.SIGTERM)
 				<-s.exited
-				time.Sleep(span(t.Delay))
-				r.relaunch(s)
-				s.trouble.Unlock()
+				time.Sleep(duration(fault.Delay))
+				r.restartSentry(s)
+				s.faultMu.Unlock()
 			}
 		}()
 	case "balancer_stall":
-		hit := r.pick(t)
-		for _, s := range hit {
-			r.stage.Record(audit.Event{Kind: audit.SentryPaused, Sentry: logic.SentryID(s.position)})
+		affected := r.claimSentries(fault)
+		for _, s := range affected {
+			r.environment.Record(audit.Event{Kind: audit.SentryPaused, Sentry: logic.SentryID(s.position)})
 			r.signal(s, syscall.SIGSTOP)
 		}
 		return func() {
-			for _, s := range hit {
+			for _, s := range affected {
 				r.signal(s, syscall.SIGCONT)
-				r.stage.Record(audit.Event{Kind: audit.SentryResumed, Sentry: logic.SentryID(s.position)})
-				s.trouble.Unlock()
+				r.environment.Record(audit.Event{Kind: audit.SentryResumed, Sentry: logic.SentryID(s.position)})
+				s.faultMu.Unlock()
 			}
 		}
 	case "reload":
-		return r.reload(t)
+		return r.rewriteSettings(fault)
 	case "burst":
-		return r.callersWith(t, func(c *standin.ClientPool) { c.LoadFactor = t.Magnitude }, func(c *standin.ClientPool) { c.LoadFactor = 1 })
+		return r.changeClientPools(fault, func(c *standin.ClientPool) { c.LoadFactor = fault.Magnitude },
+			func(c *standin.ClientPool) { c.LoadFactor = 1 })
 	case "hot_key":
-		return r.callersWith(t, func(c *standin.ClientPool) { c.HotKeyShare = t.Magnitude }, func(c *standin.ClientPool) { c.HotKeyShare = 0 })
+		return r.changeClientPools(fault, func(c *standin.ClientPool) { c.HotKeyShare = fault.Magnitude },
+			func(c *standin.ClientPool) { c.HotKeyShare = 0 })
 	case "hot_caller":
-		return r.callersWith(t, func(c *standin.ClientPool) { c.HotAccountShare = t.Magnitude }, func(c *standin.ClientPool) { c.HotAccountShare = 0 })
+		return r.changeClientPools(fault, func(c *standin.ClientPool) { c.HotAccountShare = fault.Magnitude },
+			func(c *standin.ClientPool) { c.HotAccountShare = 0 })
 	case "shift":
-		return r.shift(t)
+		return r.shiftTraffic(fault)
 	case "control_down":
-		late := span(r.d.Fleet.StatusDelay)
-		r.desk.Set(func(d *standin.ControlPlane) {
-			d.Silent, d.Deny = t.Mode == "quiet", t.Mode == "deny"
-			if t.Mode == "late" {
-				d.Delay = late + span(t.Delay)
+		old := duration(r.scenario.Fleet.StatusDelay)
+		r.control.Set(func(p *standin.ControlPlane) {
+			p.Silent, p.Deny = fault.Mode == "quiet", fault.Mode == "deny"
+			if fault.Mode == "late" {
+				p.Delay = old + duration(fault.Delay)
 			}
 		})
-		return func() { r.desk.Set(func(d *standin.ControlPlane) { d.Silent, d.Deny, d.Delay = false, false, late }) }
+		return func() { r.control.Set(func(p *standin.ControlPlane) { p.Silent, p.Deny, p.Delay = false, false, old }) }
 	case "crash":
-		hit := r.fleet.some(t.First, t.Count, t.Zone)
-		for _, w := range hit {
+		affected := r.fleet.runningWorkers(fault.First, fault.Count, fault.Zone)
+		for _, w := range affected {
 			w.Stop()
-			r.list.ReportWorker(w, logic.Gone)
+			r.discovery.ReportWorker(w, logic.Gone)
 		}
 		return func() {
-			for _, w := range hit {
-				if !r.fleet.draining(w) && w.Start(false) == nil {
-					r.list.ReportWorker(w, logic.Ready)
+			for _, w := range affected {
+				if !r.fleet.isDraining(w) && w.Start(false) == nil {
+					r.discovery.ReportWorker(w, logic.Ready)
 				}
 			}
 		}
 	case "fast_errors":
-		return r.workersWith(t, func(w *standin.Worker) { w.FastErrorShare = t.Magnitude }, func(w *standin.Worker) { w.FastErrorShare = 0 })
+		return r.changeWorkers(fault, func(w *standin.Worker) { w.FastErrorShare = fault.Magnitude },
+			func(w *standin.Worker) { w.FastErrorShare = 0 })
 	case "handshake_slow":
-		return r.workersWith(t, func(w *standin.Worker) { w.HandshakeDelay = span(t.Delay) }, func(w *standin.Worker) { w.HandshakeDelay = 0 })
+		return r.changeWorkers(fault, func(w *standin.Worker) { w.HandshakeDelay = duration(fault.Delay) },
+			func(w *standin.Worker) { w.HandshakeDelay = 0 })
 	case "probe_fail":
-		return r.workersWith(t, func(w *standin.Worker) { w.IgnoresProbes = true }, func(w *standin.Worker) { w.IgnoresProbes = false })
+		return r.changeWorkers(fault, func(w *standin.Worker) { w.IgnoresProbes = true }, func(w *standin.Worker) { w.IgnoresProbes = false })
 	case "slow":
-		return r.workersWith(t, func(w *standin.Worker) { w.SlowFactor = t.Magnitude }, func(w *standin.Worker) { w.SlowFactor = 1 })
+		return r.changeWorkers(fault, func(w *standin.Worker) { w.SlowFactor = fault.Magnitude }, func(w *standin.Worker) { w.SlowFactor = 1 })
 	case "neighbour":
-		return r.neighbour(t)
+		return r.runNeighbour(fault)
 	case "peer_down":
-		r.peers.Set(0, true)
-		return func() { r.peers.Set(0, false) }
+		r.peerImpairment.Set(0, true)
+		return func() { r.peerImpairment.Set(0, false) }
 	case "slow_link":
-		return r.links(t, span(r.d.Fleet.LinkDelay+t.Delay), false, true)
+		return r.impairLinks(fault, duration(r.scenario.Fleet.LinkDelay+fault.Delay), false, true)
 	case "zone_cut":
-		return r.links(t, span(r.d.Fleet.LinkDelay), true, true)
+		return r.impairLinks(fault, duration(r.scenario.Fleet.LinkDelay), true, true)
 	case "one_sided":
-		return r.links(t, span(r.d.Fleet.LinkDelay), true, false)
+		return r.impairLinks(fault, duration(r.scenario.Fleet.LinkDelay), true, false)
 	}
 	return nil
 }
 
-// pick takes sentries that are in no trouble yet.
-func (r *runner) pick(t Fault) (hit []*process) {
-	for i := range min(t.Count, len(r.sentries)) {
-		if s := r.sentries[(t.First+i)%len(r.sentries)]; s.trouble.TryLock() {
-			hit = append(hit, s)
+// claimSentries returns sentries that no other fault affects, with their faultMu locked.
+func (r *runner) claimSentries(fault Fault) (claimed []*sentryProcess) {
+	for i := range min(fault.Count, len(r.sentries)) {
+		if s := r.sentries[(fault.First+i)%len(r.sentries)]; s.faultMu.TryLock() {
+			claimed = append(claimed, s)
 		}
 	}
-	return hit
+	return claimed
 }
 
-func (r *runner) relaunch(s *process) {
+// restartSentry starts a sentry's process again.
+func (r *runner) restartSentry(s *sentryProcess) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := r.launch(s); err != nil {
-		r.p.Logf("          %v", err)
+	if err := r.startSentry(s); err != nil {
+		r.options.Logf("          %v", err)
 	}
 }
 
-func (r *runner) callersWith(t Fault, on, off func(*standin.ClientPool)) func() {
-	each := func(f func(*standin.ClientPool)) {
-		for z, c := range r.callers {
-			if t.Zone < 0 || t.Zone == z {
-				c.Set(f)
+// changeClientPools calls begin on the client pools of the fault's zone, or of all zones, and returns a function that
+// calls end on them.
+func (r *runner) changeClientPools(fault Fault, begin, end func(*standin.ClientPool)) func() {
+	changeAll := func(change func(*standin.ClientPool)) {
+		for zone, pool := range r.clientPools {
+			if fault.Zone < 0 || fault.Zone == zone {
+				pool.Set(change)
 			}
 		}
 	}
-	each(on)
-	return func() { each(off) }
+	changeAll(begin)
+	return func() { changeAll(end) }
 }
 
-func (r *runner) workersWith(t Fault, on, off func(*standin.Worker)) func() {
-	hit := r.fleet.some(t.First, t.Count, t.Zone)
-	for _, w := range hit {
-		w.Set(on)
+// changeWorkers calls begin on the workers that a fault affects, and returns a function that calls end on them.
+func (r *runner) changeWorkers(fault Fault, begin, end func(*standin.Worker)) func() {
+	affected := r.fleet.runningWorkers(fault.First, fault.Count, fault.Zone)
+	for _, w := range affected {
+		w.Set(begin)
 	}
 	return func() {
-		for _, w := range hit {
-			w.Set(off)
+		for _, w := range affected {
+			w.Set(end)
 		}
 	}
 }
 
-// neighbour has another program take part of some machines, on and off.
-func (r *runner) neighbour(t Fault) func() {
-	hit := r.fleet.some(t.First, t.Count, t.Zone)
+// runNeighbour simulates a noisy neighbour: it slows some workers and releases them in turns.
+func (r *runner) runNeighbour(fault Fault) func() {
+	affected := r.fleet.runningWorkers(fault.First, fault.Count, fault.Zone)
 	done := make(chan struct{})
-	var over sync.WaitGroup
-	over.Add(1)
+	var finished sync.WaitGroup
+	finished.Add(1)
 	go func() {
-		defer over.Done()
-		for on := true; ; on = !on {
-			for _, w := range hit {
+		defer finished.Done()
+		for slowed := true; ; slowed = !slowed {
+			for _, w := range affected {
 				w.Set(func(w *standin.Worker) {
 					w.SlowFactor = 1
-					if on {
-						w.SlowFactor = t.Magnitude
+					if slowed {
+						w.SlowFactor = fault.Magnitude
 					}
 				})
 			}
 			select {
 			case <-done:
 				return
-			case <-time.After(span(t.Delay) * 5):
+			case <-time.After(duration(fault.Delay) * 5):
 			}
 		}
 	}()
 	return func() {
 		close(done)
-		over.Wait()
-		for _, w := range hit {
+		finished.Wait()
+		for _, w := range affected {
 			w.Set(func(w *standin.Worker) { w.SlowFactor = 1 })
 		}
 	}
 }
 
-// reload rewrites sentries' files every so often, each other time with a fault in it, and at the end as they were. Every
-// third time the sentry is told by SIGHUP at once; else it finds out by itself.
-func (r *runner) reload(t Fault) func() {
-	hit := r.pick(t)
-	whole := make([][]byte, len(hit))
-	for i, s := range hit {
-		whole[i], _ = os.ReadFile(s.config)
+// rewriteSettings rewrites the settings files of some sentries at intervals of the fault's delay, every second time with
+// an error in them, and restores them at the end. Every third time the sentry gets a SIGHUP; otherwise it has to notice
+// the change itself.
+func (r *runner) rewriteSettings(fault Fault) func() {
+	affected := r.claimSentries(fault)
+	originals := make([][]byte, len(affected))
+	for i, s := range affected {
+		originals[i], _ = os.ReadFile(s.settingsFile)
 	}
 	done := make(chan struct{})
-	var over sync.WaitGroup
-	over.Go(func() {
-		for n := 1; ; n++ {
-			for i, s := range hit {
-				text := append(whole[i][:len(whole[i]):len(whole[i])], fmt.Sprintf("# load %d\n", n)...)
-				if n%2 == 1 {
+	var finished sync.WaitGroup
+	finished.Go(func() {
+		for round := 1; ; round++ {
+			for i, s := range affected {
+				text := append(originals[i][:len(originals[i]):len(originals[i])], fmt.Sprintf("# load %d\n", round)...)
+				if round%2 == 1 {
 					text = append(text, "route {}\n"...)
 				}
-				replace(s.config, text)
-				if n%3 == 0 {
+				replaceFile(s.settingsFile, text)
+				if round%3 == 0 {
 					r.signal(s, syscall.SIGHUP)
 				}
 			}
 			select {
 			case <-done:
 				return
-			case <-time.After(span(t.Delay)):
+			case <-time.After(duration(fault.Delay)):
 			}
 		}
 	})
 	return func() {
 		close(done)
-		over.Wait()
-		for i, s := range hit {
-			replace(s.config, whole[i])
+		finished.Wait()
+		for i, s := range affected {
+			replaceFile(s.settingsFile, originals[i])
 			r.signal(s, syscall.SIGHUP)
-			s.trouble.Unlock()
+			s.faultMu.Unlock()
 		}
 	}
 }
 
-// replace puts a file in another's place, as operators should: half of one, cut between two blocks, can be a good file.
-func replace(name string, text []byte) {
+// replaceFile replaces a file atomically, as operators should: a partly written file that ends between two blocks can be
+// valid.
+func replaceFile(name string, text []byte) {
 	if os.WriteFile(name+".new", text, 0o644) == nil {
 		_ = os.Rename(name+".new", name)
 	}
 }
 
 // shift moves a share of one zone's traffic to the next zone.
-func (r *runner) shift(t Fault) func() {
-	from := max(0, t.Zone)
-	to := (from + 1) % len(r.callers)
-	was, other := r.callers[from].LoadShare(), r.callers[to].LoadShare()
+func (r *runner) shiftTraffic(fault Fault) func() {
+	from := max(0, fault.Zone)
+	to := (from + 1) % len(r.clientPools)
+	fromShare, toShare := r.clientPools[from].LoadShare(), r.clientPools[to].LoadShare()
 	if from != to {
-		r.callers[from].SetLoadShare(was * (1 - t.Magnitude))
-		r.callers[to].SetLoadShare(other + was*t.Magnitude)
+		r.clientPools[from].SetLoadShare(fromShare * (1 - fault.Magnitude))
+		r.clientPools[to].SetLoadShare(toShare + fromShare*fault.Magnitude)
 	}
 	return func() {
-		r.callers[from].SetLoadShare(was)
-		r.callers[to].SetLoadShare(other)
+		r.clientPools[from].SetLoadShare(fromShare)
+		r.clientPools[to].SetLoadShare(toShare)
 	}
 }
 
-// links sets the weather between a zone and all others: on the way out of it, and back.
-func (r *runner) links(t Fault, delay time.Duration, cut, both bool) func() {
-	z := max(0, t.Zone)
-	set := func(delay time.Duration, cut bool) {
-		for other := range r.weather {
-			if other != z {
-				r.weather[z][other].Set(delay, cut)
-				if both {
-					r.weather[other][z].Set(delay, cut)
+// impairLinks sets the impairment of the links from a zone to all others, and if bothWays is set, also of those from the
+// others to the zone.
+func (r *runner) impairLinks(fault Fault, delay time.Duration, cut, bothWays bool) func() {
+	zone := max(0, fault.Zone)
+	setLinks := func(delay time.Duration, cut bool) {
+		for other := range r.impairments {
+			if other != zone {
+				r.impairments[zone][other].Set(delay, cut)
+				if bothWays {
+					r.impairments[other][zone].Set(delay, cut)
 				}
 			}
 		}
 	}
-	set(delay, cut)
-	return func() { set(span(r.d.Fleet.LinkDelay), false) }
+	setLinks(delay, cut)
+	return func() { setLinks(duration(r.scenario.Fleet.LinkDelay), false) }
 }
--- a/internal/drill/trouble_test.go
+++ b/internal/drill/trouble_test.go
@@ -10,64 +10,67 @@
 	"scalechute/standin"
 )
 
-// Each trouble that acts on stand-ins changes what it says, for as long as it lasts and no longer. Those that act on
-// processes of sentries are seen in the drills themselves.
-func TestTroublesActAndEnd(t *testing.T) {
+// Each fault that acts on stand-ins has its effects while it lasts, and none after it has ended. Faults that act on
+// sentry processes are tested by the drills.
+func TestFaultsBeginAndEnd(t *testing.T) {
 	source, err := os.ReadFile("../../drills/breach.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := Parse("breach.hcl", source)
+	scenario, err := Parse("breach.hcl", source)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &runner{d: d, p: Options{Logf: t.Logf}, reach: map[string]string{}, peers: &standin.Impairment{}}
+	r := &runner{scenario: scenario, options: Options{Logf: t.Logf}, relayAddresses: map[string]string{},
+		peerImpairment: &standin.Impairment{}}
 	r.prepare()
 	defer r.close()
-	if err := r.services(); err != nil {
+	if err := r.startServices(); err != nil {
 		t.Fatal(err)
 	}
-	for i := range d.Settings.Zones {
-		r.callers = append(r.callers, standin.NewClientPool(r.stage, "", d.Workload, 1/float64(len(d.Settings.Zones)), nil, nil, int64(i)))
+	for i := range scenario.Settings.Zones {
+		r.clientPools = append(r.clientPools, standin.NewClientPool(r.environment, "", scenario.Workload,
+			1/float64(len(scenario.Settings.Zones)), nil, nil, int64(i)))
 	}
-	worker := func(f func(w *standin.Worker) bool) func() bool {
-		return func() (so bool) {
-			w := r.fleet.all[2]
-			w.Set(func(w *standin.Worker) { so = f(w) })
-			return so
+	onWorker := func(f func(w *standin.Worker) bool) func() bool {
+		return func() (ok bool) {
+			w := r.fleet.workers[2]
+			w.Set(func(w *standin.Worker) { ok = f(w) })
+			return ok
 		}
 	}
-	caller := func(f func(c *standin.ClientPool) bool) func() bool {
-		return func() (so bool) { r.callers[1].Set(func(c *standin.ClientPool) { so = f(c) }); return so }
+	onClientPool := func(f func(c *standin.ClientPool) bool) func() bool {
+		return func() (ok bool) { r.clientPools[1].Set(func(c *standin.ClientPool) { ok = f(c) }); return ok }
 	}
-	desk := func(f func(d *standin.ControlPlane) bool) func() bool {
-		return func() (so bool) { r.desk.Set(func(d *standin.ControlPlane) { so = f(d) }); return so }
+	onControlPlane := func(f func(p *standin.ControlPlane) bool) func() bool {
+		return func() (ok bool) { r.control.Set(func(p *standin.ControlPlane) { ok = f(p) }); return ok }
 	}
-	link := func(from, to int, delay time.Duration, cut bool) func() bool {
-		return func() bool { d, c := r.weather[from][to].Current(); return d == delay && c == cut }
+	linkHas := func(from, to int, delay time.Duration, cut bool) func() bool {
+		return func() bool { d, c := r.impairments[from][to].Current(); return d == delay && c == cut }
 	}
-	usual := span(d.Fleet.LinkDelay)
+	usualDelay := duration(scenario.Fleet.LinkDelay)
 	cases := []struct {
-		kind, how string
-		acts      []func() bool
+		kind, mode string
+		effects    []func() bool
 	}{
-		{"burst", "", []func() bool{caller(func(c *standin.ClientPool) bool { return c.LoadFactor == 3 })}},
-		{"hot_key", "", []func() bool{caller(func(c *standin.ClientPool) bool { return c.HotKeyShare == 3 })}},
-		{"hot_caller", "", []func() bool{caller(func(c *standin.ClientPool) bool { return c.HotAccountShare == 3 }),
-			func() bool { return len(d.Workload.AccountShares) > 1 }}},
-		{"shift", "", []func() bool{func() bool { return r.callers[1].LoadShare() < 0 && r.callers[2].LoadShare() > 0.5 }}},
-		{"control_down", "quiet", []func() bool{desk(func(d *standin.ControlPlane) bool { return d.Silent && !d.Deny })}},
-		{"control_down", "deny", []func() bool{desk(func(d *standin.ControlPlane) bool { return d.Deny && !d.Silent })}},
-		{"control_down", "late", []func() bool{desk(func(x *standin.ControlPlane) bool { return x.Delay > span(d.Fleet.StatusDelay) })}},
-		{"crash", "", []func() bool{func() bool { up, _, _ := r.fleet.all[2].RunState(); return !up }}},
-		{"fast_errors", "", []func() bool{worker(func(w *standin.Worker) bool { return w.FastErrorShare == 3 })}},
-		{"handshake_slow", "", []func() bool{worker(func(w *standin.Worker) bool { return w.HandshakeDelay == 7*time.Millisecond })}},
-		{"probe_fail", "", []func() bool{worker(func(w *standin.Worker) bool { return w.IgnoresProbes })}},
-		{"slow", "", []func() bool{worker(func(w *standin.Worker) bool { return w.SlowFactor == 3 })}},
+		{"burst", "", []func() bool{onClientPool(func(c *standin.ClientPool) bool { return c.LoadFactor == 3 })}},
+		{"hot_key", "", []func() bool{onClientPool(func(c *standin.ClientPool) bool { return c.HotKeyShare == 3 })}},
+		{"hot_caller", "", []func() bool{onClientPool(func(c *standin.ClientPool) bool { return c.HotAccountShare == 3 }),
+			func() bool { return len(scenario.Workload.AccountShares) > 1 }}},
+		{"shift", "", []func() bool{func() bool { return r.clientPools[1].LoadShare() < 0 && r.clientPools[2].LoadShare() > 0.5 }}},
+		{"control_down", "quiet", []func() bool{onControlPlane(func(p *standin.ControlPlane) bool { return p.Silent && !p.Deny })}},
+		{"control_down", "deny", []func() bool{onControlPlane(func(p *standin.ControlPlane) bool { return p.Deny && !p.Silent })}},
+		{"control_down", "late", []func() bool{
+			onControlPlane(func(p *standin.ControlPlane) bool { return p.Delay > duration(scenario.Fleet.StatusDelay) })}},
+		{"crash", "", []func() bool{func() bool { up, _, _ := r.fleet.workers[2].RunState(); return !up }}},
+		{"fast_errors", "", []func() bool{onWorker(func(w *standin.Worker) bool { return w.FastErrorShare == 3 })}},
+		{"handshake_slow", "", []func() bool{onWorker(func(w *standin.Worker) bool { return w.HandshakeDelay == 7*time.Millisecond })}},
+		{"probe_fail", "", []func() bool{onWorker(func(w *standin.Worker) bool { return w.IgnoresProbes })}},
+		{"slow", "", []func() bool{onWorker(func(w *standin.Worker) bool { return w.SlowFactor == 3 })}},
 		{"neighbour", "", []func() bool{func() bool {
-			slow := worker(func(w *standin.Worker) bool { return w.SlowFactor == 3 })
+			slow := onWorker(func(w *standin.Worker) bool { return w.SlowFactor == 3 })
 			var seen [2]bool
-			for range 400 { // on and off, each for 35 ms
+			for range 400 { // slow and not slow, for 35 ms each
 				if slow() {
 					seen[1] = true
 				} else {
@@ -77,44 +80,45 @@
 			}
 			return seen[0] && seen[1]
 		}}},
-		{"peer_down", "", []func() bool{func() bool { _, cut := r.peers.Current(); return cut }}},
-		{"slow_link", "", []func() bool{link(1, 0, usual+7*time.Millisecond, false), link(0, 1, usual+7*time.Millisecond, false)}},
-		{"zone_cut", "", []func() bool{link(1, 0, usual, true), link(0, 1, usual, true), link(1, 2, usual, true)}},
-		{"one_sided", "", []func() bool{link(1, 0, usual, true), link(1, 2, usual, true), link(0, 1, usual, false)}},
+		{"peer_down", "", []func() bool{func() bool { _, cut := r.peerImpairment.Current(); return cut }}},
+		{"slow_link", "", []func() bool{linkHas(1, 0, usualDelay+7*time.Millisecond, false),
+			linkHas(0, 1, usualDelay+7*time.Millisecond, false)}},
+		{"zone_cut", "", []func() bool{linkHas(1, 0, usualDelay, true), linkHas(0, 1, usualDelay, true), linkHas(1, 2, usualDelay, true)}},
+		{"one_sided", "", []func() bool{linkHas(1, 0, usualDelay, true), linkHas(1, 2, usualDelay, true), linkHas(0, 1, usualDelay, false)}},
 	}
-	tried := map[string]bool{}
+	tested := map[string]bool{}
 	for _, c := range cases {
-		tried[c.kind] = true
-		holds := func() (n int) {
-			for _, f := range c.acts {
+		tested[c.kind] = true
+		countHolding := func() (n int) {
+			for _, f := range c.effects {
 				if f() {
 					n++
 				}
 			}
 			return n
 		}
-		before := holds()
-		end := r.begin(Fault{Kind: c.kind, Mode: c.how, Count: 3, First: 1, Magnitude: 3, Delay: 7000, Zone: zoneOf(c.kind)})
-		if during := holds(); during != len(c.acts) || before == len(c.acts) {
-			t.Errorf("%s %s: %d of %d signs before it, %d while it lasts", c.kind, c.how, before, len(c.acts), during)
+		before := countHolding()
+		end := r.beginFault(Fault{Kind: c.kind, Mode: c.mode, Count: 3, First: 1, Magnitude: 3, Delay: 7000, Zone: zoneOf(c.kind)})
+		if during := countHolding(); during != len(c.effects) || before == len(c.effects) {
+			t.Errorf("%s %s: %d of %d effects before the fault, %d while it lasts", c.kind, c.mode, before, len(c.effects), during)
 		}
 		if end == nil {
-			t.Errorf("%s: nothing ends it", c.kind)
+			t.Errorf("%s: found no function that ends the fault", c.kind)
 			continue
 		}
-		if end(); holds() != before {
-			t.Errorf("%s %s: %d signs after it, %d before", c.kind, c.how, holds(), before)
+		if end(); countHolding() != before {
+			t.Errorf("%s %s: %d effects after the fault, %d before", c.kind, c.mode, countHolding(), before)
 		}
 	}
 	processes := []string{"bad_build", "balancer_crash", "balancer_roll", "balancer_stall", "reload"}
 	for _, k := range FaultKinds {
-		if !tried[k] && !slices.Contains(processes, k) {
-			t.Errorf("%s was not tried", k)
+		if !tested[k] && !slices.Contains(processes, k) {
+			t.Errorf("%s was not tested", k)
 		}
 	}
 }
 
-// zoneOf names the zone of troubles that are about one.
+// zoneOf returns the zone for faults that act on a zone, -1 for others.
 func zoneOf(kind string) int {
 	if slices.Contains([]string{"shift", "slow_link", "zone_cut", "one_sided"}, kind) {
 		return 1
@@ -122,8 +126,8 @@
 	return -1
 }
 
-// A drill's file is checked as orders are.
-func TestFaults(t *testing.T) {
+// Errors in a drill's file are reported, as those in a sentry's settings are.
+func TestInvalidFiles(t *testing.T) {
 	source, err := os.ReadFile("../../drills/breach.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -132,8 +136,8 @@
 		{`trouble "crash"`, `trouble "flood"`, `trouble "flood", expected one of [bad_build`},
 		{`release "11"`, `release "ten"`, `release "ten", expected a whole number above 10`},
 		{`mix "handover"`, `mix "handoff"`, `mix "handoff", expected one of the profiles`},
-		{`share = 0.20`, `share = 0.30`, `shares of all mixes are 1.1 together, expected 1`},
-		{`cold_from = 0.5`, `cold_from = 0.3`, `workers are colder than the rules state`},
+		{`share = 0.20`, `share = 0.30`, `the shares of all mixes add up to 1.1, expected 1`},
+		{`cold_from = 0.5`, `cold_from = 0.3`, `workers are colder than the settings allow`},
 		{`keys       = `, "attributes = true\n  keys = ", `attributes: transactions carry attributes only, expected routes`},
 		{`count = 1`, `cout = 1`, `cout: unknown in block trouble crash`},
 		{`length   = "9s"`, `length = "1h"`, `length: found "1h", expected a span from 1s to 10m0s`},
