--- a/cmd/scalechute/drill.go
+++ b/cmd/scalechute/drill.go
@@ -12,69 +12,70 @@
 	"scalechute/internal/sentry"
 )
 
+// drillCommand returns the command that runs a drill and audits it.
 func drillCommand() *cobra.Command {
-	var out, breach, fromDay string
+	var outDir, breachName, dayFile string
 	var noBaseline bool
 	c := &cobra.Command{
 		Use:   "drill FILE [--out DIR] [--break RULE] [--from-day DAY]",
-		Short: "Play a scripted day of troubles on loopback and audit the five rules; exit 0 only if they hold",
+		Short: "Run a scripted drill with faults on loopback and audit the five rules; exit 0 only if all rules are kept",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if _, err := sentry.ParseBreach(breach); err != nil {
+			if _, err := sentry.ParseBreach(breachName); err != nil {
 				return err
 			}
-			day, err := drill.Load(args[0])
+			scenario, err := drill.Load(args[0])
 			if err != nil {
 				return err
 			}
-			if fromDay != "" {
-				data, err := os.ReadFile(fromDay)
+			if dayFile != "" {
+				data, err := os.ReadFile(dayFile)
 				if err != nil {
 					return err
 				}
-				if err := day.ApplyBenchDay(data); err != nil {
-					return fmt.Errorf("%s: %w", fromDay, err)
+				if err := scenario.ApplyBenchDay(data); err != nil {
+					return fmt.Errorf("%s: %w", dayFile, err)
 				}
 			}
-			self, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			if out == "" {
-				if out, err = os.MkdirTemp("", "drill-"); err != nil {
+			if outDir == "" {
+				if outDir, err = os.MkdirTemp("", "drill-"); err != nil {
 					return err
 				}
-				defer os.RemoveAll(out)
+				defer os.RemoveAll(outDir)
 			}
-			plan := drill.Options{Program: program(self), Dir: filepath.Join(out, "module"), BrokenRule: breach,
+			options := drill.Options{Program: selfCommand(executable), Dir: filepath.Join(outDir, "module"), BrokenRule: breachName,
 				Logf: func(format string, a ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", a...) }}
-			result, err := drill.Run(day, plan)
+			result, err := drill.Run(scenario, options)
 			if err != nil {
 				return err
 			}
 			results := []*drill.Result{result}
-			if day.RunBaseline && !noBaseline && breach == "" {
-				plan.RandomWorkers, plan.Dir = true, filepath.Join(out, "random")
-				plan.Logf("the same day with workers chosen at random:")
-				random, err := drill.Run(day, plan)
+			if scenario.RunBaseline && !noBaseline && breachName == "" {
+				options.RandomWorkers, options.Dir = true, filepath.Join(outDir, "random")
+				options.Logf("the same drill with workers chosen at random:")
+				baseline, err := drill.Run(scenario, options)
 				if err != nil {
 					return err
 				}
-				results = append(results, random)
+				results = append(results, baseline)
 			}
 			drill.Print(c.OutOrStdout(), results...)
 			if !result.Passed() {
-				return errors.New("the rules do not hold")
+				return errors.New("the rules are not kept")
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&out, "out", "", "directory for reports, the sentries' orders and logs")
-	c.Flags().StringVar(&breach, "break", "", "have the first sentry break a rule: answer, effect, drain, cold or exposure")
-	c.Flags().StringVar(&fromDay, "from-day", "", "take the troubles of a day file of the bench, at this drill's size")
-	c.Flags().BoolVar(&noBaseline, "no-baseline", false, "leave out the baseline, whatever the file says")
+	c.Flags().StringVar(&outDir, "out", "", "directory for reports and the sentries' settings and logs; if empty, a temporary one that is removed")
+	c.Flags().StringVar(&breachName, "break", "", "have the first sentry break a rule on purpose: answer, effect, drain, cold or exposure")
+	c.Flags().StringVar(&dayFile, "from-day", "", "take the faults and releases of a day file of the benchmark, scaled to this drill")
+	c.Flags().BoolVar(&noBaseline, "no-baseline", false, "skip the baseline run even if the file requests it")
 	return c
 }
 
-// program is what runs this program again; a test puts itself there.
-var program = func(self string) []string { return []string{self} }
+// selfCommand returns the command line that runs this program again. Tests may replace it.
+var selfCommand = func(executable string) []string { return []string{executable} }
