--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -45,6 +45,7 @@
 	ConfigChanged                 // a sentry was given another configuration, which it applies within Event.Duration
 )
 
+// kindNames are the names of the kinds in timelines.
 var kindNames = [...]string{"asked", "answered", "not taken", "left", "got", "ran", "ended", "turned away", "dropped",
 	"worker up", "worker down", "fell", "list told",
 	"listed", "followed", "fetched", "ask failed", "news told", "sentry up", "sentry down", "stopped", "resumed", "ordered"}
@@ -150,7 +151,7 @@
 	handOffs  []*handOff
 }
 
-// interval is a time interval without its end.
+// interval is a half-open time interval.
 type interval struct{ from, to logic.Micros }
 
 // listAccess is the state of a sentry's access to the worker list from a time on.
@@ -166,14 +167,14 @@
 	slack            logic.Micros
 	events           []Event
 	tries            map[string]*tryRecord
-	tryNames         []string
+	tryNames         []string // in the order of their first events
 	handOffsByWorker map[logic.WorkerID][]*handOff
 	handOffs         []*handOff
-	runs             map[logic.SentryID][]interval
-	pauses           map[logic.SentryID][]interval
-	statuses         map[logic.SentryID][]Event
+	runs             map[logic.SentryID][]interval                 // of the sentry's process, from start to exit
+	pauses           map[logic.SentryID][]interval                 // of the sentry's process
+	statuses         map[logic.SentryID][]Event                    // of kind StatusSent
 	listEntries      map[logic.SentryID]map[logic.WorkerID][]Event // entries that were sent to each sentry, or count as known to it
-	listings         []Event
+	listings         []Event                                       // of kind WorkerListed
 	listAccesses     map[logic.SentryID][]listAccess
 	configChanges    map[logic.SentryID][]Event
 	report           Report
--- a/internal/plan/calendar.go
+++ b/internal/plan/calendar.go
@@ -12,7 +12,7 @@
 )
 
 // Window is a time window in which a wave may start, by the local time of a zone. An hour that the start of daylight
-// saving time skips does not occur; the window is open both times in an hour that the end of it repeats.
+// saving time skips does not occur. In an hour that its end repeats, the window is open both times.
 type Window struct {
 	Name     string
 	Days     [7]bool // by time.Weekday: the days on which it opens
