--- a/logic/cases_test.go
+++ b/logic/cases_test.go
@@ -44,7 +44,7 @@
 
 func (h *trialHarness) updateRelease(s ReleaseStatus) { h.record(h.sentry.ReleaseUpdated(h.now, s)) }
 
-// record keeps the result, and whether any result so far held a vote to roll back.
+// record keeps the result, and whether any result so far contained a vote to roll back.
 func (h *trialHarness) record(result Result) {
 	h.lastResult = result
 	for _, vote := range result.Votes {
@@ -349,7 +349,7 @@
 		h := newTrialHarness(20, 2)
 		h.now += 10 * second // all warm
 		h.serveTransactions(200, func(WorkerID, int) (Ending, Micros) { return Answered, 50_000 })
-		for range 20 * hot { // of 50 within a second
+		for range 20 * hot { // 20 of the 50 transactions of the last second
 			h.sentry.exposedTimes[0] = append(h.sentry.exposedTimes[0], h.now)
 		}
 		h.sentry.judgeOutcomes(0, lateMiss, true, 20, 20)
--- a/logic/lease.go
+++ b/logic/lease.go
@@ -57,8 +57,8 @@
 	connectionFailedAt Micros // when a connection to it last failed, 0 if none has since it was confirmed
 }
 
-// sameUntil is the last time at which the process of a worker is known to have been the listed one.
-func (s *Sentry) sameUntil(w int) Micros { return max(s.lease.confirmedAt, s.workerLeases[w].sentAt) }
+// listedUntil is the last time at which the process of a worker is known to have been the listed one.
+func (s *Sentry) listedUntil(w int) Micros { return max(s.lease.confirmedAt, s.workerLeases[w].sentAt) }
 
 // notDrainingUntil is the last time at which a worker is known not to have been draining.
 func (s *Sentry) notDrainingUntil(w int) Micros {
@@ -67,19 +67,19 @@
 
 // sendBy is the last time at which a hand-off may be written to a worker, 0 if there is no such limit.
 func (s *Sentry) sendBy(w int) Micros {
-	o := &s.config
-	if o.ListChangeDelay == 0 {
+	config := &s.config
+	if config.ListChangeDelay == 0 {
 		return 0
 	}
 	notDrainingUntil := s.notDrainingUntil(w)
-	drainKnownAt := notDrainingUntil + o.ListChangeDelay
+	drainKnownAt := notDrainingUntil + config.ListChangeDelay
 	if watchLostAt := s.lease.watchLostAt; watchLostAt > 0 { // then each change counts as known at once
 		drainKnownAt = max(notDrainingUntil, watchLostAt)
 	}
 	if undeliveredFrom := s.lease.undeliveredFrom; undeliveredFrom > notDrainingUntil {
 		drainKnownAt = min(drainKnownAt, undeliveredFrom)
 	}
-	return max(1, drainKnownAt+o.DrainGrace-leaseMargin)
+	return max(1, drainKnownAt+config.DrainGrace-leaseMargin)
 }
 
 // hasLease reports whether a hand-off may be sent to a worker now.
@@ -107,7 +107,7 @@
 	case Answered:
 		opened := h.end.ConnectionOpened
 		sameProcess := l.connectionFailedAt <= s.lease.confirmedAt || opened < l.connectionFailedAt
-		if opened <= s.sameUntil(h.worker) && sameProcess && h.sentAt > l.sentAt {
+		if opened <= s.listedUntil(h.worker) && sameProcess && h.sentAt > l.sentAt {
 			l.sentAt = h.sentAt
 			if h.sentAt > l.connectionFailedAt {
 				l.connectionFailedAt = 0
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -37,25 +37,25 @@
 const (
 	second = Micros(1_000_000)
 
-	// Limits of the design page.
+	// Limits that the design page (docs/design.md) states.
 	rollBackExcess   = 4.0 // a higher excess sum leads to a vote to roll back
 	maxAdvanceExcess = 2.0 // a lower excess sum allows a vote to advance
 	minSampleSize    = 20  // outcomes to judge before a vote to advance
-	// Durations of younger workers are not judged, and no vote to advance comes before the trial was observed so long.
+	// Durations of younger workers are not judged, and the trial is observed at least this long before a vote to advance.
 	settleTime = 3 * second
 	// After this time, a vote to advance needs no minimum of outcomes.
 	observationTime = 5 * second
 	initialMissRate = 0.05 // assumed until outcomes have been seen
 
-	// Further limits, weights and smoothing factors. A smoothing factor is the weight of a new value in an
-	// exponentially weighted moving average.
+	// Limits, weights and smoothing factors that the design page leaves open. A smoothing factor is the weight of a new
+	// value in an exponentially weighted moving average.
 
-	// A released build needs a limit higher by this share for a vote to roll back: it has passed its trial, and
-	// rolling back affects all traffic.
+	// For a released build, the limit for a vote to roll back is higher by this share: it has passed its trial, and
+	// rolling it back affects all traffic.
 	releasedLimitIncrease = 0.5
 	// Before the last vote to advance, the trial carries all traffic for the warm-up time divided by this.
 	lastStageWarmUpDivisor = 2
-	refusedShareSmoothing  = 0.1 // a higher share of refused connections also leads to a comparison of all candidates
+	refusedShareSmoothing  = 0.1 // also the refusedShare above which all candidates are compared
 	// The load score of a worker that needs a new connection grows by this times refusedShare.
 	newConnectionPenalty    = 20.0
 	zoneLatencySmoothing    = 0.25
@@ -143,9 +143,10 @@
 	})
 }
 
-// handleEvent surrounds the handling of each event with what all events need.
+// handleEvent handles one event: it sets the clock, applies the event, requests the list and updates the vote when
+// these are due, and returns the result.
 func (s *Sentry) handleEvent(now Micros, apply func()) Result {
-	if s.firstCallAt > 0 && now > s.now+second { // stalled: calls come more often otherwise
+	if s.firstCallAt > 0 && now > s.now+second { // the process was stalled: calls come more often otherwise
 		s.stalledAt = now
 	}
 	s.now, s.result = max(s.now, now), Result{}
@@ -233,7 +234,7 @@
 	// The limit may be exceeded while the group has fewer open hand-offs than this at a worker.
 	maxIdleGroupOpen   = 1.0
 	retryReservedShare = 0.5 // share of the limit that retries leave free
-	// Open hand-offs that the bound by a sentry's own traffic always allows.
+	// Lower bound, in open hand-offs, of the limit that follows from a sentry's own traffic.
 	minOwnTrafficLimit = 9.0
 	// Change of the limit for each answer in time while the limit is used, and for each failure from overload.
 	concurrencyIncrease, concurrencyDecrease = 0.1, 1.0
@@ -245,7 +246,7 @@
 // answers. The limit guards against overload of any cause. It can do harm where failures are quick, hence its lower
 // bound.
 func (s *Sentry) adjustConcurrencyLimit(stats *profileStats, w int, end HandOffEnd) {
-	// The release status arrives later than lists, so either build may have gone from the list already.
+	// Lists arrive before the release status that explains them, so either build may be gone from the list already.
 	readyWorkers := float64(max(1, s.readyCount(s.earlierBuild), s.readyCount(s.release.Build)))
 	switch {
 	case s.consecutiveFailures[w] > 0 || s.failureRate[w] > ejectFailureRate || s.zoneSlowdown(s.workers[w].Zone) > 1:
@@ -311,8 +312,8 @@
 	return min(t.arrivedAt+t.profile.DueTime/4, t.Deadline-s.config.TimerGranularity)
 }
 
-// runQueued hands off queued transactions, highest value per work first, after an event that may have made room for
-// them.
+// runQueued hands off queued transactions, highest value per work first, after an event that may have freed capacity
+// for them.
 func (s *Sentry) runQueued() {
 	queued := s.queue
 	s.queue = nil
@@ -376,11 +377,11 @@
 	}
 	best := s.leastLoaded(
 		workers.ready[:min(max(workers.subsetSize, workers.groupWorkers), len(workers.ready))], t, build)
-	groupHasRoom := workers.groupWorkers >= minGroupWorkers && best >= 0 &&
+	groupHasCapacity := workers.groupWorkers >= minGroupWorkers && best >= 0 &&
 		s.loadScore(best) < maxGroupWorkerLoad/s.workers[best].Size
 	// Where most new connections are refused, a busy worker with an open connection is good enough.
-	subsetHasRoom := best >= 0 && (!s.isOccupied(best) || s.likelyConnected(best) && s.refusedShare > ejectFailureRate)
-	if groupHasRoom || subsetHasRoom || workers.subsetSize >= len(workers.ready) {
+	subsetHasCapacity := best >= 0 && (!s.isOccupied(best) || s.likelyConnected(best) && s.refusedShare > ejectFailureRate)
+	if groupHasCapacity || subsetHasCapacity || workers.subsetSize >= len(workers.ready) {
 		return best
 	}
 	workers.subsetSize++
@@ -496,10 +497,9 @@
 
 // isEligible reports whether a worker of the build may get this transaction now.
 //
-// It must be ready and listed recently enough, and must not have reached its limit as a cold worker. A worker that
-// had the transaction before gets it again only after that hand-off has ended and there were as many hand-offs as ready
-// workers. If a deduplicated
-// transaction may have run before, only workers in the same deduplication scope are eligible.
+// It must be ready, have a lease, and not have reached its limit as a cold worker. A worker that had the transaction
+// before gets it again only after that hand-off has ended and there were at least as many hand-offs as ready workers. If
+// a deduplicated transaction may have run before, only workers in the same deduplication scope are eligible.
 func (s *Sentry) isEligible(w int, build BuildID, t *transaction) bool {
 	if s.workers[w].Build != build || s.workers[w].State != Ready || !s.hasLease(w) || s.atColdLimit(w) {
 		return false
@@ -542,16 +542,17 @@
 	action := Action{Kind: HandOff, Transaction: t.ID, Worker: s.workers[w].ID, Deadline: t.Deadline,
 		SendBy: s.sendBy(w)}
 	s.result.Actions = append(s.result.Actions, action)
-	if o := &s.config; o.MayHedge && len(t.handOffs) == 1 ||
-		!o.MayHedge && o.MayCancel && profile.Repeatability != NonIdempotent {
+	if config := &s.config; config.MayHedge && len(t.handOffs) == 1 ||
+		!config.MayHedge && config.MayCancel && profile.Repeatability != NonIdempotent {
 		s.wakeUp(s.now+profile.DueTime/2, t)
 	}
 	return false
 }
 
 // answerLost reports whether a worker has answered several hand-offs that were sent after the given time. The answer
-// to a hand-off of that time, or its connection, is then lost, which shows nothing about load or health. The number
-// is small because few hand-offs overtake one that merely takes long, and load reports come too late to show that.
+// to a hand-off of that time, or its connection, is then lost, which shows nothing about load or health. One later
+// answer is not enough, since a few hand-offs may overtake one that merely takes long. Load reports cannot show the loss
+// either: they are snapshots that are older than the latest hand-offs.
 func (s *Sentry) answerLost(w int, sentAt Micros) bool { return s.answeredSentTimes[w][0] > sentAt }
 
 // cancelIfLost cancels a hand-off that takes suspiciously long and seems lost, if the transaction may be sent again.
@@ -594,8 +595,8 @@
 	s.adjustConcurrencyLimit(&s.profiles[t.Profile], h.worker, h.end)
 }
 
-// closeOrRetry closes the transaction or hands it off again. A retry costs retry budget unless the hand-off failed at
-// once.
+// closeOrRetry closes the transaction or hands it off again. A retry costs retry budget unless the hand-off failed
+// fast. After a hand-off that found no connection, a retry is made even if no budget is left.
 func (s *Sentry) closeOrRetry(t *transaction, h *handOff) {
 	switch {
 	case t.closed:
@@ -716,7 +717,8 @@
 	}
 }
 
-// eject keeps a worker from being chosen for at least a second, or longer for a sentry with little traffic.
+// eject ejects a worker for at least a second, or longer for a sentry with little traffic. It then comes last in the
+// order, and is chosen only where no other worker will do.
 func (s *Sentry) eject(w int) {
 	s.ejectedUntil[w] = max(s.ejectedUntil[w], s.now+max(second, Micros(s.slowTTL()/4)))
 }
@@ -828,8 +830,8 @@
 	if workers := s.buildWorkers[trial]; workers != nil {
 		trialCapacity = workers.warmCapacity
 	}
-	// Where the earlier workers all stay, they have little to do, and the trial's workers carry far more than they
-	// do. Only a third of the trial's capacity then adds to the total.
+	// Where the earlier workers all stay, they have little to do. If the total left out the trial's capacity, the trial's
+	// workers would carry far more than they do, and a good build would look late. A third of it counts there.
 	totalCapacity += trialCapacity * (1 - oneIf(s.config.EarlierWorkersStay && totalCapacity > 0)*2/3)
 	share := trialShareFactor * trialCapacity / max(totalCapacity, 1e-9)
 	s.trialSlots = min(max(s.trialSlots, percent(share)), percent(s.release.Cap))
@@ -842,7 +844,7 @@
 	return s.release.Build, s.release.Valid && (s.release.Phase == OnTrial || lastResort)
 }
 
-// hashSlot is the two-build hash of the design page. It returns a slot from 0 to 99.
+// hashSlot is the two-build hash of the design page (docs/design.md). It returns a slot from 0 to 99.
 func hashSlot(key Key, earlier, trial BuildID) int {
 	sum := md5.Sum([]byte(string(key) + "-" + strconv.Itoa(int(earlier)) + "-" + strconv.Itoa(int(trial))))
 	return int(binary.BigEndian.Uint64(sum[:8]) % 100)
@@ -886,9 +888,9 @@
 	age := s.now - s.workerStart(h.worker)
 	warm := !failed && !h.timingInvalid && age >= max(settleTime, s.config.WarmUp)
 	isLate := !failed && (h.end.Ending == TimedOut || duration > lateThreshold)
-	kind, miss := missKind(oneIf(isLate)), ofNewest && (failed || isLate)
-	weight := s.missWeight(h.worker, kind, miss)
-	s.ownMisses[kind][h.worker] += uint64(oneIf(miss))
+	kind, missed := missKind(oneIf(isLate)), ofNewest && (failed || isLate)
+	weight := s.missWeight(h.worker, kind, missed)
+	s.ownMisses[kind][h.worker] += uint64(oneIf(missed))
 	if ofNewest && h.end.Ending == Answered {
 		s.wrongAnswerSum = max(0, s.wrongAnswerSum-complaintDecayPerAnswer)
 	}
@@ -952,9 +954,10 @@
 }
 
 // judgeFleetLatency compares all workers, of either build, with what answers took before the trial began: a build may
-// slow the whole fleet. This does not count against the build where the fleet clearly carries more load than then (a
-// burst, or lost workers), where a quarter of the workers (or, of many sentries' answers, half) is as fast as before,
-// or long after the release. It can do harm to a build when all workers slow down for a reason that no load shows.
+// slow the whole fleet. Slowness does not count against the build where the fleet clearly carries more load than then (a
+// burst, or lost workers), where a quarter of the workers is as fast as before (where sentries cooperate: about half of
+// all answers), or long after the release. It can do harm to a build when all workers slow down for a reason that no
+// load shows.
 func (s *Sentry) judgeFleetLatency(stats *profileStats, duration float64) {
 	if !s.isJudging() || stats.baselineThreshold == 0 {
 		return
@@ -1009,8 +1012,8 @@
 	return (s.judgedOutcomes > 0 || onTrial && s.cooperates()) && (onTrial || s.now-s.statusSince <= 2*observationTime)
 }
 
-// lowerQuartileLatencyRatio returns the latency ratio that a quarter of the ready workers in the subsets keeps or
-// beats.
+// lowerQuartileLatencyRatio returns the lower quartile of the latency ratios of the ready workers in the subsets that
+// are warm and were used recently, or 1 if there are none.
 func (s *Sentry) lowerQuartileLatencyRatio() float64 {
 	ratios := []float64{1}
 	for build, workers := range s.buildWorkers {
@@ -1029,8 +1032,8 @@
 // beyond its even share of all misses. It guards against a machine's own trouble (fast failures, slowness, a machine
 // shared with another program). It costs time where a bad build has very few workers and one of them gets most of the
 // traffic.
-func (s *Sentry) missWeight(w int, kind missKind, miss bool) float64 {
-	if !miss {
+func (s *Sentry) missWeight(w int, kind missKind, missed bool) float64 {
+	if !missed {
 		return 1
 	}
 	workers := max(1, float64(s.readyCount(s.workers[w].Build)))
@@ -1046,9 +1049,10 @@
 }
 
 // ComplaintReceived takes a client's report that an answer was wrong, and counts it as an error of the worker's build.
-// The platform's counts do not show wrong answers. Where sentries judge by these, each sentry votes to roll back after
-// a few complaints: many sentries must do so at a time, and false complaints are too few for that. A complaint about
-// the earlier build cancels one about the trial. It can do harm to a build where few votes are enough to roll it back.
+// The platform's counts do not show wrong answers. Where sentries judge by these, a complaint makes the sentry vote to
+// roll back until enough answers of the trial have followed: many sentries must do so at the same time, and false
+// complaints are too few for that. A complaint about the earlier build cancels one about the trial. It can do harm to a
+// build where few votes are enough to roll it back.
 func (s *Sentry) ComplaintReceived(now Micros, complaint Complaint) Result {
 	return s.handleEvent(now, func() {
 		if w, known := s.workerIndex[complaint.Worker]; known &&
@@ -1071,10 +1075,10 @@
 	toleratedMeanIncrease                 = 0.5       // share by which a mean duration may be longer
 	toleratedFailureIncrease              = 0.1       // tolerated share of failures beyond twice the earlier build's
 
-	complaintWeight         = 2 * rollBackExcess
+	complaintWeight         = 2 * rollBackExcess  // of one complaint
 	complaintDecayPerAnswer = rollBackExcess / 30 // for each answer of the trial
 
-	manySentries = 20
+	manySentries = 20 // from this number on, the sentries cooperate
 	// Bounds of the share of slow answers that is tolerated where sentries cooperate.
 	minToleratedSlowShare, maxToleratedSlowShare = 0.45, 0.9
 	collectorCount                               = 3          // sentries that judge the counts of all
@@ -1120,8 +1124,8 @@
 }
 
 // Groups of sentries and workers. Where there are about as many sentries as workers, each sentry learns of a worker's
-// load only every few seconds, so that most go to busy workers while others are idle. Therefore the sentries of a
-// group prefer the same workers, and notify each other of every hand-off to these, in three bytes.
+// load only every few seconds, so that most hand-offs go to busy workers while others are idle. Therefore the sentries
+// of a group prefer the same workers, and notify each other of every hand-off to these, in three bytes.
 const (
 	sentriesPerGroup = 8
 	minGroupWorkers  = 6 // with fewer workers there is no group
@@ -1222,7 +1226,7 @@
 		} else {
 			stats.earlierFailedShare = failed / handOffs
 		}
-		// Otherwise nothing shows what is usual now.
+		// Without recent outcomes of the earlier build, nothing shows what is usual now.
 		if !ofNewest || s.now-s.earlierOutcomeAt <= platformCountsValidPeriods*s.config.CountsPeriod {
 			s.judgeOutcomes(counts.Profile, errorMiss, ofNewest, handOffs, failed)
 		}
@@ -1329,7 +1333,7 @@
 // decideVerdict returns what this sentry votes for:
 //
 //   - the collectors' verdict if one came recently, or nothing if the collectors' own votes are enough;
-//   - RollBack once an excess sum has passed the limit, and then until the next trial, or after enough complaints;
+//   - RollBack once an excess sum has passed the limit, and then until the next trial, or while complaints count enough;
 //   - with ControlTimer, Hold while an excess sum is too high to advance;
 //   - without it, Advance if the excess sums are low and the trial has been observed for long enough;
 //   - NoVerdict otherwise.
@@ -1347,7 +1351,7 @@
 		(s.cooperates() || s.fleetSlowExcess <= limit) {
 		if max(config.AdvanceVotes, config.RollBackVotes, config.HoldVotes) <= collectorCount ||
 			s.collectorVerdictStage != s.release.Stage {
-			return NoVerdict // the collectors' votes are enough, or their verdict is of another stage
+			return NoVerdict // the collectors' votes are enough, or their verdict is on another stage
 		}
 		return s.collectorVerdict
 	}
--- a/logic/move_test.go
+++ b/logic/move_test.go
@@ -164,10 +164,10 @@
 	}
 }
 
-// The concurrency limit must fall with late answers and timeouts of workers, and not with timeouts of clients in a
-// hurry or below what this sentry's usual traffic needs. Retries and clients in a hurry must leave half of it free for
-// others. The test also checks the free hand-offs to a cold worker, and the number of transactions in flight that
-// follows from a report without it.
+// The concurrency limit must fall with late answers and timeouts of workers. It must not fall with timeouts at a client's
+// deadline before the due time, nor below what this sentry's usual traffic needs. Retries and transactions with such a
+// deadline must leave half of it free for others. The test also checks the free hand-offs to a cold worker, and the number
+// of transactions in flight that follows from a report without it.
 func TestConcurrencyLimit(t *testing.T) {
 	h := newTrialHarness(8, 0)
 	h.sentry.config.Sentries, h.sentry.usualLoad = 100, 0
@@ -187,9 +187,9 @@
 	}
 	h.sentry.concurrencyLimit, h.sentry.openHandOffs = 8, 4
 	first, profile := transaction{Transaction: Transaction{Deadline: second}}, Profile{DueTime: second / 2}
-	retry, hurried := first, first
-	first.profile, retry.profile, retry.IsRetry, hurried.profile, hurried.Deadline = &profile, &profile, true, &profile, second/4
-	if !h.sentry.underConcurrencyLimit(&first) || h.sentry.underConcurrencyLimit(&retry) || h.sentry.underConcurrencyLimit(&hurried) {
+	retry, shortDeadline := first, first
+	first.profile, retry.profile, retry.IsRetry, shortDeadline.profile, shortDeadline.Deadline = &profile, &profile, true, &profile, second/4
+	if !h.sentry.underConcurrencyLimit(&first) || h.sentry.underConcurrencyLimit(&retry) || h.sentry.underConcurrencyLimit(&shortDeadline) {
 		t.Error("found another result, expected half of the concurrency limit to be kept for first tries of clients that wait")
 	}
 	for _, c := range []struct{ multiple, seconds, free float64 }{{4, 2, 2}, {4, 1, 1}, {2, 1, 0}} { // of a cold worker never used before
--- a/logic/port.go
+++ b/logic/port.go
@@ -58,9 +58,9 @@
 type Control int
 
 const (
-	// ControlAny advances a build once AdvanceVotes sentries vote for it.
+	// ControlAny advances a build after BakeTime once AdvanceVotes sentries vote for it.
 	ControlAny Control = iota
-	// ControlShare is like ControlAny for the decisions of a sentry.
+	// ControlShare also needs AdvanceVotes sentries. A sentry decides the same as with ControlAny.
 	ControlShare
 	// ControlTimer advances a build after BakeTime unless HoldVotes sentries vote to hold it.
 	ControlTimer
@@ -85,6 +85,10 @@
 }
 
 // Config is the configuration of a sentry's decisions. Sentry.Reconfigure replaces it.
+//
+// No decision uses Accounts, MayProbe, AnswerGrace, StageShares, VoteTimeout, VotesPerSecond, BakeTime, ComplaintShare,
+// StaleBuildPrice, HarmPrice, WastePrice or OverShareValue: the caller uses some of these, and the others only describe
+// the deployment.
 type Config struct {
 	Sentries int       // number of sentries in the tier
 	Position SentryID  // of this sentry
@@ -140,7 +144,7 @@
 	// Prices as parts of a transaction's full Value: of staying on the earlier build, of harm that a build does, of
 	// a hand-off to another zone, and of wasted work.
 	StaleBuildPrice, HarmPrice, CrossZonePrice, WastePrice float64
-	OverShareValue                                         float64 // part of Value left over the account's share
+	OverShareValue                                         float64 // part of Value for transactions beyond the account's Share, 0 to 1
 }
 
 // WorkerState is the state of a worker by the list.
@@ -259,7 +263,7 @@
 	VoteAccepted
 	// VoteObsolete: the vote is for a build or stage that is no longer current.
 	VoteObsolete
-	// VoteRefused: the platform did not take the vote.
+	// VoteRefused: the platform refused the vote, or it could not be sent.
 	VoteRefused
 	// VoteTimedOut: no answer came within Config.VoteTimeout.
 	VoteTimedOut
@@ -351,9 +355,9 @@
 type Result struct {
 	Actions   []Action
 	Votes     []Vote
-	WatchList bool // subscribe to changes of the list
-	FetchList bool // request the whole list once
-	Probes    []WorkerID
+	WatchList bool       // subscribe to changes of the list
+	FetchList bool       // request the whole list once
+	Probes    []WorkerID // workers to probe; no decision asks for probes
 	Messages  []Message
 	LogLines  []string
 	// WakeAt is when to call Sentry.Wake, 0 if no call is needed. A later call may return an earlier time. Calls of
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -338,7 +338,7 @@
 }
 
 // sendIrregularCalls makes calls that are legal, with unknown names, invalid messages or odd values. They must
-// not make the sentry break a rule.
+// not make the sentry violate a rule.
 func (sim *simulation) sendIrregularCalls() {
 	body := make([]byte, sim.random.Intn(300))
 	sim.random.Read(body)
--- a/logic/state.go
+++ b/logic/state.go
@@ -103,7 +103,7 @@
 	failureRate          []float64  // smoothed share of failures
 	nonLoadFailureRate   []float64  // smoothed share of failures that no load explains
 	seenAt               []Micros   // time of the last end of a hand-off
-	ejectedUntil         []Micros   // not to be used before
+	ejectedUntil         []Micros   // used until then only where no other worker will do
 	recoveredAt          []Micros   // when it answered after it had been down, 0 if it has not been
 	consecutiveFailures  []int      // failures to reach it since its last answer
 	coldHandOffs         [][]Micros // times of hand-offs while it is cold
@@ -145,12 +145,12 @@
 	baselinePlatformRate float64 // answers in a second by the platform's counts before the trial
 	// This sentry's recent hand-offs that ended with an error, and that failed for any reason.
 	ownErrors, ownFailures float64
-	wrongAnswerSum         float64            // sum of complaints, where each sentry judges by itself
+	wrongAnswerSum         float64            // weighted complaints, lowered by answers of the trial; see ComplaintReceived
 	platformCountsAt       Micros             // time of the platform's last counts
 	earlierOutcomeAt       Micros             // time of the last judged outcome of the earlier build
 	totalTrialMisses       [missKinds]float64 // misses of all workers of the trial
 	outcomeCounts          []uint64           // outcomes counted in this trial, by countIndex
-	runID                  uint64             // tells this run of the sentry from others
+	runID                  uint64             // distinguishes this run of the sentry from others
 	reports                map[SentryID]report
 	collectorVerdict       Verdict // the strongest verdict received lately
 	collectorVerdictAt     Micros
@@ -162,7 +162,7 @@
 	arrivalMeter, baselineArrivalMeter rateMeter
 	// By key, transactions given up that have not come again yet: recent ones and older ones.
 	givenUp, olderGivenUp map[Key]int
-	givenUpRotatedAt      Micros // when the older ones were set apart
+	givenUpRotatedAt      Micros // when givenUp last became olderGivenUp
 	newArrivals           uint64 // transactions of this trial that are not retries
 	// The time of the first call, and of the start of the trial, when the baseline was taken.
 	firstCallAt, baselineAt               Micros
@@ -263,7 +263,7 @@
 	return values
 }
 
-// shortID tells workers apart, in all but a few cases, in two bytes of a message.
+// shortID is an ID of at most two bytes in a message. A few workers may share one.
 func shortID(id WorkerID) uint64 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
@@ -417,7 +417,7 @@
 func (s *Sentry) logVote(verdict Verdict) {
 	text := [...]string{Advance: "voting to advance", Hold: "voting to hold", RollBack: "voting to roll back"}[verdict]
 	s.result.LogLines = append(s.result.LogLines, fmt.Sprintf(
-		"%s build %d, stage %d: %d outcomes, relative load %.2f, excess sums %.1f (fleet, profiles, total), complaints %.1f",
+		"%s build %d, stage %d: %d outcomes, relative load %.2f, excess sums %.1f (fleet, errors and late by profile and in total), complaints %.1f",
 		text, s.release.Build, s.release.Stage, s.judgedOutcomes, s.relativeLoad(), s.excessSums(), s.wrongAnswerSum))
 }
 
@@ -534,7 +534,8 @@
 	return s.lastAnswerAt[w] > 0 && (s.config.IdleTimeout == 0 || s.now-s.lastAnswerAt[w] < s.config.IdleTimeout)
 }
 
-// isRetry reports whether a transaction comes again after it was given up, or was marked as a retry by its client.
+// isRetry reports whether a transaction comes again after it was given up, or was marked as a retry by its client. It
+// uses up one of the key's transactions that were given up, if there is one.
 func (s *Sentry) isRetry(t *transaction) bool {
 	if s.now-s.givenUpRotatedAt > 4*s.maxDeadline { // what has not come again by then will not
 		s.givenUp, s.olderGivenUp, s.givenUpRotatedAt = map[Key]int{}, s.givenUp, s.now
@@ -669,7 +670,7 @@
 	})
 }
 
-// warmUpProgress returns how much of its warm-up a worker had behind it at a time, from 0 to 1.
+// warmUpProgress returns the share of its warm-up that a worker had completed by the given time, from 0 to 1.
 func (s *Sentry) warmUpProgress(w int, at Micros) float64 {
 	start := s.workerStart(w)
 	if start <= 0 || s.config.WarmUp <= 0 {
@@ -678,12 +679,12 @@
 	return min(1, max(0, float64(at-start)/float64(s.config.WarmUp)))
 }
 
-// warmUpCapacity returns the least share of its full work that a worker could do at a time.
+// warmUpCapacity returns the share of its full capacity that a worker had at least at the given time.
 func (s *Sentry) warmUpCapacity(w int, at Micros) float64 {
 	return s.config.ColdCapacity + (1-s.config.ColdCapacity)*s.warmUpProgress(w, at)
 }
 
-// buildWarmUpCapacity returns the same for all ready workers of a build that ran at that time.
+// buildWarmUpCapacity returns the same for a build: the mean of its ready workers that ran then, weighted by size.
 func (s *Sentry) buildWarmUpCapacity(build BuildID, at Micros) float64 {
 	capacity, size := 0.0, 0.0
 	for _, w := range s.workerOrder {
