--- a/logic/cases_test.go
+++ b/logic/cases_test.go
@@ -16,6 +16,7 @@
 	lastResult       Result
 }
 
+// newTrialHarness returns a sentry whose baseline was taken from 400 transactions before the trial of build 11 began.
 func newTrialHarness(earlierWorkers, trialWorkers int) *trialHarness {
 	config := Config{
 		Sentries: 1, MaxHandOffs: 1, TimerGranularity: 5000, ColdCapacity: 0.4, WarmUp: 4 * second,
--- a/logic/crowd_test.go
+++ b/logic/crowd_test.go
@@ -21,6 +21,7 @@
 	voters           map[Verdict]map[int]bool // the sentries that voted so, by position
 }
 
+// newSentryTier returns a tier of sentries that may exchange messages, with build 10 released.
 func newSentryTier(sentries, earlierWorkers int, seed int64) *sentryTier {
 	config := newTrialHarness(1, 0).sentry.config
 	config.Sentries, config.MayMessage, config.MaxHandOffs, config.ConnectTimeout = sentries, true, 3, second/4
@@ -36,6 +37,7 @@
 	return tier
 }
 
+// addWorkers adds workers of a build and sends the full list to all sentries.
 func (tier *sentryTier) addWorkers(count int, prefix string, build BuildID, started Micros) {
 	for i := range count {
 		tier.workers = append(tier.workers, Worker{ID: WorkerID(fmt.Sprint(prefix, i)), Build: build, Size: 1, Started: started})
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// simulation is a random deployment that checks the rules of the specification after every step. It does not use how
-// the package decides.
+// simulation is a random deployment that checks the rules of the specification after every step. It does not depend on
+// how the package decides.
 type simulation struct {
 	t                *testing.T
 	config           Config
@@ -42,6 +42,7 @@
 	mayHaveRun bool // false only once it is proven not to have run
 }
 
+// randomConfig returns a random configuration with one profile of each Repeatability.
 func randomConfig(random *rand.Rand) Config {
 	oneIn := func(n int) bool { return random.Intn(n) == 0 }
 	config := Config{
@@ -63,6 +64,7 @@
 	return config
 }
 
+// newSimulation returns a simulation with eight workers of the released build 10.
 func newSimulation(t *testing.T, seed int64) *simulation {
 	random := rand.New(rand.NewSource(seed))
 	sim := &simulation{t: t, random: random, now: 1000 * second, config: randomConfig(random), workersByID: map[WorkerID]Worker{},
@@ -79,6 +81,7 @@
 
 func (sim *simulation) workerID(i int) WorkerID { return WorkerID(fmt.Sprintf("w%d", i)) }
 
+// setWorker changes a worker and records since when the sentry knows that it is draining or gone.
 func (sim *simulation) setWorker(w Worker) {
 	sim.workersByID[w.ID] = w
 	if w.State == Ready {
@@ -98,6 +101,7 @@
 	return all
 }
 
+// updateRelease reports a release status to the sentry and resets what the rules count for a former build.
 func (sim *simulation) updateRelease(status ReleaseStatus) {
 	if status.Build != sim.release.Build {
 		sim.exposedAt, sim.keysOnTrial = nil, map[Key]bool{}
@@ -152,6 +156,7 @@
 	}
 }
 
+// checkHandOff checks a hand-off against the rules and records it.
 func (sim *simulation) checkHandOff(tx *simTransaction, action Action, profile Profile, mayHaveRun bool, openHandOffs int) {
 	sim.t.Helper()
 	sim.handOffCount++
@@ -204,6 +209,7 @@
 	tx.handOffs = append(tx.handOffs, &simHandOff{worker: action.Worker, sentAt: sim.now, mayHaveRun: true})
 }
 
+// arrive has a random transaction arrive.
 func (sim *simulation) arrive() {
 	sim.transactionCount++
 	transaction := Transaction{ID: TransactionID(fmt.Sprint(sim.transactionCount)), Profile: ProfileID(sim.random.Intn(3)),
--- a/logic/state.go
+++ b/logic/state.go
@@ -98,17 +98,17 @@
 	openByWorker         []int               // this sentry's open hand-offs
 	otherLoad            []float64           // reported load beyond this sentry's open hand-offs
 	groupOpen            []float64           // open hand-offs of the other sentries of the group
-	groupOpenAt          []Micros
-	latencyRatio         []float64  // duration of answers to expected duration
-	failureRate          []float64  // smoothed share of failures
-	nonLoadFailureRate   []float64  // smoothed share of failures that no load explains
-	seenAt               []Micros   // time of the last end of a hand-off
-	ejectedUntil         []Micros   // used until then only where no other worker will do
-	recoveredAt          []Micros   // when it answered after it had been down, 0 if it has not been
-	consecutiveFailures  []int      // failures to reach it since its last answer
-	coldHandOffs         [][]Micros // times of hand-offs while it is cold
-	randomAllowanceUntil []Micros
-	lastAnswerAt         []Micros // 0 if there is none, or a connection has failed since
+	groupOpenAt          []Micros            // when groupOpen last changed
+	latencyRatio         []float64           // duration of answers to expected duration
+	failureRate          []float64           // smoothed share of failures
+	nonLoadFailureRate   []float64           // smoothed share of failures that no load explains
+	seenAt               []Micros            // time of the last end of a hand-off
+	ejectedUntil         []Micros            // used until then only where no other worker will do
+	recoveredAt          []Micros            // when it answered after it had been down, 0 if it has not been
+	consecutiveFailures  []int               // failures to reach it since its last answer
+	coldHandOffs         [][]Micros          // times of hand-offs while it is cold
+	randomAllowanceUntil []Micros            // when randomAllowance is drawn anew
+	lastAnswerAt         []Micros            // 0 if there is none, or a connection has failed since
 	// When the latest hand-offs that were answered had been sent, the earliest first.
 	answeredSentTimes [][laterAnswersIfLost]Micros
 	goneSince         []Micros             // valid if it is Gone
@@ -158,7 +158,7 @@
 	nextReportAt           Micros
 	// Rates of the outcomes judged for the fleet's latency, and of the trial's judged for lateness.
 	fleetMeter, lateMeter rateMeter
-	// Transactions that all sentries together get, and that they would get as before the trial.
+	// Rate of transactions that all sentries together get, and the rate that they would get as before the trial.
 	arrivalMeter, baselineArrivalMeter rateMeter
 	// By key, transactions given up that have not come again yet: recent ones and older ones.
 	givenUp, olderGivenUp map[Key]int
@@ -444,7 +444,7 @@
 const (
 	errorMiss missKind = iota
 	lateMiss
-	missKinds
+	missKinds // the number of kinds
 )
 
 // nextWake returns the earliest time still to come at which something is due, or 0.
