--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -91,7 +91,7 @@
 	return &merged
 }
 
-// growProfiles adds empty profile slots up to and including one. Empty slots accept no transactions.
+// growProfiles adds empty profile slots up to and including the given one. Empty slots accept no transactions.
 func (s *Settings) growProfiles(slot int) {
 	for len(s.ProfileNames) <= slot {
 		s.ProfileNames = append(s.ProfileNames, "")
@@ -173,6 +173,7 @@
 
 func read(f *hclread.File) (*Settings, error) { return readUpdate(f, nil) }
 
+// readUpdate reads the settings of a file. With running settings, changes that their sentry cannot apply are errors.
 func readUpdate(f *hclread.File, running *Settings) (*Settings, error) {
 	s := ReadShared(f.Root)
 	s.IncludedFiles = f.IncludedFiles
@@ -244,7 +245,8 @@
 	return s
 }
 
-// readProfiles reads the profile blocks into their slots.
+// readProfiles reads the profile blocks into their slots. A block without a place gets the slot of its index
+// among the profile blocks.
 func (s *Settings) readProfiles(root *hclread.Body) {
 	for i, b := range root.Blocks("profile", 1) {
 		profile := logic.Profile{
@@ -356,7 +358,7 @@
 	}
 	b.RejectUnknown()
 	if len(config.StageCaps) != len(config.StageShares) || len(config.StageCaps) == 0 {
-		b.AttributeErrorf("stage_caps", "found %d, expected as many as stage_shares (%d) and one at least",
+		b.AttributeErrorf("stage_caps", "found %d, expected as many as stage_shares (%d) and at least one",
 			len(config.StageCaps), len(config.StageShares))
 	}
 	for name, values := range map[string][]float64{"stage_caps": config.StageCaps, "stage_shares": config.StageShares} {
@@ -371,6 +373,7 @@
 	}
 }
 
+// readEndpoints reads the block of one sentry: its position, zone, addresses, file and seed.
 func (s *Settings) readEndpoints(b *hclread.Body) {
 	config, endpoints := &s.Policy, &s.Endpoints
 	config.Position = logic.SentryID(b.Int("position", true, 0, 0, max(0, config.Sentries-1)))
@@ -397,6 +400,7 @@
 	b.RejectUnknown()
 }
 
+// readAddress reads an attribute of the form host:port. It returns an empty text for a missing one.
 func readAddress(b *hclread.Body, name string, required bool) string {
 	text := b.Text(name, required, "")
 	if text == "" {
--- a/internal/sentry/breach.go
+++ b/internal/sentry/breach.go
@@ -12,27 +12,27 @@
 // it. It has no other use.
 type Breach int
 
-// The rules that can be broken, and NoBreach for none.
+// The rules that can be broken (rules 1 to 5 of package audit), and NoBreach for none.
 const (
-	NoBreach Breach = iota
-	BreachAnswer
-	BreachEffect
-	BreachDrain
-	BreachCold
-	BreachExposure
+	NoBreach       Breach = iota
+	BreachAnswer          // a second final answer
+	BreachEffect          // a second hand-off of a transaction that is not idempotent
+	BreachDrain           // a hand-off to a worker that drains or is gone, after the drain grace
+	BreachCold            // many hand-offs at once to a worker that is still cold
+	BreachExposure        // more hand-offs to the build on trial than its cap allows
 )
 
 // BreachNames lists the names of the breaches, starting with BreachAnswer.
 var BreachNames = []string{"answer", "effect", "drain", "cold", "exposure"}
 
 // ParseBreach returns the breach of a name, NoBreach for an empty one.
-func ParseBreach(word string) (Breach, error) {
-	if word == "" {
+func ParseBreach(name string) (Breach, error) {
+	if name == "" {
 		return NoBreach, nil
 	}
-	i := slices.Index(BreachNames, word)
+	i := slices.Index(BreachNames, name)
 	if i < 0 {
-		return NoBreach, fmt.Errorf("break: found %q, expected one of %v", word, BreachNames)
+		return NoBreach, fmt.Errorf("break: found %q, expected one of %v", name, BreachNames)
 	}
 	return Breach(i + 1), nil
 }
--- a/internal/sentry/inbox.go
+++ b/internal/sentry/inbox.go
@@ -56,7 +56,7 @@
 	at            logic.Micros
 	kind          eventKind
 	profile       uint32
-	account       uint32
+	account       uint32 // index plus one, 0 if none
 	ending        uint32
 	inFlight      uint32
 	busyShare     uint32
@@ -66,11 +66,11 @@
 
 	noRouteReason uint8 // why no route applies; 0 if one does, or if the transaction has no attributes
 	id            uint64
-	timeLeft      uint64
+	timeLeft      uint64 // microseconds to the deadline; eventComplaint: its age; eventAnswerWithin: the duration
 	expectedWork  uint64
-	key           logic.Key
+	key           logic.Key // eventComplaint: the worker's id
 	dedupToken    []byte
-	payload       []byte
+	payload       []byte  // eventPeerMessage: the message
 	buffer        *[]byte // holds dedupToken and payload
 	client        *client
 	conn          *pooledConn
@@ -84,10 +84,11 @@
 	stillWanted   func() bool  // reports whether the event still applies; nil if it always does
 	status        *pb.News
 	counts        *pb.Counts
-	call          func()
+	call          func() // eventCall: the function to call on the event loop
 }
 
-// buffers is a pool of buffers for payloads, which are needed until the event loop has processed them.
+// buffers is a pool of buffers for payloads and deduplication tokens, which are needed until the event loop has handled
+// their event or released their transaction.
 var buffers = sync.Pool{New: func() any { return new([]byte) }}
 
 func getBuffer() *[]byte { return buffers.Get().(*[]byte) }
@@ -146,7 +147,8 @@
 	return true
 }
 
-// take returns all waiting events, and keeps the empty slice for new ones.
+// take returns all waiting events. It stores new ones in the memory of the given slice, whose events must have been
+// handled.
 func (q *inbox) take(empty []event) []event {
 	q.mu.Lock()
 	events := q.events
--- a/internal/sentry/metrics.go
+++ b/internal/sentry/metrics.go
@@ -130,6 +130,7 @@
 	}
 }
 
+// recordAnswer counts a final answer, and records the time to it if it is satisfied.
 func (m *metrics) recordAnswer(t *transaction, o pb.Outcome, now logic.Micros) {
 	if int(o) < len(outcomeNames) {
 		m.outcomes[t.profile][o].Inc()
@@ -167,6 +168,7 @@
 	}
 }
 
+// serve starts the HTTP server of the metrics, unless the address is empty.
 func (m *metrics) serve(address string) error {
 	if address == "" {
 		return nil
@@ -190,7 +192,7 @@
 }
 
 // CounterValues returns the values of a counter or gauge by its labels, for tests and reports. The labels' values are
-// joined with slashes, in the order of the labels' names.
+// joined in the order of the labels' names, with a slash before each; without labels the key is "0".
 func (s *Sentry) CounterValues(name string) map[string]float64 {
 	found := map[string]float64{}
 	families, err := s.metrics.registry.Gather()
--- a/internal/sentry/routing.go
+++ b/internal/sentry/routing.go
@@ -36,6 +36,7 @@
 	unknownAttributes, typeMismatches int
 }
 
+// newRouting returns the routing for settings.
 func newRouting(settings *orders.Settings) *routing {
 	routeSet := settings.Routes
 	r := &routing{settings: settings, routeSet: routeSet}
@@ -82,7 +83,7 @@
 var noRouteReasonNames = [...]string{reasonAbsent: "absent", reasonNoMatch: "no_match", reasonNoRoutes: "no_routes"}
 
 // routeTransaction sets the profile, account and key of an event by its transaction's attributes, or the reason why no
-// route applies.
+// route applies. It runs on the poller.
 func (s *Sentry) routeTransaction(r *routing, e *event, attributes []byte) error {
 	if r.routeSet == nil {
 		e.noRouteReason = reasonNoRoutes
--- a/internal/sentry/routing_test.go
+++ b/internal/sentry/routing_test.go
@@ -119,7 +119,7 @@
 	if err := <-bad.closed; err != nil {
 		t.Error(err)
 	}
-	r.waitFor("the fault in the log", func() bool { return r.hasLogged("found attributes that can't be read") })
+	r.waitFor("the error in the log", func() bool { return r.hasLogged("found attributes that can't be read") })
 	c.sendAttributes(99, textAttributes("kind", "handover", "truck", "b")) // the other connection is not affected
 	c.expect(99, pb.Outcome_SATISFIED)
 	if err := r.s.Reload(r.settingsWithRoutes(t, "")); err != nil {
@@ -225,7 +225,7 @@
 			}
 		}
 	})
-	taken, refused := 0, 0
+	applied, refused := 0, 0
 	for i := range 1000 {
 		text := r.settingsText + []string{one, two}[i/2%2]
 		if i%2 == 1 {
@@ -243,19 +243,19 @@
 		}
 		r.s.RecordReload(updated, err)
 		if err == nil {
-			taken++
+			applied++
 		} else {
 			refused++
 		}
 		if (err == nil) != (i%2 == 0) {
-			t.Fatalf("load %d: %v", i, err)
+			t.Fatalf("reload %d: %v", i, err)
 		}
 	}
 	close(stop)
 	clients.Wait()
 	mu.Lock()
 	defer mu.Unlock()
-	t.Logf("%d transactions, %d hand-offs, tables %v; %d reloads applied, %d refused", sent.Load(), handOffs, tables, taken, refused)
+	t.Logf("%d transactions, %d hand-offs, tables %v; %d reloads applied, %d refused", sent.Load(), handOffs, tables, applied, refused)
 	if wrong > 0 || sent.Load() != answered.Load() {
 		t.Errorf("%d hand-offs by two tables; %d transactions, %d answered", wrong, sent.Load(), answered.Load())
 	}
--- a/internal/sentry/sentry.go
+++ b/internal/sentry/sentry.go
@@ -45,28 +45,28 @@
 
 	// The fields below are accessed by the event loop only.
 	decide           func(*input.Input) logic.Result
-	now              logic.Micros // time of the current event or timer
-	pendingInputs    []input.Input
+	now              logic.Micros  // time of the current event or timer
+	pendingInputs    []input.Input // inputs to deliver, while delivering
 	delivering       bool
 	result           logic.Result // of the current input; a local variable would be allocated on the heap for each input
-	wakeAt           logic.Micros
+	wakeAt           logic.Micros // when the module wants its next TimerFired input; 0 if it wants none
 	timers           timerHeap
 	transactions     map[logic.TransactionID]*transaction // open, or with open hand-offs
 	openCount        int                                  // transactions without a final answer whose client has not left
 	transactionSeq   uint64
-	idPrefix         string // makes the transaction ids of this run distinct from those of other runs
-	freeTransactions []*transaction
-	unflushed        []flusher
+	idPrefix         string         // makes the transaction ids of this run distinct from those of other runs
+	freeTransactions []*transaction // for reuse
+	unflushed        []flusher      // connections with buffered output
 	workers          map[logic.WorkerID]*worker
 	conns            []*pooledConn // in the order in which they were established
 	dials            int           // connections being opened
 	workerList       workerList
 	discovery        *upstream
 	controlPlane     *upstream
-	peers            []*upstream // by position; nil for a sentry without an address
-	pendingVotes     map[uint64]bool
+	peers            []*upstream     // by position; nil for a sentry without an address
+	pendingVotes     map[uint64]bool // sent, not answered and not timed out, by the vote's id
 	voteSeq          uint64
-	listSeq          uint64
+	listSeq          uint64       // changes with each list request and answer: timers of earlier requests then no longer apply
 	listConfirmedAt  logic.Micros // when discovery last sent an update of the list; at first, when the sentry started
 	// the value of listConfirmedAt for which a hand-off on an old list was last logged at level info
 	oldListLoggedFor logic.Micros
@@ -370,7 +370,8 @@
 }
 
 // answerOverdue sends the final answer of a transaction that the module has not ended in time. This is an error of the
-// module, unless AnswerWithin shortened the deadline after the module had received the transaction.
+// module, unless AnswerWithin shortened the deadline after the module had received the transaction. In that case a
+// transaction that was not handed off is answered as not taken.
 func (s *Sentry) answerOverdue(t *transaction) {
 	outcome := pb.Outcome_WRITTEN_OFF
 	switch {
@@ -748,8 +749,8 @@
 }
 
 // queueAnswer queues an answer, to be written at the end of the batch. The amount of unwritten data is no reason to
-// close a client's connection here: the link detects by the client's socket whether it reads, and stops reading from a
-// client with much unwritten data.
+// close a client's connection here: the link detects by the client's socket whether the client reads, and
+// stops reading from a client with much unwritten data.
 func (s *Sentry) queueAnswer(c *client, a *wire.Answer) {
 	if c.link.Answer(a) {
 		s.unflushed = append(s.unflushed, c.link)
@@ -759,6 +760,7 @@
 // flusher is a connection with buffered output.
 type flusher interface{ Flush() }
 
+// flush writes the buffered output of all connections.
 func (s *Sentry) flush() {
 	for i, l := range s.unflushed {
 		if i == 0 || l != s.unflushed[i-1] {
@@ -769,7 +771,8 @@
 	s.unflushed = s.unflushed[:0]
 }
 
-// start delivers the cached worker list, the first input of the stream, and then starts the transport.
+// start delivers the cached worker list, the first input of the stream. Then it starts the transport and schedules the
+// first sweep.
 func (s *Sentry) start() {
 	s.now = s.clock.now()
 	s.listConfirmedAt = s.now
@@ -803,7 +806,7 @@
 	s.log.Info().Msg("stopped")
 }
 
-// Kill ends the sentry as a crash would: it answers and saves nothing more.
+// Kill ends the sentry as a crash would, and returns once it has ended. The sentry answers and saves nothing more.
 func (s *Sentry) Kill() {
 	s.killed.Store(true)
 	s.inbox.close()
--- a/internal/sentry/sentry_test.go
+++ b/internal/sentry/sentry_test.go
@@ -450,7 +450,7 @@
 	c := r.testClient()
 	c.send(1, 2)
 	c.expect(1, pb.Outcome_DEFERRED) // no hand-off has run
-	r.waitFor("refusals", func() bool { return r.seen(input.ListRequestFailed) >= 2 })
+	r.waitFor("failed list requests", func() bool { return r.seen(input.ListRequestFailed) >= 2 })
 	if err := r.discovery.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -519,12 +519,12 @@
 		r.updateList(trial)
 		r.controlPlane.StartTrial(11)
 		c := r.testClient()
-		id, sent := uint64(0), r.s.CounterValues("votes_total")["0"]
+		id, before := uint64(0), r.s.CounterValues("votes_total")["0"]
 		r.waitFor("votes that are sent again", func() bool {
 			id++
 			c.send(id, 0)
 			c.expect(id, pb.Outcome_SATISFIED)
-			return r.s.CounterValues("votes_total")["0"] >= sent+2
+			return r.s.CounterValues("votes_total")["0"] >= before+2
 		})
 		if s := r.controlPlane.Status(); s.Phase != logic.OnTrial || s.Stage != 0 {
 			t.Errorf("refused votes moved the build: %+v", s)
@@ -572,7 +572,7 @@
 		time.AfterFunc(30*time.Millisecond, func() { reply(l, &work, pb.Ended_ANSWERED) })
 	})
 	const clients, each = 8, 400
-	type tally struct{ satisfied, deferred, writtenOff, notTaken, asked int }
+	type tally struct{ satisfied, deferred, writtenOff, notTaken, sent int }
 	counts := make(chan tally)
 	stop := make(chan struct{})
 	for range clients {
@@ -593,7 +593,7 @@
 			}
 			for id := uint64(1); id <= each; id++ {
 				c.send(id, uint32(id%3))
-				n.asked++
+				n.sent++
 				if id == each/2 {
 					<-stop
 				}
@@ -645,8 +645,9 @@
 //
 // The test also guards against closing the connection of a client that reads. Once the inbox has room again, the event
 // loop answers hundreds of transactions in one batch, and more than the bound of unwritten bytes (here 16 KiB) waits
-// before the link's writer runs. The sentry once closed such a connection with "the other side does not read" in the
-// log: 6 of 48 runs, 8 at a time, failed this way, each with that line and without a send that waited.
+// before the link's writer runs. The link once refused an answer in this case, and the sentry took that for a client that
+// does not read: it closed the connection with "the other side does not read" in the log. 6 of 48 runs, 8 at a time,
+// failed this way, each with that line and without a send that waited.
 func TestFullInboxStopsReading(t *testing.T) {
 	r := newRig(t, rigOptions{inboxEvents: 64})
 	r.addWorker("w", answerWork)
@@ -812,12 +813,12 @@
 // After AnswerWithin, a transaction whose worker does not answer is written off within the duration, one that was not
 // handed off is not taken, and one that arrives later is not taken at once.
 func TestAnswerWithin(t *testing.T) {
-	toServer := true
+	handOffNext := true
 	r := newRig(t, rigOptions{decide: func(in *input.Input) (out logic.Result) {
-		if in.Kind == input.TransactionArrived && toServer {
+		if in.Kind == input.TransactionArrived && handOffNext {
 			out.Actions = []logic.Action{{Kind: logic.HandOff, Transaction: in.Transaction.ID, Worker: "w"}}
 		}
-		toServer = toServer && in.Kind != input.TransactionArrived
+		handOffNext = handOffNext && in.Kind != input.TransactionArrived
 		out.WatchList = in.Kind == input.ListReceived && in.ListKind == logic.CachedList
 		return out
 	}})
@@ -825,7 +826,7 @@
 	c := r.testClient()
 	c.send(1, 0)
 	c.send(2, 0)
-	r.waitFor("both requests", func() bool { return r.seen(input.TransactionArrived) == 2 })
+	r.waitFor("both transactions", func() bool { return r.seen(input.TransactionArrived) == 2 })
 	r.s.AnswerWithin(50 * time.Millisecond)
 	outcomes := map[uint64]uint32{}
 	for range 2 {
@@ -877,7 +878,7 @@
 		last++
 		c.send(last, 0)
 	}
-	r.waitFor("requests in the inbox", func() bool { waiting, _ := r.s.inbox.stats(); return waiting >= 3 })
+	r.waitFor("transactions in the inbox", func() bool { waiting, _ := r.s.inbox.stats(); return waiting >= 3 })
 	close(stop)
 	answers := map[uint64]uint32{}
 	for len(answers) < int(last) {
--- a/internal/sentry/switch_test.go
+++ b/internal/sentry/switch_test.go
@@ -144,7 +144,7 @@
 		}
 		if r.s.RecordReload(settings, err); (err == nil) != (want == "") ||
 			err != nil && !(strings.Contains(err.Error(), want) && strings.Contains(err.Error(), "orders.hcl:")) {
-			t.Errorf("load %d: %v, expected %q with file and line", i, err, want)
+			t.Errorf("reload %d: %v, expected %q with file and line", i, err, want)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -175,7 +175,7 @@
 	}
 	t.Logf("%d transactions, %d answered, %d hand-offs, %v", findings.TriesSent, findings.TriesAnswered, findings.HandOffs, seen)
 	if n := r.s.CounterValues("orders_refused_total")["0"]; n != 100 || findings.TriesUnclosed > 0 || len(findings.Violations) > 0 {
-		t.Errorf("%v refused, %d unclosed, breaches %v", n, findings.TriesUnclosed, findings.Violations[:min(3, len(findings.Violations))])
+		t.Errorf("%v refused, %d unclosed, violations %v", n, findings.TriesUnclosed, findings.Violations[:min(3, len(findings.Violations))])
 	}
 	if broken := audit.Check(&strict, 60_000, early).ViolatedRules(); !slices.Equal(broken, []int{3, 5}) {
 		t.Errorf("rules %v found broken, expected rules 3 and 5", broken)
--- a/internal/sentry/timers.go
+++ b/internal/sentry/timers.go
@@ -17,8 +17,8 @@
 )
 
 // timer is an entry of the timer heap. A transaction has one timer at most, which is moved when its next deadline
-// changes and removed with the transaction, so that the heap does not outgrow the number of open transactions. Timers
-// of other kinds are not removed: one whose cause no longer exists does nothing when it is due.
+// changes and removed with the transaction, so that the heap holds no entries of ended transactions. Timers of
+// other kinds are not removed: one whose cause no longer exists does nothing when it is due.
 type timer struct {
 	due         logic.Micros
 	seq         uint64 // order among timers of the same due time
--- a/internal/sentry/transport.go
+++ b/internal/sentry/transport.go
@@ -14,7 +14,7 @@
 // Transport connects a sentry to its clients, workers, discovery, control plane and peers. frameTransport is one
 // implementation, internal/platform has another. An implementation passes what it receives to ClientHandler,
 // WorkerConnHandler and the methods of Sentry, from any goroutine. The sentry calls the methods of a Transport from the
-// event loop unless stated otherwise, and they must not block.
+// event loop unless stated otherwise, and they must not block. A Transport makes no decisions.
 type Transport interface {
 	ClientListener
 	WorkerDialer
@@ -66,7 +66,7 @@
 
 // Discovery requests the worker list. since is the version of the list that the sentry has.
 type Discovery interface {
-	RequestList(watch bool, since uint64) // with watch updates from now on, otherwise the full list once
+	RequestList(watch bool, since uint64) // with watch, updates from now on; otherwise the full list once
 }
 
 // ControlPlane sends votes to the control plane.
@@ -224,6 +224,7 @@
 	limits wire.Limits // fixed at the start: a reload does not change them
 }
 
+// Listen opens the listener. Its limits are those of the settings at the start.
 func (f *frameTransport) Listen(s *Sentry) (string, error) {
 	f.limits = s.linkLimits()
 	server, err := wire.Serve(s.settings.Endpoints.Listen, f.limits, s.accept)
--- a/internal/sentry/upstream.go
+++ b/internal/sentry/upstream.go
@@ -19,7 +19,7 @@
 	name, address              string
 	role                       pb.Hello_Role
 	persistent                 bool // dialed again whenever it has closed
-	bestEffort                 bool // what cannot be sent is dropped without a log line
+	bestEffort                 bool // what cannot be sent is dropped, and failed connections are not logged
 	link                       *wire.Link
 	dialing                    bool
 	redialPending              bool // the timer to dial again is set
@@ -35,7 +35,8 @@
 	maxRedialDelay = logic.Micros(2_000_000)
 )
 
-// connect dials in the background, unless the connection exists, is being dialed or waits to be dialed again.
+// connect dials in the background, unless the connection exists, is being dialed or waits to be dialed again, or the
+// sentry is stopping.
 func (s *Sentry) connect(u *upstream) {
 	if u.link != nil || u.dialing || u.redialPending || s.stopping {
 		return
@@ -53,6 +54,7 @@
 	}()
 }
 
+// handleUpstreamDialed takes over a dialed connection, or handles the failure to dial it.
 func (s *Sentry) handleUpstreamDialed(u *upstream, link *wire.Link, err error) {
 	u.dialing = false
 	if u.removed && link != nil {
@@ -86,7 +88,7 @@
 }
 
 // handleUpstreamFailed handles a connection that has closed or could not be established. A persistent one is dialed
-// again after a delay that doubles with each failure.
+// again after a delay that doubles with each failure, from minRedialDelay to maxRedialDelay.
 func (s *Sentry) handleUpstreamFailed(u *upstream, err error) {
 	u.redialDelay = min(max(minRedialDelay, 2*u.redialDelay), maxRedialDelay)
 	if !u.bestEffort {
@@ -156,6 +158,7 @@
 	s.unflushed = append(s.unflushed, u.link)
 }
 
+// listRequestFailed logs that a request for the list has failed, and reports it to the module.
 func (s *Sentry) listRequestFailed(reason string, busy bool) {
 	s.discovery.awaitsList = false
 	s.listSeq++
@@ -234,6 +237,8 @@
 
 // Control plane.
 
+// handleReleaseStatus delivers a release status to the module, with the result of the vote that it answers, if any. An
+// answer to a vote that has timed out is ignored.
 func (s *Sentry) handleReleaseStatus(m *pb.News) {
 	if m.Valid && (!(m.Cap >= 0 && m.Cap <= 1) || m.Phase > uint32(logic.Withdrawn)) {
 		s.metrics.protocolErrors.Inc()
@@ -245,7 +250,7 @@
 		Cap: m.Cap, Age: logic.Micros(min(m.Age, 1<<50))}
 	if m.Vote != 0 {
 		if !s.pendingVotes[m.Vote] {
-			return // it has timed out
+			return // the vote has timed out
 		}
 		delete(s.pendingVotes, m.Vote)
 		switch m.Fate {
--- a/internal/sentry/worker_list.go
+++ b/internal/sentry/worker_list.go
@@ -114,6 +114,7 @@
 
 const listFileHeaderBytes = 16
 
+// encode returns the content of the list file.
 func (l *workerList) encode(now logic.Micros) ([]byte, error) {
 	m := &pb.Report{Whole: true, Version: l.version}
 	for _, line := range l.lines {
@@ -134,6 +135,7 @@
 	return out, nil
 }
 
+// decodeListFile checks and parses the content of a list file.
 func decodeListFile(data []byte) (*pb.Report, error) {
 	if len(data) < listFileHeaderBytes || binary.BigEndian.Uint64(data) != xxh3.Hash(data[8:]) {
 		return nil, errors.New("found a damaged file, expected a worker list saved by a sentry")
@@ -177,6 +179,8 @@
 // saveDelayMicros is the time from a change of the list to its saving, which several changes may share.
 const saveDelayMicros = logic.Micros(500_000)
 
+// scheduleSave sets the timer that saves the list, unless it is set already, a write is under way (handleSaved sets it
+// afterwards) or there is no file.
 func (s *Sentry) scheduleSave() {
 	if s.workerList.unsaved || s.settings.Endpoints.CachedListFile == "" {
 		return
@@ -204,6 +208,7 @@
 	}()
 }
 
+// handleSaved ends a write of the list. It sets the timer for another one if the list has changed since.
 func (s *Sentry) handleSaved(err error) {
 	s.workerList.writing = false
 	if err != nil {
@@ -228,6 +233,7 @@
 	s.handleSaved(err)
 }
 
+// replaceFile writes data to a new file, syncs it to the disk and renames it to name.
 func replaceFile(name string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(name), filepath.Base(name)+".new*")
 	if err != nil {
--- a/internal/sentry/workers.go
+++ b/internal/sentry/workers.go
@@ -14,11 +14,11 @@
 	"scalechute/logic"
 )
 
-// worker is what the event loop keeps of one worker: its connections and the hand-offs queued for one.
+// worker is the event loop's state of one worker: its connections, and the hand-offs that wait for a connection.
 type worker struct {
 	id               logic.WorkerID
 	address          string
-	info             logic.Worker
+	info             logic.Worker // as last listed
 	stateSince       logic.Micros // since when it has been in its state
 	conns            []*pooledConn
 	dials            int
@@ -104,9 +104,9 @@
 	}
 }
 
-// cooldownDivisor is the connect timeout divided by the cooldown of a connection: where answers come in order, a
-// connection carries no new hand-off for this time after an answer. A worker may send a duplicate of an answer some
-// milliseconds later, and it must not be mistaken for the answer to the next hand-off.
+// cooldownDivisor sets the cooldown of a connection, which is the connect timeout divided by it. Where answers come in
+// order, a connection carries no new hand-off during the cooldown after an answer: a worker may send a duplicate of the
+// answer some milliseconds later, and it must not be mistaken for the answer to the next hand-off.
 const cooldownDivisor = 8
 
 // cooldownUntil returns until when a connection carries no new hand-off, 0 if it is not in its cooldown.
@@ -234,7 +234,7 @@
 func (c *pooledConn) isClosable() bool { return c.ready && c.isIdle() }
 
 // dial opens a connection for the queued hand-offs of a worker, unless enough connections are being dialed, or are in a
-// cooldown that ends well before the hand-offs' deadlines.
+// cooldown that ends well before the hand-offs' deadlines, or the bounds allow no further connection.
 func (s *Sentry) dial(w *worker) {
 	wanted, canWait := 0, 0
 	cooldown := s.config.ConnectTimeout / cooldownDivisor
@@ -371,7 +371,10 @@
 }
 
 // endHandOff ends a hand-off, frees its slot and reports its ending to the module. It does nothing if it has ended
-// before.
+// before. If the answer has arrived in part or could not be parsed, a timeout or a broken connection is reported as
+// unreadable. A broken connection on which the worker cannot have received the whole hand-off is reported as
+// unconnected: the work has not run. Where answers come in order, a connection with an answer outstanding cannot be used
+// again and is closed.
 func (s *Sentry) endHandOff(t *transaction, index int, ending logic.Ending, load logic.Load) {
 	h := &t.handOffs[index]
 	if h.ended {
@@ -444,6 +447,7 @@
 	return invalid("a frame of kind "+strconv.Itoa(int(kind)), "one that a worker may send")
 }
 
+// unmarshal decodes a message. Its error closes the connection.
 func unmarshal(body []byte, m proto.Message) error {
 	if err := proto.Unmarshal(body, m); err != nil {
 		return invalid("an invalid "+string(m.ProtoReflect().Descriptor().Name()), "a valid one")
@@ -484,7 +488,8 @@
 	return logic.Load{InFlight: float64(e.inFlight) - 1, BusyShare: decode(e.busyShare), ServedPerSecond: decode(e.servedRate)}
 }
 
-// dropConn removes a closed connection and ends its open hand-offs as broken: they may have run.
+// dropConn removes a closed connection and ends its open hand-offs as broken: they may have run. If the connection
+// was not ready yet, this counts as a failure to dial.
 func (s *Sentry) dropConn(c *pooledConn) {
 	if c.closed || c.link == nil { // closed by the loop itself, or before the loop received the connection
 		c.closed = true
@@ -532,7 +537,8 @@
 	s.unflushed = append(s.unflushed, w.conns[0].link)
 }
 
-// closeIdleConns closes the connections that have been idle for the configured timeout.
+// closeIdleConns closes the connections that have been idle for the configured timeout divided by
+// Bounds.IdleTimeoutDivisor.
 func (s *Sentry) closeIdleConns() {
 	for _, c := range slices.Clone(s.conns) {
 		if c.isClosable() && s.now-c.lastUsed >= s.config.IdleTimeout/logic.Micros(max(1, s.settings.Bounds.IdleTimeoutDivisor)) {
@@ -560,6 +566,7 @@
 
 const maxSweepInterval = logic.Micros(5_000_000)
 
+// scheduleSweep sets the timer of the next sweep: after a quarter of the idle timeout, but at most maxSweepInterval.
 func (s *Sentry) scheduleSweep() {
 	wait := maxSweepInterval
 	if s.config.IdleTimeout > 0 {
