--- a/internal/match/check.go
+++ b/internal/match/check.go
@@ -23,6 +23,7 @@
 	Msg          string
 }
 
+// Error returns line, column and message.
 func (e *ExprError) Error() string { return fmt.Sprintf("%d:%d: %s", e.Line, e.Column, e.Msg) }
 
 // Limits on the source of an expression.
@@ -35,6 +36,7 @@
 // op is the operation of a node on its arguments.
 type op uint8
 
+// The operations of nodes.
 const (
 	opConst op = iota
 	opAttribute
@@ -166,6 +168,7 @@
 // name, which is not safe when several expressions are checked concurrently. The name is longer than any declared one.
 func (c *Compiler) forceLazyInit() { _, _ = c.env.Compile(strings.Repeat("u", 65)) }
 
+// celType returns the type of cel-go that stands for a type.
 func celType(t *Type) *cel.Type {
 	switch t.Kind {
 	case Text:
@@ -196,16 +199,17 @@
 }
 
 // check returns the tree of an expression. The conjuncts of a conjunction are parsed separately and cached, because they
-// repeat in a large table and parsing in cel-go takes most of the time of loading it. If a conjunct has an error, the
-// whole expression is parsed again, so that the error has its position in the whole.
+// repeat in a large table and parsing in cel-go takes most of the time of loading it. If a conjunct has an error or is not
+// true or false, or if the conjuncts together exceed the cost limit, the whole expression is checked, so that the error has
+// its position in the whole.
 func (c *Compiler) check(source string) (*node, error) {
-	parts := splitConjuncts(source)
-	if len(parts) == 1 {
+	conjuncts := splitConjuncts(source)
+	if len(conjuncts) == 1 {
 		return c.checkCached(source)
 	}
 	var all *node
-	for _, part := range parts {
-		n, err := c.checkCached(part)
+	for _, conjunct := range conjuncts {
+		n, err := c.checkCached(conjunct)
 		if err != nil || n.valueType.Kind != Bool {
 			return c.checkWhole(source)
 		}
@@ -219,7 +223,7 @@
 	return all, nil
 }
 
-// checkCached is checkWhole with a cache.
+// checkCached is checkWhole with a cache. Errors are not cached.
 func (c *Compiler) checkCached(source string) (*node, error) {
 	c.mu.Lock()
 	n := c.conjunctCache[source]
@@ -241,7 +245,7 @@
 
 // splitConjuncts splits an expression at each && outside brackets and quotes. If the source contains anything that could
 // make the conjunction of the parts differ from the whole, such as ||, a comment or an escape, the only part is the whole.
-func splitConjuncts(source string) (parts []string) {
+func splitConjuncts(source string) (conjuncts []string) {
 	whole := []string{source}
 	if len(source) > maxSourceRunes || strings.ContainsAny(source, "?\\") || strings.Contains(source, "||") || strings.Contains(source, "//") ||
 		strings.Contains(source, `""`) || strings.Contains(source, "''") {
@@ -264,7 +268,7 @@
 			}
 		case '&':
 			if depth == 0 && strings.HasPrefix(source[i:], "&&") {
-				parts = append(parts, strings.Trim(source[start:i], whitespace))
+				conjuncts = append(conjuncts, strings.Trim(source[start:i], whitespace))
 				i++
 				start = i + 1
 			}
@@ -273,7 +277,7 @@
 	if depth != 0 {
 		return whole
 	}
-	return append(parts, strings.Trim(source[start:], whitespace))
+	return append(conjuncts, strings.Trim(source[start:], whitespace))
 }
 
 // checkWhole parses and checks an expression as a whole and builds its tree.
@@ -349,6 +353,7 @@
 	return message
 }
 
+// unknownMemberMessage returns the message about a name that is not a member of a set.
 func unknownMemberMessage(t *Type) string {
 	return fmt.Sprintf("found a member that %s does not have, expected one of %s", t.Name, joinFirst(t.Members))
 }
@@ -383,6 +388,7 @@
 	return &ExprError{max(1, location.Line()), location.Column() + 1, fmt.Sprintf(format, args...)}
 }
 
+// The types that have no name.
 var (
 	textType     = &Type{Kind: Text}
 	intType      = &Type{Kind: Int}
@@ -466,7 +472,7 @@
 	}
 	step := loop.LoopStep()
 	if list.valueType == nil || list.valueType.Kind != List || list.op != opAttribute || step.Kind() != ast.CallKind || len(step.AsCall().Args()) != 2 {
-		return nil, b.errorAt(n.exprID, "found exists or all of something else than an attribute, expected an attribute that is a list")
+		return nil, b.errorAt(n.exprID, "found exists or all of something other than an attribute, expected an attribute that is a list")
 	}
 	n.op = opExists
 	if step.AsCall().FunctionName() == operators.LogicalAnd {
@@ -517,10 +523,10 @@
 		n.cost = min(math.MaxInt64/8, n.cost+arg.cost)
 	}
 	n.valueType = boolType
-	addComparisonCost := func(of ...*node) { // comparing texts takes one step for every 8 bytes
-		shortest := of[0].maxLength
-		for _, call := range of {
-			shortest = min(shortest, call.maxLength)
+	addComparisonCost := func(operands ...*node) { // comparing texts takes one step for every 8 bytes
+		shortest := operands[0].maxLength
+		for _, operand := range operands {
+			shortest = min(shortest, operand.maxLength)
 		}
 		n.cost += int64(shortest / 8)
 	}
@@ -556,7 +562,7 @@
 		}
 		addComparisonCost(n.args...)
 	case operators.In:
-		return nil, b.errorAt(n.exprID, "found membership in something else than a list of constants, expected such a list, or exists of an attribute")
+		return nil, b.errorAt(n.exprID, "found membership in something other than a list of constants, expected such a list, or exists of an attribute")
 	case operators.Add:
 		n.op, n.valueType, n.maxLength = opConcat, textType, n.args[0].maxLength+n.args[1].maxLength
 		if n.maxLength > maxTextBytes {
@@ -571,7 +577,7 @@
 		n.cost += int64(n.args[0].maxLength / 8)
 	case "given":
 		if n.op = opGiven; n.args[0].op != opAttribute {
-			return nil, b.errorAt(n.exprID, "found given of something else than an attribute, expected an attribute")
+			return nil, b.errorAt(n.exprID, "found given of something other than an attribute, expected an attribute")
 		}
 	case "span":
 		d, err := time.ParseDuration(n.args[0].value.Text)
@@ -581,7 +587,7 @@
 		return &node{valueType: durationType, exprID: n.exprID, cost: 1, value: Value{Present: true, Int: d.Microseconds()}}, nil
 	case operators.Negate:
 		if n.args[0].op != opConst {
-			return nil, b.errorAt(n.exprID, "found - before something else than a constant, expected a number")
+			return nil, b.errorAt(n.exprID, "found - before something other than a constant, expected a number")
 		}
 		v := n.args[0].value
 		if v.Int == math.MinInt64 {
@@ -599,7 +605,7 @@
 func (b *builder) measureUnit(n *node, u measureUnit) (*node, error) {
 	arg := n.args[0]
 	if arg.op != opConst {
-		return nil, b.errorAt(n.exprID, "found %s of something else than a constant, expected a number", u.Name)
+		return nil, b.errorAt(n.exprID, "found %s of something other than a constant, expected a number", u.Name)
 	}
 	number := arg.value.Float
 	if arg.valueType.Kind == Int {
--- a/internal/match/compile.go
+++ b/internal/match/compile.go
@@ -88,6 +88,7 @@
 	}
 }
 
+// trueValue and falseValue are the values of a node that is true or false.
 var trueValue, falseValue = Value{Present: true, Int: 1}, Value{Present: true}
 
 // compileBool compiles a node that is true or false.
@@ -158,13 +159,13 @@
 
 // compileComparison compiles ==, !=, < and <=.
 func compileComparison(n *node) func(*Record) bool {
-	x, y, o := n.args[0], n.args[1], n.op
-	kind := x.valueType.Kind
-	if x.op == opAttribute && y.op == opConst && kind != Text && kind != Measure && o == opEqual { // fast path for the most frequent comparison
-		slot, want := x.index, y.value.Int
+	left, right, o := n.args[0], n.args[1], n.op
+	kind := left.valueType.Kind
+	if left.op == opAttribute && right.op == opConst && kind != Text && kind != Measure && o == opEqual { // fast path for the most frequent comparison
+		slot, want := left.index, right.value.Int
 		return func(r *Record) bool { v := &r.values[slot]; return v.Int == want && v.Present }
 	}
-	a, b := compileValue(x), compileValue(y)
+	a, b := compileValue(left), compileValue(right)
 	switch {
 	case kind == Text && o == opEqual:
 		return func(r *Record) bool { x, y := a(r), b(r); return x.Present && y.Present && x.Text == y.Text }
--- a/internal/match/define.go
+++ b/internal/match/define.go
@@ -17,6 +17,7 @@
 	Err  *ExprError
 }
 
+// Error returns the name of the definition and the error.
 func (e *DefinitionError) Error() string { return e.Name + ": " + e.Err.Error() }
 
 // definition is a checked definition. Loop variables are numbered by nesting depth, so the definition has a tree for each
@@ -27,6 +28,7 @@
 	errs       [maxNestedLoops + 1]error
 }
 
+// maxDefinitions bounds the definitions of one call of Define.
 const maxDefinitions = 1024
 
 // isDeclared reports whether a name is that of an attribute, a unit, a type or a definition.
--- a/internal/match/explain.go
+++ b/internal/match/explain.go
@@ -72,19 +72,19 @@
 		before = len(t.predicates)
 	}
 	for i := range before {
-		for _, part := range t.compiled[i].conjuncts {
-			if compileBool(part)(r) {
+		for _, conjunct := range t.compiled[i].conjuncts {
+			if compileBool(conjunct)(r) {
 				continue
 			}
 			var values []string
-			for _, slot := range part.attributeSlots(nil) {
+			for _, slot := range conjunct.attributeSlots(nil) {
 				a, value := &t.Schema.Attributes[slot], "missing"
 				if r.values[slot].Present {
 					value = a.Type.format(&r.values[slot])
 				}
 				values = append(values, a.Name+" is "+value)
 			}
-			misses = append(misses, Miss{i, part.source(true), strings.Join(values, ", ")})
+			misses = append(misses, Miss{i, conjunct.source(true), strings.Join(values, ", ")})
 			break
 		}
 	}
--- a/internal/match/match_test.go
+++ b/internal/match/match_test.go
@@ -82,6 +82,8 @@
 	return s, c
 }
 
+// A predicate has the expected value, in its compiled form and by the reference interpreter, and takes no more steps than
+// its worst-case cost.
 func TestHolds(t *testing.T) {
 	s, c := testCompiler(t, 100_000)
 	r := s.NewRecord()
@@ -142,7 +144,7 @@
 		{`size + 1 == 2`, "no matching overload"}, {`size / 0 == 1`, "undeclared reference to '_/_'"}, {`id.matches("a*")`, "undeclared reference to 'matches'"},
 		{`temps == temps`, "found a comparison of lists"}, {`[1].exists(x, x == 1)`, "an expression that the language does not support"},
 		{`size in [size]`, "an expression in a list, expected constants"}, {`temp > celsius(1e999)`, "invalid double literal"}, {`temp > celsius(-1e308 )  && temp < fahrenheit(1e308) && size == 99999999999999999999`, "invalid int literal"},
-		{`given(hash(id))`, "given of something else than an attribute"}, {`age > span(id)`, "invalid span, expected a constant such as"}, {`age > span("1 day")`, "invalid span, expected a constant such as"},
+		{`given(hash(id))`, "given of something other than an attribute"}, {`age > span(id)`, "invalid span, expected a constant such as"}, {`age > span("1 day")`, "invalid span, expected a constant such as"},
 		{`age > span("1ns")`, "in whole microseconds"}, {`size == -(-9223372036854775808)`, "outside the range of 64-bit whole numbers"}, {`size == -9223372036854775808`, ""},
 		{`load > tonne(1e306)`, "expected a finite number"}, {`load > tonne(1e305)`, ""},
 		{"urgent\x00", "found NUL"}, {"urgent && \xff", "invalid UTF-8"}, {`uгgent`, "Syntax error"}, {``, "Syntax error"},
@@ -276,7 +278,7 @@
 func TestCompiledIsTheReference(t *testing.T) {
 	s, c := testCompiler(t, math.MaxInt32)
 	r, checked := s.NewRecord(), 0
-	var costRatios []float64 // of each expression: most steps taken by a record / worst-case cost
+	var costRatios []float64 // of each expression: max steps of its records / worst-case cost
 	rapid.Check(t, func(t *rapid.T) {
 		source := drawExpression(t, rapid.IntRange(0, 3).Draw(t, "depth"), nil)
 		p, err := c.Predicate(source)
@@ -327,18 +329,19 @@
 		if err != nil {
 			return
 		}
-		parts := func(n *node) (all string) {
+		sources := func(n *node) (all string) {
 			for _, p := range flatten(n, opAnd, nil) {
 				all += p.source(false) + "\n"
 			}
 			return all
 		}
-		if parts(split) != parts(whole) || split.cost != whole.cost || split.valueType.Kind != whole.valueType.Kind {
-			t.Errorf("%q: split into %q, cost %d; whole %q, cost %d", source, parts(split), split.cost, parts(whole), whole.cost)
+		if sources(split) != sources(whole) || split.cost != whole.cost || split.valueType.Kind != whole.valueType.Kind {
+			t.Errorf("%q: split into %q, cost %d; whole %q, cost %d", source, sources(split), split.cost, sources(whole), whole.cost)
 		}
 	})
 }
 
+// The compiled form and the reference interpreter give the same result for any source that passes the check.
 func FuzzPredicate(f *testing.F) {
 	s, c := testCompiler(f, 10_000)
 	r := s.NewRecord()
--- a/internal/match/schema.go
+++ b/internal/match/schema.go
@@ -4,8 +4,8 @@
 // that matches a record. The package does no I/O, reads no clock and starts no goroutine.
 //
 // Expressions are parsed and type-checked by cel-go in an environment that has only the operators and functions declared
-// by NewCompiler, and are then compiled to closures by this package. Every expression has a worst-case cost, which follows
-// from the maximum lengths of its types and which no evaluation exceeds.
+// by NewCompiler, and are then compiled once to closures by this package. Every expression has a worst-case cost, which
+// follows from the maximum lengths of its types and which no evaluation exceeds.
 //
 // A comparison, membership or startsWith with a missing attribute is false. A missing flag is false, a missing text in a
 // key is empty, and both exists and all of a missing list are false. given(x) is true if the attribute x is present.
@@ -20,9 +20,10 @@
 	"time"
 )
 
-// Kind is a kind of types. In routes files the kinds Int, Bool, Duration and Enum are called whole, flag, span and set.
+// Kind is the kind of a Type. In routes files the kinds Int, Bool, Duration and Enum are called whole, flag, span and set.
 type Kind int
 
+// The kinds of types.
 const (
 	Text Kind = iota
 	Int
@@ -128,11 +129,11 @@
 			return fmt.Errorf("set %s has %d members, expected 1 to %d", t.Name, len(t.Members), maxEnumMembers)
 		}
 		t.memberIndex = make(map[string]int64, len(t.Members))
-		for i, n := range t.Members {
-			if _, isDuplicate := t.memberIndex[n]; !isName(n) || isDuplicate {
-				return fmt.Errorf("set %s: member %q, expected a name of letters, digits and _ once", t.Name, n)
+		for i, member := range t.Members {
+			if _, isDuplicate := t.memberIndex[member]; !isName(member) || isDuplicate {
+				return fmt.Errorf("set %s: member %q, expected a name of letters, digits and _ once", t.Name, member)
 			}
-			t.memberIndex[n] = int64(i)
+			t.memberIndex[member] = int64(i)
 		}
 	case Measure:
 		if len(t.Units) == 0 {
--- a/internal/match/table.go
+++ b/internal/match/table.go
@@ -23,7 +23,7 @@
 // Table is a list of compiled routes with an index. The first route that matches a record applies.
 type Table struct {
 	Schema      *Schema
-	Needs       []bool // by schema slot: whether records need the attribute, because a route uses it or it is required
+	Needs       []bool // by schema slot: whether a route uses the attribute or it is required; records may omit the others
 	Routes      []Route
 	Unreachable []UnreachableRoute
 	predicates  []*Predicate
@@ -44,6 +44,7 @@
 	Err   *ExprError
 }
 
+// Error returns the route, the field and the error.
 func (e *RouteError) Error() string { return fmt.Sprintf("route %s, %s: %v", e.Name, e.Field, e.Err) }
 
 // CompiledRoute is a route that is ready to be added to a table.
@@ -154,16 +155,18 @@
 	byPrefix               // by the hash of the first two bytes
 )
 
+// dimension is a dimension of a table's index.
 type dimension struct {
 	slot       int
 	lookup     lookup
 	kind       Kind
-	routeCount int       // constraints on the attribute, about one per route
-	bounds     []float64 // byRange, ascending
-	rows       [][]uint64
-	missingRow []uint64
+	routeCount int        // constraints on the attribute, about one per route
+	bounds     []float64  // byRange, ascending
+	rows       [][]uint64 // by bucket
+	missingRow []uint64   // of records without the attribute
 }
 
+// row returns the row for a value.
 func (d *dimension) row(v *Value) []uint64 {
 	if !v.Present {
 		return d.missingRow
@@ -171,6 +174,7 @@
 	return d.rows[d.bucket(v)]
 }
 
+// bucket returns the bucket of a present value: the index of its row in rows.
 func (d *dimension) bucket(v *Value) int {
 	switch d.lookup {
 	case byRange:
@@ -193,6 +197,7 @@
 	return int(uint64(v.Int) * 0x9e3779b97f4a7c15 >> 56)
 }
 
+// number returns a value that is a number as a float64.
 func (d *dimension) number(v *Value) float64 {
 	if d.kind == Measure {
 		return v.Float
@@ -259,7 +264,8 @@
 	return nil
 }
 
-// buildIndex builds the dimensions that have the most constraints.
+// buildIndex builds a dimension for each attribute and kind of lookup that routes constrain. If there are more than
+// maxDimensions, it builds those with the most constraints.
 func (t *Table) buildIndex() {
 	type slotLookup struct {
 		slot   int
@@ -268,8 +274,8 @@
 	counts, usesPrefix := map[slotLookup]int{}, map[int]bool{}
 	constraints := make([][]constraint, len(t.predicates))
 	for i := range t.predicates {
-		for _, part := range t.compiled[i].conjuncts {
-			found := constraintsOf(part)
+		for _, conjunct := range t.compiled[i].conjuncts {
+			found := constraintsOf(conjunct)
 			constraints[i] = append(constraints[i], found...)
 			if len(found) > 0 && found[0].lookup == byPrefix {
 				usesPrefix[found[0].slot] = true
@@ -285,7 +291,7 @@
 			candidates = append(candidates, v)
 		}
 	}
-	slices.SortFunc(candidates, func(a, b slotLookup) int { // by number of constraints, descending
+	slices.SortFunc(candidates, func(a, b slotLookup) int { // by number of constraints, descending; ties by slot and lookup
 		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a.slot, b.slot), cmp.Compare(a.lookup, b.lookup))
 	})
 	for _, v := range candidates[:min(len(candidates), maxDimensions)] {
@@ -376,7 +382,7 @@
 		number int64
 		text   string
 	}
-	sourceIDs, parts, masks := map[string]int{}, make([][]conjunct, len(t.predicates)), make([]uint64, len(t.predicates))
+	sourceIDs, conjuncts, masks := map[string]int{}, make([][]conjunct, len(t.predicates)), make([]uint64, len(t.predicates))
 	valueCounts := map[attributeValue]int{}
 	singleValue := func(p conjunct) (attributeValue, bool) { // the only value that a conjunct allows its attribute
 		if len(p.constraints) == 0 || p.constraints[0].lookup != byEqual || len(p.constraints[0].values) != 1 {
@@ -392,7 +398,7 @@
 				sourceIDs[source] = len(sourceIDs) + 1
 			}
 			p := conjunct{n, sourceIDs[source], constraintsOf(n)}
-			parts[i], masks[i] = append(parts[i], p), masks[i]|n.attributeMask()
+			conjuncts[i], masks[i] = append(conjuncts[i], p), masks[i]|n.attributeMask()
 			if v, ok := singleValue(p); ok {
 				valueCounts[v]++
 			}
@@ -405,10 +411,10 @@
 		if masks[i]&^masks[j] != 0 {
 			return false
 		}
-		for _, want := range parts[i] {
+		for _, want := range conjuncts[i] {
 			follows := isAlwaysTrue(want.node)
-			for k := 0; k < len(parts[j]) && !follows; k++ {
-				given := &parts[j][k]
+			for k := 0; k < len(conjuncts[j]) && !follows; k++ {
+				given := &conjuncts[j][k]
 				follows = given.sourceID == want.sourceID || implies(given.node, want.node, given.constraints, want.constraints)
 			}
 			if !follows {
@@ -428,7 +434,7 @@
 		}
 		tryCovering(withoutValue)
 		rarest, hasValue := attributeValue{}, false
-		for _, p := range parts[j] {
+		for _, p := range conjuncts[j] {
 			if v, ok := singleValue(p); ok {
 				tryCovering(byRarestValue[v])
 				if !hasValue || valueCounts[v] < valueCounts[rarest] {
@@ -447,9 +453,11 @@
 	}
 }
 
+// isAlwaysTrue reports whether a conjunct is the constant true.
 func isAlwaysTrue(n *node) bool { return n.op == opConst && n.value.Int == 1 }
 
-// implies reports whether the second conjunct certainly holds where the first does.
+// implies reports whether the second conjunct certainly holds where the first does. have and want are the constraints of
+// the first and the second. A false result does not mean that the second conjunct can be false there.
 func implies(first, second *node, have, want []constraint) bool {
 	if len(have) == 0 || len(want) == 0 || have[0].slot != want[0].slot || have[0].lookup != want[0].lookup {
 		if len(have) == 2 && len(want) == 1 && have[1].slot == want[0].slot && want[0].lookup == byPrefix { // a text that begins with the prefix
--- a/internal/match/table_test.go
+++ b/internal/match/table_test.go
@@ -78,6 +78,7 @@
 	return NewTable(c, compiled), nil
 }
 
+// A route is unreachable if an earlier route certainly matches all that it matches. Errors name the route and the field.
 func TestCovers(t *testing.T) {
 	_, c := testCompiler(t, 10_000)
 	for _, x := range []struct {
