--- a/internal/hclread/read.go
+++ b/internal/hclread/read.go
@@ -22,7 +22,7 @@
 	"scalechute/logic"
 )
 
-// Issues is an error that holds all errors of a file, in the order of their lines.
+// Issues is an error that holds all errors of a file and of the files that it includes. Err sorts them.
 type Issues []Issue
 
 // Issue is an error at a position of a file.
@@ -32,8 +32,10 @@
 	Msg          string
 }
 
+// String returns file, line, column and message.
 func (i Issue) String() string { return fmt.Sprintf("%s:%d:%d: %s", i.File, i.Line, i.Column, i.Msg) }
 
+// Error returns one line for each issue.
 func (issues Issues) Error() string {
 	lines := make([]string, len(issues))
 	for i := range issues {
@@ -48,7 +50,7 @@
 	Source        []byte
 	Root          *Body
 	IncludedFiles []string
-	issues        *Issues
+	issues        *Issues // shared with the included files
 }
 
 // Open reads and parses a file.
@@ -135,7 +137,7 @@
 	}
 }
 
-// Err returns the Issues found so far, nil if there are none.
+// Err returns the Issues found so far, sorted by file and line, nil if there are none.
 func (f *File) Err() error {
 	if len(*f.issues) == 0 {
 		return nil
@@ -150,24 +152,25 @@
 // is invalid, or if it is absent and required. Methods with a defaultValue return it then. Callers check File.Err in the
 // end, not each value.
 type Body struct {
-	Kind     string // type of the block, empty for a file
-	Labels   []string
-	file     *File
-	body     *hclsyntax.Body
-	defRange hcl.Range
-	known    map[string]bool
-	included []*Body // bodies of the included files
+	BlockType string // type of the block, empty for a file
+	Labels    []string
+	file      *File
+	body      *hclsyntax.Body
+	defRange  hcl.Range
+	known     map[string]bool // attributes that have been read; block types too, after "block "
+	included  []*Body         // bodies of the included files
 }
 
 // Errorf records an error at the position of the block.
 func (b *Body) Errorf(format string, args ...any) { b.errorAt(b.defRange, format, args...) }
 
+// errorAt records an error at a position of the body's file.
 func (b *Body) errorAt(srcRange hcl.Range, format string, args ...any) {
 	*b.file.issues = append(*b.file.issues,
 		Issue{b.file.Name, max(1, srcRange.Start.Line), max(1, srcRange.Start.Column), fmt.Sprintf(format, args...)})
 }
 
-// AttributeErrorf records an error at an attribute of the block.
+// AttributeErrorf records an error at an attribute of the block, or at the block if it does not have the attribute.
 func (b *Body) AttributeErrorf(name, format string, args ...any) {
 	srcRange := b.defRange
 	if attribute, ok := b.body.Attributes[name]; ok {
@@ -230,40 +233,40 @@
 	return b.file.Source[b.defRange.Start.Byte:bodyRange.End.Byte]
 }
 
-// Blocks returns the blocks of a kind, also those of included files. A block with another number of labels is an error.
-func (b *Body) Blocks(kind string, labels int) (blocks []*Body) {
-	b.known["block "+kind] = true
+// Blocks returns the blocks of a type, also those of included files. A block with another number of labels is an error.
+func (b *Body) Blocks(blockType string, labels int) (blocks []*Body) {
+	b.known["block "+blockType] = true
 	for _, block := range b.body.Blocks {
-		if block.Type != kind {
+		if block.Type != blockType {
 			continue
 		}
 		if len(block.Labels) != labels {
-			b.errorAt(block.DefRange(), "block %s has %d labels, expected %d", kind, len(block.Labels), labels)
+			b.errorAt(block.DefRange(), "block %s has %d labels, expected %d", blockType, len(block.Labels), labels)
 			continue
 		}
-		blocks = append(blocks, &Body{Kind: kind, Labels: block.Labels, file: b.file, body: block.Body, defRange: block.DefRange(),
+		blocks = append(blocks, &Body{BlockType: blockType, Labels: block.Labels, file: b.file, body: block.Body, defRange: block.DefRange(),
 			known: map[string]bool{}})
 	}
 	for _, other := range b.included {
-		blocks = append(blocks, other.Blocks(kind, labels)...)
+		blocks = append(blocks, other.Blocks(blockType, labels)...)
 	}
 	return blocks
 }
 
-// Block returns the only block of a kind, which has no labels. If there is none, Block returns an empty body, and records
+// Block returns the only block of a type, which has no labels. If there is none, Block returns an empty body, and records
 // an error if the block is required.
-func (b *Body) Block(kind string, required bool) *Body {
-	blocks := b.Blocks(kind, 0)
+func (b *Body) Block(blockType string, required bool) *Body {
+	blocks := b.Blocks(blockType, 0)
 	if len(blocks) > 1 {
-		blocks[1].Errorf("block %s is declared twice, expected once", kind)
+		blocks[1].Errorf("block %s is declared twice, expected once", blockType)
 	}
 	if len(blocks) > 0 {
 		return blocks[0]
 	}
 	if required {
-		b.Errorf("no block %s, expected one", kind)
+		b.Errorf("no block %s, expected one", blockType)
 	}
-	return &Body{Kind: kind, file: b.file, body: &hclsyntax.Body{}, defRange: b.defRange, known: map[string]bool{}}
+	return &Body{BlockType: blockType, file: b.file, body: &hclsyntax.Body{}, defRange: b.defRange, known: map[string]bool{}}
 }
 
 // Has reports whether the body has an attribute.
@@ -290,10 +293,10 @@
 
 // describe names the body in error messages.
 func (b *Body) describe() string {
-	if b.Kind == "" {
+	if b.BlockType == "" {
 		return "the file"
 	}
-	return strings.TrimSpace("block " + b.Kind + " " + strings.Join(b.Labels, " "))
+	return strings.TrimSpace("block " + b.BlockType + " " + strings.Join(b.Labels, " "))
 }
 
 // formatValue returns a value for error messages.
@@ -489,8 +492,8 @@
 	return v.AsValueSlice()
 }
 
-// IgnoreBlocks makes RejectUnknown accept blocks of a kind without looking into them.
-func (b *Body) IgnoreBlocks(kind string) { b.known["block "+kind] = true }
+// IgnoreBlocks makes RejectUnknown accept blocks of a type without looking into them.
+func (b *Body) IgnoreBlocks(blockType string) { b.known["block "+blockType] = true }
 
 // ErrorCount returns the number of errors recorded in the file so far.
 func (b *Body) ErrorCount() int { return len(*b.file.issues) }
--- a/internal/routes/read.go
+++ b/internal/routes/read.go
@@ -23,7 +23,7 @@
 	DefinitionCosts []int64 // worst case of each definition, in steps
 	CostLimit       int64   // worst case of an expression, in steps
 	Cases           []Case
-	Profiles        []string
+	Profiles        []string // by slot, empty for a slot without a profile
 	Accounts        []string
 	Warnings        []string // valid but probably not intended, such as routes that never apply
 	locations       []string // file and line of each route
@@ -47,7 +47,7 @@
 )
 
 // Load reads the matching blocks of a file, and the names of its profiles and accounts. It does not look into blocks of the
-// kinds in ignoredBlocks.
+// types in ignoredBlocks.
 func Load(name string, ignoredBlocks ...string) (*RouteSet, error) {
 	f, err := hclread.Open(name)
 	if err != nil {
@@ -65,16 +65,17 @@
 	return read(f, ignoredBlocks)
 }
 
+// read reads the matching blocks of a parsed file and returns the errors of the file.
 func read(f *hclread.File, ignoredBlocks []string) (*RouteSet, error) {
-	names := func(kind string) (names []string) {
-		for _, block := range f.Root.Blocks(kind, 1) {
+	names := func(blockType string) (names []string) {
+		for _, block := range f.Root.Blocks(blockType, 1) {
 			names = append(names, block.Labels[0])
 		}
 		return names
 	}
 	routeSet := Read(f.Root, names("profile"), names("account"))
-	for _, kind := range ignoredBlocks {
-		f.Root.IgnoreBlocks(kind)
+	for _, blockType := range ignoredBlocks {
+		f.Root.IgnoreBlocks(blockType)
 	}
 	f.Root.RejectUnknown()
 	if err := f.Err(); err != nil {
@@ -133,7 +134,7 @@
 func (r *reader) readTypes(root *hclread.Body) {
 	addType := func(b *hclread.Body, t *match.Type) {
 		if slices.Contains(builtinTypes, t.Name) || r.types[t.Name] != nil {
-			b.Errorf("%s %s, expected a name that no other type has", b.Kind, t.Name)
+			b.Errorf("%s %s, expected a name that no other type has", b.BlockType, t.Name)
 		}
 		r.types[t.Name] = t
 	}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -27,18 +27,18 @@
 	if !found {
 		t.Fatalf("%q is not in the file", old)
 	}
-	b, err := Parse("r.hcl", []byte(before+new+after))
-	return b, strings.Count(before, "\n") + 1, err
+	routeSet, err := Parse("r.hcl", []byte(before+new+after))
+	return routeSet, strings.Count(before, "\n") + 1, err
 }
 
 // The cases of the reference file pass, and each way in which a case can fail is reported.
 func TestCases(t *testing.T) {
-	b, _, err := parseChanged(t, "", "")
+	routeSet, _, err := parseChanged(t, "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if failures := b.RunCases(); len(failures) > 0 || len(b.Warnings) > 0 {
-		t.Error(failures, b.Warnings)
+	if failures := routeSet.RunCases(); len(failures) > 0 || len(routeSet.Warnings) > 0 {
+		t.Error(failures, routeSet.Warnings)
 	}
 	nowhere := "with  = { depot = \"kingston\", urgent = true }\n  route = \"none\""
 	for _, x := range [][3]string{
@@ -54,11 +54,11 @@
 			`found route comparison, expected membership, which matches too but comes later`},
 		{nowhere, "with = { depot = \"kingston\", urgent = true }\n route = \"nine\"", `found route none, expected nine`},
 	} {
-		b, _, err := parseChanged(t, x[0], x[1])
+		routeSet, _, err := parseChanged(t, x[0], x[1])
 		if err != nil {
 			t.Fatalf("%s: %v", x[1], err)
 		}
-		if got := strings.Join(b.RunCases(), "\n"); !strings.Contains(got, x[2]) {
+		if got := strings.Join(routeSet.RunCases(), "\n"); !strings.Contains(got, x[2]) {
 			t.Errorf("%s: %s, expected %s", x[1], got, x[2])
 		}
 	}
@@ -103,8 +103,8 @@
 		t.Errorf("two errors, reported as %v", err)
 	}
 	for _, text := range []string{"", "profile \"a\" {}\n", "case \"a\" {\n with = {}\n route = \"none\"\n}", "route \"a\" {\n when = \"true\"\n key = \"'a'\"\n profile = \"p\"\n}"} {
-		if b, err := Parse("r.hcl", []byte(text)); (err == nil) != strings.HasPrefix(text, "case") {
-			t.Errorf("%q: %v, %v", text, b, err)
+		if routeSet, err := Parse("r.hcl", []byte(text)); (err == nil) != strings.HasPrefix(text, "case") {
+			t.Errorf("%q: %v, %v", text, routeSet, err)
 		}
 	}
 }
@@ -112,23 +112,23 @@
 // Warnings, the explanation of a match and the explanation of costs have the expected lines.
 func TestOutput(t *testing.T) {
 	unreachable := "route \"older\" {\n  when    = \"urgent && age > span('2m')\"\n  key     = \"id\"\n  profile = \"reading\"\n}\n"
-	b, line, err := parseChanged(t, `route "loops"`, unreachable+`route "loops"`)
+	routeSet, line, err := parseChanged(t, `route "loops"`, unreachable+`route "loops"`)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(b.Warnings) != 1 || !strings.HasPrefix(b.Warnings[0], fmt.Sprintf("r.hcl:%d: route older is never reached: all that it matches goes to route spans (r.hcl:", line)) {
-		t.Errorf("the unreachable route is reported as %q", b.Warnings)
+	if len(routeSet.Warnings) != 1 || !strings.HasPrefix(routeSet.Warnings[0], fmt.Sprintf("r.hcl:%d: route older is never reached: all that it matches goes to route spans (r.hcl:", line)) {
+		t.Errorf("the unreachable route is reported as %q", routeSet.Warnings)
 	}
 	var out bytes.Buffer
-	r, mismatches := b.ParseRecord([]hclread.Pair{{Name: "depot", Values: []string{"may_pen"}}, {Name: "age", Values: []string{"2m"}}, {Name: "id", Values: []string{"x"}}})
-	b.WriteMatch(&out, r, 1)
+	r, mismatches := routeSet.ParseRecord([]hclread.Pair{{Name: "depot", Values: []string{"may_pen"}}, {Name: "age", Values: []string{"2m"}}, {Name: "id", Values: []string{"x"}}})
+	routeSet.WriteMatch(&out, r, 1)
 	for _, want := range []string{"route spans (r.hcl:", "): profile reading, account none, key \"x\"\n  4 earlier", "the last 1:\n  not units (r.hcl:", "does not hold: load is missing\n"} {
 		if !strings.Contains(out.String(), want) || len(mismatches) > 0 {
 			t.Errorf("%v %s\nexpected in it: %s", mismatches, out.String(), want)
 		}
 	}
 	out.Reset()
-	b.WriteExplanation(&out, 2)
+	routeSet.WriteExplanation(&out, 2)
 	for _, want := range []string{"9 attributes, 3 named expressions", "let cold        3 steps", "10 routes; were all", "those that cost most", "by range   in 1 routes"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%s\nexpected in it: %s", out.String(), want)
@@ -141,11 +141,11 @@
 	f.Add(languageFile(f))
 	f.Add("let \"a\" {\n is = <<-EOT\n  b\n EOT\n}")
 	f.Fuzz(func(t *testing.T, text string) {
-		b, err := Parse("f.hcl", []byte(text))
+		routeSet, err := Parse("f.hcl", []byte(text))
 		if err != nil {
 			return
 		}
-		_ = b.RunCases()
-		b.WriteExplanation(io.Discard, 5)
+		_ = routeSet.RunCases()
+		routeSet.WriteExplanation(io.Discard, 5)
 	})
 }
--- a/internal/routes/try.go
+++ b/internal/routes/try.go
@@ -105,7 +105,7 @@
 		}
 		result := s.Match(r)
 		if got := s.RouteName(result.Route); got != c.Route {
-			fail("found route %s, expected %s%s", got, c.Route, s.mismatchReason(r, result, c.Route))
+			fail("found route %s, expected %s%s", got, c.Route, s.missReason(r, result, c.Route))
 		} else if c.HasKey && result.Key != c.Key {
 			fail("found key %q, expected %q", result.Key, c.Key)
 		}
@@ -113,8 +113,8 @@
 	return failures
 }
 
-// mismatchReason returns why a record does not have the named route, empty if there is no such route.
-func (s *RouteSet) mismatchReason(r *match.Record, result Result, route string) string {
+// missReason returns why the named route does not apply to a record, empty if there is no such route.
+func (s *RouteSet) missReason(r *match.Record, result Result, route string) string {
 	if result.Missing != "" {
 		return ": " + result.Missing + " must be there and is missing"
 	}
@@ -130,7 +130,8 @@
 	return ", which matches too but comes later"
 }
 
-// misses returns the routes before the result's that do not match, none if a required attribute is missing.
+// misses returns a Miss for each route before the result's, which do not match: all routes if the result has none. It
+// returns none if a required attribute is missing, because no route is tried then.
 func (s *RouteSet) misses(r *match.Record, result Result) []match.Miss {
 	if result.Missing != "" {
 		return nil
@@ -186,7 +187,7 @@
 		lines = append(lines, line{i, keyBytes, when + key})
 		totalCost += when
 	}
-	slices.SortStableFunc(lines, func(a, s line) int { return int(s.cost - a.cost) })
+	slices.SortStableFunc(lines, func(a, b line) int { return int(b.cost - a.cost) })
 	fmt.Fprintf(out, "%d routes; were all of them tried, a transaction would cost at most %d steps\n", len(lines), totalCost)
 	if maxLines >= 0 && len(lines) > maxLines {
 		fmt.Fprintf(out, "  those that cost most:\n")
