--- a/internal/plan/calendar.go
+++ b/internal/plan/calendar.go
@@ -1,7 +1,7 @@
 // Package plan contains release plans and the state machine that follows one. A Plan divides a release into waves, which
 // start in windows of the calendar and wait for votes and approvals. Check finds plans that can never be completed, and a
-// Release takes events and returns the actions to carry out. The package does no I/O and reads no clock: callers pass in
-// the time.
+// Release takes events and returns the actions to carry out. The package does no I/O, starts no goroutine and reads no
+// clock: callers pass in the time.
 package plan
 
 import (
@@ -11,8 +11,8 @@
 	_ "time/tzdata" // time zones do not depend on the machine
 )
 
-// Window is a time window in which a wave may start, by the local time of a zone. An hour that the start of daylight
-// saving time skips does not occur. In an hour that its end repeats, the window is open both times.
+// Window is a time window in which a wave may start, by the local time of a zone. An hour that is skipped when daylight
+// saving time starts does not occur. In an hour that is repeated when it ends, the window is open both times.
 type Window struct {
 	Name     string
 	Days     [7]bool // by time.Weekday: the days on which it opens
@@ -24,6 +24,7 @@
 // DateRange is a range of dates, both included, as year*10000 + month*100 + day.
 type DateRange struct{ First, Last int }
 
+// minutesPerDay is the time of day 24:00, in minutes after midnight.
 const minutesPerDay = 24 * 60
 
 // dateNumber returns a date in the form that DateRange uses.
--- a/internal/plan/event.go
+++ b/internal/plan/event.go
@@ -10,14 +10,14 @@
 
 // The kinds of events.
 const (
-	EventTick         EventKind = "tick"
-	EventFleetShare   EventKind = "reached"
-	EventCapConfirmed EventKind = "heard"
-	EventVote         EventKind = "vote"
-	EventApproval     EventKind = "approve"
-	EventHold         EventKind = "hold"
+	EventTick         EventKind = "tick"    // time has passed
+	EventFleetShare   EventKind = "reached" // a share of the fleet runs the build
+	EventCapConfirmed EventKind = "heard"   // no sentry sends the build more than a cap any longer
+	EventVote         EventKind = "vote"    // a sentry has voted
+	EventApproval     EventKind = "approve" // a member has granted an approval
+	EventHold         EventKind = "hold"    // no wave may start until a resume
 	EventResume       EventKind = "resume"
-	EventRollBack     EventKind = "back"
+	EventRollBack     EventKind = "back" // a manual roll-back
 )
 
 // Event is an event of a release, as it is stored on disk. Which fields are set depends on the kind.
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -52,7 +52,7 @@
 	Valid time.Duration // how long a member's approval is valid
 }
 
-// Problem is a problem of a plan, in an attribute of a block of the plan's file.
+// Problem is an error in a plan, with the block and the attribute of the plan's file that have to change.
 type Problem struct {
 	BlockType string
 	Index     int    // among the blocks of this type
@@ -65,7 +65,8 @@
 	return fmt.Sprintf("%s %d, %s: %s", p.BlockType, p.Index, p.Attribute, p.Text)
 }
 
-// Check finds the problems that keep a plan from being completed when it starts at the given time.
+// Check returns the problems of a plan that starts at the given time: conditions that can never be met, waves that go
+// backwards or do not end in a complete release, and parts that are declared twice or never used.
 func (p *Plan) Check(now time.Time) (problems []Problem) {
 	addProblem := func(blockType string, index int, attribute, format string, args ...any) {
 		problems = append(problems, Problem{blockType, index, attribute, fmt.Sprintf(format, args...)})
--- a/internal/plan/release.go
+++ b/internal/plan/release.go
@@ -29,9 +29,9 @@
 )
 
 type (
-	// Sentry is the position of a sentry.
+	// Sentry is the index of a sentry, from 0 to Plan.Sentries-1.
 	Sentry int
-	// Member is a member of a group of approvers.
+	// Member is the name of a member of a group.
 	Member string
 )
 
--- a/internal/release/kill_test.go
+++ b/internal/release/kill_test.go
@@ -45,7 +45,7 @@
 }
 
 // A process that is killed at any time restarts with the state that it printed last, or a later one, never an earlier one.
-// No wave and no approval occurs twice. The flag -kills sets the number of kills; 300 take about 15 s.
+// An earlier one would let a wave or an approval occur twice. The flag -kills sets the number of kills; 300 take about 15 s.
 func TestKills(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "state")
 	random := rand.New(rand.NewSource(time.Now().UnixNano()))
--- a/internal/release/pages.go
+++ b/internal/release/pages.go
@@ -22,7 +22,13 @@
 	return w.checkFreelist()
 }
 
-// Page flags and sizes in bytes of bbolt's file format, and a bound on the depth of its B+ tree.
+// Page flags and sizes in bytes of bbolt's file format, and a bound on the depth of its B+ tree. In the functions below,
+// these fields are at these offsets, with their sizes in bytes:
+//   - page header: ID 0 (8), flags 8 (2), element count 10 (2), overflow pages 12 (4)
+//   - meta page, after the header: magic number 0 (4), page size 8 (4), root page 16 (8), freelist page 32 (8), page count
+//     40 (8), transaction 48 (8), checksum 56 (8)
+//   - branch element: offset of the key 0 (4), its length 4 (4), page 8 (8)
+//   - leaf element: kind 0 (4), offset of the key 4 (4), its length 8 (4), length of the value 12 (4)
 const (
 	branchFlag, leafFlag, freelistFlag = 0x01, 0x02, 0x10
 
@@ -166,7 +172,7 @@
 	}
 	offset := uint64(pageHeaderSize)
 	byteOrder := binary.NativeEndian
-	if count == 0xFFFF {
+	if count == 0xFFFF { // does not fit into the header: the length precedes the pages
 		count, offset = byteOrder.Uint64(body[pageHeaderSize:]), pageHeaderSize+8
 	}
 	if flags != freelistFlag || count > (uint64(len(body))-offset)/8 {
--- a/internal/release/read.go
+++ b/internal/release/read.go
@@ -164,7 +164,7 @@
 // nameIndex returns the index in names of the name that an attribute gives.
 func nameIndex(b *hclread.Body, attribute string, names []string) int {
 	if len(names) == 0 {
-		b.Errorf("%s %s: the file has no %s, expected one", b.Kind, b.Labels[0], attribute)
+		b.Errorf("%s %s: the file has no %s, expected one", b.BlockType, b.Labels[0], attribute)
 		return 0
 	}
 	return b.Enum(attribute, true, 0, names...)
@@ -186,4 +186,5 @@
 	return indexes
 }
 
+// duration converts microseconds.
 func duration(m logic.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/release/read_test.go
+++ b/internal/release/read_test.go
@@ -17,6 +17,7 @@
 	return string(data)
 }
 
+// The example plan has the expected schedule.
 func TestTheExample(t *testing.T) {
 	p, err := Parse("plan.hcl", []byte(exampleSource(t)), now)
 	if err != nil {
@@ -72,6 +73,7 @@
 	}
 }
 
+// No file makes reading it or computing the schedule of its plan panic.
 func FuzzParse(f *testing.F) {
 	data, err := os.ReadFile("../../deploy/plan.hcl")
 	if err != nil {
--- a/internal/release/store.go
+++ b/internal/release/store.go
@@ -20,11 +20,11 @@
 type Store struct {
 	db                  *bbolt.DB
 	release             *plan.Release
-	nextEvent           uint64 // its number
+	nextEvent           uint64 // number of the next event
 	checksum            uint64 // of the last record
 	eventsSinceSnapshot int
-	snapshotInterval    int // in events
-	planHash            uint64
+	snapshotInterval    int    // in events
+	planHash            uint64 // of the release's plan
 }
 
 // CorruptStoreError reports a file that is damaged.
@@ -35,6 +35,8 @@
 	return fmt.Sprintf("%s: found %s, expected an intact file; restore a copy of it, or move it away and start the plan again", e.File, e.Problem)
 }
 
+// Buckets and keys of the file. The first holds the events by number, the second the snapshot. Each value is a checksum of
+// 8 bytes, and then JSON.
 var (
 	eventsBucket = []byte("events")
 	headBucket   = []byte("head")
@@ -97,7 +99,7 @@
 // planHash returns a hash that identifies a plan.
 func planHash(p *plan.Plan) uint64 {
 	text, err := json.Marshal(p)
-	if err != nil { // no value is beyond JSON: caps and shares have been checked
+	if err != nil { // JSON can represent every value: caps and shares have been checked
 		panic(err)
 	}
 	for i := range p.Windows {
