--- a/internal/hclread/guard.go
+++ b/internal/hclread/guard.go
@@ -24,7 +24,7 @@
 	levels, operators := []level{{open: hclsyntax.TokenOBrace}}, 0
 	for _, t := range tokens {
 		current := &levels[len(levels)-1]
-		if t.Type == hclsyntax.TokenTemplateControl { // if or for of a template: the nesting goes on after its braces
+		if t.Type == hclsyntax.TokenTemplateControl { // an if or for of a template also nests the text after its braces
 			current.operators++
 			operators++
 		}
--- a/internal/plan/event.go
+++ b/internal/plan/event.go
@@ -16,8 +16,8 @@
 	EventVote         EventKind = "vote"    // a sentry has voted
 	EventApproval     EventKind = "approve" // a member has granted an approval
 	EventHold         EventKind = "hold"    // no wave may start until a resume
-	EventResume       EventKind = "resume"
-	EventRollBack     EventKind = "back" // a manual roll-back
+	EventResume       EventKind = "resume"  // waves may start, the next one despite its own hold
+	EventRollBack     EventKind = "back"    // a manual roll-back
 )
 
 // Event is an event of a release, as it is stored on disk. Which fields are set depends on the kind.
--- a/internal/plan/release.go
+++ b/internal/plan/release.go
@@ -218,7 +218,7 @@
 			return r.startRollBack()
 		}
 	}
-	if state.Phase == OnTrial && state.Ready.IsZero() && state.Fleet >= r.Plan.Waves[state.Wave].Share { // the fleet can carry the cap from now on
+	if state.Phase == OnTrial && state.Ready.IsZero() && state.Fleet >= r.Plan.Waves[state.Wave].Share { // the fleet has the capacity for the cap from now on
 		state.Ready, state.Cap = state.Now, r.Plan.Waves[state.Wave].Cap
 		actions = append(actions, Action{Kind: SendStatus, Phase: OnTrial, Wave: state.Wave, Cap: state.Cap})
 	}
--- a/internal/plan/release_test.go
+++ b/internal/plan/release_test.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// For random events in random order, waves start only when all of their conditions hold, caps rise only when the fleet can
-// carry them and never after a roll-back has started, and the fleet moves back only when no sentry sends to the build.
+// For random events in random order, waves start only when all of their conditions hold, caps rise only when the fleet
+// has the wave's share and never after a roll-back has started, and the fleet moves back only when no sentry sends to the build.
 func TestSchedules(t *testing.T) {
 	released, withdrawn := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/release/kill_test.go
+++ b/internal/release/kill_test.go
@@ -28,7 +28,7 @@
 		r := plan.New(p, time.Hour)
 		s, err := OpenStore(file, r, 16)
 		if err != nil {
-			fmt.Println("fault", err)
+			fmt.Println("error", err)
 			os.Exit(1)
 		}
 		random, grantNumber := rand.New(rand.NewSource(time.Now().UnixNano())), int(s.EventCount())
--- a/internal/routes/try.go
+++ b/internal/routes/try.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// WriteExplanation writes the worst-case costs of definitions and routes and the dimensions of the index. It lists the
-// maxLines routes with the highest costs, or all if maxLines is negative.
+// WriteExplanation writes the worst-case costs of definitions and routes, the dimensions of the index, and the warnings. It
+// lists the maxLines routes with the highest costs, or all if maxLines is negative.
 func (s *RouteSet) WriteExplanation(w io.Writer, maxLines int) {
 	out := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintf(out, "%d attributes, %d named expressions, cost limit of an expression %d steps\n", len(s.Schema.Attributes),
