--- a/internal/plan/release.go
+++ b/internal/plan/release.go
@@ -29,9 +29,9 @@
 )
 
 type (
-	// Sentry is the position of a sentry.
+	// Sentry is the index of a sentry, from 0 to Plan.Sentries-1.
 	Sentry int
-	// Member is a member of a group of approvers.
+	// Member is the name of a member of a group.
 	Member string
 )
 
@@ -218,7 +218,7 @@
 			return r.startRollBack()
 		}
 	}
-	if state.Phase == OnTrial && state.Ready.IsZero() && state.Fleet >= r.Plan.Waves[state.Wave].Share { // the fleet can carry the cap from now on
+	if state.Phase == OnTrial && state.Ready.IsZero() && state.Fleet >= r.Plan.Waves[state.Wave].Share { // the fleet has the capacity for the cap from now on
 		state.Ready, state.Cap = state.Now, r.Plan.Waves[state.Wave].Cap
 		actions = append(actions, Action{Kind: SendStatus, Phase: OnTrial, Wave: state.Wave, Cap: state.Cap})
 	}
