--- a/Makefile
+++ b/Makefile
@@ -1,12 +1,13 @@
-# `make` builds the commands, `make bad-day` runs the drill bad-day, `make test` runs the tests, and `make proto` generates the
-# protocol code (it needs protoc).
+# `make` builds the commands, `make bad-day` runs the drill bad-day, `make test` runs the tests, `make proto` generates the
+# protocol code (it needs protoc), and `make bench` measures a sentry against the bare relay.
 .PHONY: build bad-day test proto bench
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
 bad-day: build
 	bin/scalechute drill drills/bad-day.hcl --out found/bad-day
 # SKIP is a pattern of tests to skip; CI sets it from KNOWN-RED.txt. The drills in cmd/scalechute run after all other tests, so
-# that they have the machine to themselves: a process that gets too little CPU time misses the deadlines that a drill audits.
+# that they have the machine to themselves: a drill audits by the clock of one process, and a process that gets too little CPU
+# time misses its deadlines.
 test:
 	go test -race -timeout 8m -count=1 $${SKIP:+"-skip=$$SKIP"} $$(go list ./... | grep -v /cmd/scalechute$$)
 	go test -race -timeout 8m -count=1 $${SKIP:+"-skip=$$SKIP"} ./cmd/scalechute
--- a/cmd/scalechute/drill.go
+++ b/cmd/scalechute/drill.go
@@ -14,14 +14,14 @@
 
 // drillCommand returns the command that runs a drill and audits it.
 func drillCommand() *cobra.Command {
-	var outDir, breachName, dayFile string
+	var outDir, faultName, dayFile string
 	var noBaseline bool
 	c := &cobra.Command{
 		Use:   "drill FILE [--out DIR] [--break RULE] [--from-day DAY]",
-		Short: "Run a scripted drill with faults on loopback and audit the five rules; exit 0 only if all rules are kept",
+		Short: "Run a scripted drill with faults on loopback and audit the five rules; exit 0 only if the drill passes",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if _, err := sentry.ParseBreach(breachName); err != nil {
+			if _, err := sentry.ParseBreach(faultName); err != nil {
 				return err
 			}
 			scenario, err := drill.Load(args[0])
@@ -47,14 +47,14 @@
 				}
 				defer os.RemoveAll(outDir)
 			}
-			options := drill.Options{Program: selfCommand(executable), Dir: filepath.Join(outDir, "module"), BrokenRule: breachName,
+			options := drill.Options{Program: selfCommand(executable), Dir: filepath.Join(outDir, "module"), InjectedFault: faultName,
 				Logf: func(format string, a ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", a...) }}
 			result, err := drill.Run(scenario, options)
 			if err != nil {
 				return err
 			}
 			results := []*drill.Result{result}
-			if scenario.RunBaseline && !noBaseline && breachName == "" {
+			if scenario.RunBaseline && !noBaseline && faultName == "" {
 				options.RandomWorkers, options.Dir = true, filepath.Join(outDir, "random")
 				options.Logf("the same drill with workers chosen at random:")
 				baseline, err := drill.Run(scenario, options)
@@ -65,13 +65,13 @@
 			}
 			drill.Print(c.OutOrStdout(), results...)
 			if !result.Passed() {
-				return errors.New("the rules are not kept")
+				return errors.New("the drill did not pass: a rule is violated, a try is not closed, or a hand-off has another profile or key than intended")
 			}
 			return nil
 		},
 	}
 	c.Flags().StringVar(&outDir, "out", "", "directory for reports and the sentries' settings and logs; if empty, a temporary one that is removed")
-	c.Flags().StringVar(&breachName, "break", "", "have the first sentry break a rule on purpose: answer, effect, drain, cold or exposure")
+	c.Flags().StringVar(&faultName, "break", "", "inject a fault into the first sentry that breaks a rule: answer, effect, drain, cold or exposure")
 	c.Flags().StringVar(&dayFile, "from-day", "", "take the faults and releases of a day file of the benchmark, scaled to this drill")
 	c.Flags().BoolVar(&noBaseline, "no-baseline", false, "skip the baseline run even if the file requests it")
 	return c
--- a/cmd/scalechute/drill_test.go
+++ b/cmd/scalechute/drill_test.go
@@ -26,20 +26,20 @@
 	os.Exit(m.Run())
 }
 
-// runDrill runs a drill in a temporary directory. If a breach is named, the first sentry breaks that rule on purpose.
-func runDrill(t *testing.T, scenario *drill.Scenario, breachName string) *drill.Result {
+// runDrill runs a drill in a temporary directory. If a fault is named, it is injected into the first sentry.
+func runDrill(t *testing.T, scenario *drill.Scenario, faultName string) *drill.Result {
 	t.Helper()
-	return runDrillIn(t, t.TempDir(), scenario, breachName)
+	return runDrillIn(t, t.TempDir(), scenario, faultName)
 }
 
-// runDrillIn runs a drill in a directory. If it cannot run, it logs the sentries' logs.
-func runDrillIn(t *testing.T, dir string, scenario *drill.Scenario, breachName string) *drill.Result {
+// runDrillIn does the same in a given directory. If the drill cannot run, it prints the sentries' logs and fails the test.
+func runDrillIn(t *testing.T, dir string, scenario *drill.Scenario, faultName string) *drill.Result {
 	t.Helper()
 	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := drill.Run(scenario, drill.Options{Program: []string{executable}, Dir: dir, BrokenRule: breachName, Logf: t.Logf})
+	r, err := drill.Run(scenario, drill.Options{Program: []string{executable}, Dir: dir, InjectedFault: faultName, Logf: t.Logf})
 	if err != nil {
 		logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 		for _, l := range logs {
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestBreaches checks that the audit reports the rule that a sentry breaks on purpose, and no other rule.
-func TestBreaches(t *testing.T) {
+// TestInjectedFaults checks that the audit reports the rule that a sentry breaks on purpose, and no other rule.
+func TestInjectedFaults(t *testing.T) {
 	for i, name := range sentry.BreachNames {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -104,7 +104,7 @@
 				t.Errorf("no worker was overloaded\n%s", formatResult(r))
 			}
 			if !slices.Equal(r.Violated, []int{i + 1}) {
-				t.Errorf("rules %v broken, expected %d\n%s", r.Violated, i+1, formatResult(r))
+				t.Errorf("rules %v violated, expected %d\n%s", r.Violated, i+1, formatResult(r))
 			}
 		})
 	}
--- a/cmd/scalechute/main.go
+++ b/cmd/scalechute/main.go
@@ -38,9 +38,9 @@
 	return c
 }
 
-// sentryCommand returns the command that runs one sentry.
+// sentryCommand returns the command that runs one sentry until it has drained after SIGTERM or SIGINT.
 func sentryCommand() *cobra.Command {
-	var configFile, levelName, breachName, profileFile string
+	var configFile, levelName, faultName, profileFile string
 	var random, onPlatform bool
 	var pollInterval time.Duration
 	c := &cobra.Command{
@@ -49,7 +49,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if onPlatform {
-				return servePlatform(levelName, breachName)
+				return servePlatform(levelName, faultName)
 			}
 			if configFile == "" {
 				return errors.New("found neither --config nor --platform, expected one")
@@ -62,15 +62,15 @@
 			if err != nil {
 				return fmt.Errorf("level: found %q, expected debug, info, warn or error", levelName)
 			}
-			breach, err := sentry.ParseBreach(breachName)
+			fault, err := sentry.ParseBreach(faultName)
 			if err != nil {
 				return err
 			}
 			zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
 			log := zerolog.New(os.Stderr).Level(level).With().Timestamp().
 				Int("sentry", int(settings.Policy.Position)).Logger()
-			if breach != sentry.NoBreach {
-				log.Warn().Str("rule", breachName).Msg("fault injection: this sentry breaks a rule on purpose")
+			if fault != sentry.NoBreach {
+				log.Warn().Str("rule", faultName).Msg("injected fault: this sentry breaks a rule on purpose")
 			}
 			if profileFile != "" {
 				f, err := os.Create(profileFile)
@@ -86,7 +86,7 @@
 			signals, hangups := make(chan os.Signal, 1), make(chan os.Signal, 1)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 			signal.Notify(hangups, syscall.SIGHUP)
-			options := sentry.Options{Log: log, Breach: breach}
+			options := sentry.Options{Log: log, Breach: fault}
 			if random {
 				log.Warn().Msg("choosing workers at random, as a baseline")
 				options.Decide = baseline.NewRandom(settings.Policy, settings.Endpoints.Seed).Apply
@@ -113,7 +113,7 @@
 	}
 	c.Flags().StringVar(&configFile, "config", "", "the sentry's settings file (HCL)")
 	c.Flags().StringVar(&levelName, "level", "info", "minimum level of log lines: debug, info, warn or error")
-	c.Flags().StringVar(&breachName, "break", "", "break a rule on purpose: answer, effect, drain, cold or exposure; with --platform close, skip or swap")
+	c.Flags().StringVar(&faultName, "break", "", "inject a fault that breaks a rule: answer, effect, drain, cold or exposure; with --platform a guarantee: close, skip or swap")
 	c.Flags().StringVar(&profileFile, "profile", "", "write a CPU profile of the whole run to this file")
 	c.Flags().DurationVar(&pollInterval, "watch", time.Second, "interval at which the settings files are checked for changes; 0: only at SIGHUP")
 	c.Flags().BoolVar(&onPlatform, "platform", false, "run on the operators' platform, with the configuration that EDGE_CONFIG names")
--- a/cmd/scalechute/platform.go
+++ b/cmd/scalechute/platform.go
@@ -19,7 +19,7 @@
 // servePlatform runs one sentry on the platform, with the configuration that EDGE_CONFIG names. After SIGTERM it drains and
 // returns. The metrics page, the file of the cached list and the watch on the configuration file are off, because the
 // platform makes no provision for them.
-func servePlatform(levelName, breachName string) error {
+func servePlatform(levelName, faultName string) error {
 	// Signals are registered first, so that one that arrives during the start is handled once the sentry runs.
 	signals, hangups := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -40,7 +40,7 @@
 	debug.SetMemoryLimit(config.MemoryMB << 20 * 6 / 10)
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
 	log := zerolog.New(os.Stderr).Level(level).With().Timestamp().Str("sentry", config.Name).Logger()
-	breach, err := platform.ParseBreach(breachName)
+	fault, err := platform.ParseBreach(faultName)
 	if err != nil {
 		return err
 	}
@@ -48,9 +48,9 @@
 	if err != nil {
 		return err
 	}
-	transport.SetBreach(breach)
-	if breach != platform.NoBreach {
-		log.Warn().Str("promise", breachName).Msg("fault injection: this sentry violates a guarantee on purpose")
+	transport.SetBreach(fault)
+	if fault != platform.NoBreach {
+		log.Warn().Str("promise", faultName).Msg("injected fault: this sentry violates a guarantee on purpose")
 	}
 	s, err := sentry.Start(config.Settings, sentry.Options{Log: log, Transport: transport, CachedList: config.InitialList})
 	if err != nil {
--- a/cmd/scalechute/platform_test.go
+++ b/cmd/scalechute/platform_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// TestNoConfiguration checks that the process reports a missing configuration in one line and exits.
+// TestNoConfiguration checks that the process reports a missing configuration in one line and exits, before it listens.
 func TestNoConfiguration(t *testing.T) {
 	for env, want := range map[string]string{"EDGE_CONFIG=": "EDGE_CONFIG: found nothing", "EDGE_CONFIG=/nowhere": "/nowhere"} {
 		process := exec.Command(os.Args[0], "sentry", "--platform")
--- a/cmd/scalechute/soak.go
+++ b/cmd/scalechute/soak.go
@@ -18,14 +18,14 @@
 	var seed uint64
 	var runs, pipelineDepth, clients, answerBytes int
 	var pause time.Duration
-	var breachName string
+	var faultName string
 	var showLog bool
 	c := &cobra.Command{
 		Use:   "soak --seed N --runs N",
 		Short: "Run the real process under SIGHUP, SIGTERM and SIGKILL and print one line per run; exit 0 only if every guarantee holds",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if _, err := platform.ParseBreach(breachName); err != nil {
+			if _, err := platform.ParseBreach(faultName); err != nil {
 				return err
 			}
 			executable, err := os.Executable()
@@ -42,8 +42,8 @@
 				if pipelineDepth > 0 {
 					plan = soak.PipelinePlan(seed+run, clients, pipelineDepth, pause, answerBytes)
 				}
-				if breachName != "" {
-					plan = soak.FaultPlan(seed+run, breachName)
+				if faultName != "" {
+					plan = soak.FaultPlan(seed+run, faultName)
 				}
 				result, err := soak.Run(plan, options)
 				if err != nil {
@@ -69,7 +69,7 @@
 	c.Flags().IntVar(&clients, "clients", 20, "number of clients, with --open")
 	c.Flags().IntVar(&answerBytes, "answer", 64, "size of an answer in bytes, with --open")
 	c.Flags().DurationVar(&pause, "pause", 0, "maximum pause before the next request, with --open")
-	c.Flags().StringVar(&breachName, "break", "", "have the process violate a guarantee on purpose: close, skip or swap")
+	c.Flags().StringVar(&faultName, "break", "", "inject a fault that violates a guarantee into the process: close, skip or swap")
 	c.Flags().BoolVar(&showLog, "log", false, "print the log of the process")
 	return c
 }
--- a/cmd/scalechute/soak_test.go
+++ b/cmd/scalechute/soak_test.go
@@ -26,9 +26,9 @@
 // or must be unread in a way that its client sees.
 //
 // It guards against a drain that closes a connection only when no request on it is open or unread. A client that sends its
-// next request at each answer never leaves such a moment. The process then read requests sent up to 1.59 s after SIGTERM and
-// was still running when the kill was due, which left unanswered requests on 9 to 18 of 20 connections. With one open request
-// per connection it left none.
+// next request at each answer never leaves such a moment. On connections opened before SIGTERM, the process then read requests
+// sent up to 1.59 s after it and handed them on to servers. It was still running when the kill was due, which left unanswered
+// requests on 9 to 18 of 20 connections. With one open request per connection it left none.
 func TestPipelinesEndBeforeTheKill(t *testing.T) {
 	for _, c := range []struct {
 		open  int
@@ -46,16 +46,16 @@
 	}
 }
 
-// TestSoakNamesEachBreak checks that the audit reports each injected fault as the outcome that it causes.
-func TestSoakNamesEachBreak(t *testing.T) {
-	for breachName, want := range map[string]soak.Outcome{"close": soak.Dropped, "skip": soak.Skipped, "swap": soak.Swapped} {
-		result, err := soak.Run(soak.FaultPlan(1, breachName), soak.Options{Program: []string{os.Args[0]}})
+// TestSoakReportsEachInjectedFault checks that the audit reports each injected fault as the outcome that it causes.
+func TestSoakReportsEachInjectedFault(t *testing.T) {
+	for faultName, want := range map[string]soak.Outcome{"close": soak.Dropped, "skip": soak.Skipped, "swap": soak.Swapped} {
+		result, err := soak.Run(soak.FaultPlan(1, faultName), soak.Options{Program: []string{os.Args[0]}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Log(result)
 		if result.Passed() || result.Requests[want] == 0 {
-			t.Errorf("--break %s: %v, expected %v", breachName, result, want)
+			t.Errorf("--break %s: %v, expected %v", faultName, result, want)
 		}
 	}
 }
--- a/cmd/scalechute/syscall_fault_test.go
+++ b/cmd/scalechute/syscall_fault_test.go
@@ -17,8 +17,8 @@
 const requestsPerCase = 60
 
 // TestSystemCallFaults injects errors that Linux documents into the system calls of the real program: several in a row, or one
-// call in a few. Each request must get exactly one answer, and the process must go on and serve requests. strace injects the
-// errors; .ci/run installs it.
+// call in a few. Each request must get exactly one answer, and the process must go on and serve requests between and after
+// the errors. strace injects them; .ci/run installs it.
 func TestSystemCallFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		inject string
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -71,7 +71,7 @@
 	Try            string              `json:"try,omitempty"` // the client's name of the try; the hand-offs of the try carry the same name
 	Profile        logic.ProfileID     `json:"profile,omitempty"`
 	Key            logic.Key           `json:"key,omitempty"`
-	Duration       logic.Micros        `json:"span,omitempty"` // TrySent, HandOffReceived: until its deadline
+	Duration       logic.Micros        `json:"span,omitempty"` // TrySent, HandOffReceived: until its deadline; ConfigChanged: until it is applied at the latest
 	Outcome        Outcome             `json:"outcome,omitempty"`
 	Worker         logic.WorkerID      `json:"worker,omitempty"`
 	HandOffNumber  uint64              `json:"hand_off,omitempty"` // number of the hand-off at its worker, the same in all of its events
@@ -97,7 +97,7 @@
 	Timeline    []string     `json:"timeline"`
 }
 
-// String returns the violation with its timeline, a line for each event.
+// String returns the violation and its timeline, with one line for each event.
 func (v Violation) String() string {
 	return fmt.Sprintf("rule %d at %.3f s: %s\n  %s", v.Rule, float64(v.At)/1e6, v.Description, strings.Join(v.Timeline, "\n  "))
 }
@@ -161,7 +161,7 @@
 	maxAge   logic.Micros // without a watch, what was listed this long ago counts as known to the sentry
 }
 
-// auditor holds the events of a record by what the checks look them up by.
+// auditor holds the events of a record, indexed as the checks need them.
 type auditor struct {
 	config           *logic.Config
 	slack            logic.Micros
@@ -221,7 +221,7 @@
 }
 
 // checkUnderConfigs runs a check under each configuration that a sentry may have had between two times. Violations count
-// only if there are some under every one of these configurations.
+// only if every one of these configurations has some; those under the last configuration are then reported.
 func (a *auditor) checkUnderConfigs(sentry logic.SentryID, from, to logic.Micros, check func()) {
 	configs := []*logic.Config{a.config}
 	for i := range a.configChanges[sentry] {
@@ -342,8 +342,8 @@
 	return len(accesses) > 0 && accesses[len(accesses)-1].watching
 }
 
-// addAssumedEntries adds the list entries that count as known to a sentry although none was sent to it: a sentry that
-// does not watch the list, and has not requested it for listAccess.maxAge, is assumed to know what was listed that long ago.
+// addAssumedEntries adds the list entries that count as known to a sentry although none was sent to it. A sentry that does
+// not watch the list, and has not requested it for listAccess.maxAge, is assumed to know what was listed that long ago.
 func (a *auditor) addAssumedEntries() {
 	if !a.config.ListOnRequest {
 		return
@@ -490,7 +490,8 @@
 	return false
 }
 
-// checkEffect checks rule 2: a transaction runs more than once only as far as its profile allows.
+// checkEffect checks rule 2: after a hand-off that may have run, a transaction is handed off again or deferred only as its
+// profile allows, and two hand-offs are in flight at once only if hedging is allowed.
 func (a *auditor) checkEffect(t *tryRecord) {
 	if int(t.sent.Profile) >= len(a.config.Profiles) {
 		return // it was taken under another configuration
@@ -535,7 +536,7 @@
 	}
 }
 
-// checkDrain checks rule 3: after the drain grace a worker that drains or is gone gets no hand-offs.
+// checkDrain checks rule 3: once the drain grace is over, a worker that drains or is gone gets no new hand-offs.
 func (a *auditor) checkDrain() {
 	for _, h := range a.handOffs {
 		a.checkUnderConfigs(h.Sentry, h.At, h.At, func() { a.checkDrained(h) })
@@ -622,7 +623,8 @@
 	}
 }
 
-// knewOfStart reports whether a sentry had received the list entry of a started worker by a time.
+// knewOfStart reports whether a sentry had received, by a time, a list entry that was sent after a worker's start and says
+// that the worker is ready.
 func (a *auditor) knewOfStart(sentry logic.SentryID, start *Event, at logic.Micros) bool {
 	return slices.ContainsFunc(a.listEntries[sentry][start.Worker], func(e Event) bool {
 		return e.At >= start.At && e.At <= at && e.WorkerState == logic.Ready
@@ -671,7 +673,7 @@
 	}
 }
 
-// statusAt returns the latest status that had been sent to a sentry by a time, nil if there was none.
+// statusAt returns the latest valid status that had been sent to a sentry by a time, nil if there was none.
 func (a *auditor) statusAt(sentry logic.SentryID, at logic.Micros) *Event {
 	var latest *Event
 	for i := range a.statuses[sentry] {
@@ -683,7 +685,8 @@
 }
 
 // trialLimits reports whether a hand-off went to a build on trial, the largest cap that may have applied to it, and the
-// time since which hand-offs count against that cap.
+// time since which hand-offs count against that cap. A later build than that of the latest status counts as on trial in its
+// first stage.
 func (a *auditor) trialLimits(sentry logic.SentryID, h *handOff) (onTrial bool, maxCap float64, since logic.Micros) {
 	latest := a.statusAt(sentry, h.At)
 	if latest == nil {
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -73,7 +73,8 @@
 	return r.add(at, Event{Kind: StatusSent, Status: status})
 }
 
-// Each case violates the one rule given, or none (0). Cases just within a rule's limits violate none.
+// TestRules checks that each record violates the one rule given, or none (0). Records just within a rule's limits violate
+// none.
 func TestRules(t *testing.T) {
 	trial := logic.ReleaseStatus{Build: 11, Phase: logic.OnTrial, Cap: 0.5}
 	onTrial := func(at logic.Micros, r *record, try string, key logic.Key) *record {
@@ -171,8 +172,8 @@
 		{"cold worker within its limit", 0, overload(990, 0)},
 		{"cold worker over its limit by a sentry that does not know of it", 0, overload(1000, 1)},
 
-		{"exposure within free and cap", 0, onTrial(400, onTrial(300, newRecord().status(200, trial), "a", ""), "b", "")},
-		{"exposure over free and cap", 5, onTrial(360, onTrial(340, onTrial(320, newRecord().status(200, trial), "a", ""), "b", ""), "c", "")},
+		{"exposure within the free exposure and the cap", 0, onTrial(400, onTrial(300, newRecord().status(200, trial), "a", ""), "b", "")},
+		{"exposure over the free exposure and the cap", 5, onTrial(360, onTrial(340, onTrial(320, newRecord().status(200, trial), "a", ""), "b", ""), "c", "")},
 		{"exposure over two windows", 0, onTrial(2300, onTrial(1200, onTrial(300, newRecord().status(200, trial), "a", ""), "b", ""), "c", "")},
 		{"exposure after the cap was lowered, within the grace", 0, onTrial(700, newRecord().status(200, trial).
 			status(300, logic.ReleaseStatus{Build: 11, Phase: logic.RollingBack}), "a", "")},
@@ -193,9 +194,9 @@
 			if c.rule == 0 && len(got) > 0 || c.rule > 0 && !slices.Equal(got, []int{c.rule}) {
 				t.Errorf("rules %v violated, expected %d\n%v", got, c.rule, report.Violations)
 			}
-			for _, b := range report.Violations {
-				if len(b.Timeline) == 0 {
-					t.Errorf("found no timeline: %v", b)
+			for _, violation := range report.Violations {
+				if len(violation.Timeline) == 0 {
+					t.Errorf("found no timeline: %v", violation)
 				}
 			}
 			// Events may come in any order.
@@ -237,7 +238,8 @@
 	return r
 }
 
-// Hand-offs with another profile or key than their client intended are counted, and violate no rule.
+// TestMisrouted checks that hand-offs with another profile or key than their client intended are counted, and violate no
+// rule.
 func TestMisrouted(t *testing.T) {
 	for want, record := range []*record{
 		newRecord().send(10, "a", 0).receive(20, "a", 0, "w").endLast(30, HandOffAnswered).answer(31, "a", Satisfied),
--- a/internal/drill/file.go
+++ b/internal/drill/file.go
@@ -26,7 +26,7 @@
 type Scenario struct {
 	Name         string
 	Settings     *orders.Settings
-	sharedSource []byte // source of the blocks of sentry settings
+	sharedSource []byte // the blocks of sentry settings as they are in the file
 	Duration     logic.Micros
 	Slack        logic.Micros // of the audit
 	Seed         int64
@@ -176,7 +176,7 @@
 	return release
 }
 
-// make reads the behavior of a build.
+// make reads the behavior of a build from a block release, or from a block trouble of the kind bad_build.
 func (s *Scenario) make(b *hclread.Body) standin.BuildBehavior {
 	behavior := standin.BuildBehavior{
 		RelativeSpeed: b.Float("speed", false, 1, 0.01, 10), ErrorShare: b.Float("errors", false, 0, 0, 1), FailingProfile: -1,
--- a/internal/drill/result.go
+++ b/internal/drill/result.go
@@ -18,11 +18,11 @@
 // Result is the result of a run.
 type Result struct {
 	Scenario               string          `json:"day"`
-	WorkerSelection        string          `json:"policy"` // module or random
+	WorkerSelection        string          `json:"policy"` // module (the decision module) or random
 	DurationSeconds        float64         `json:"seconds"`
 	Profiles               []ProfileResult `json:"profiles"`
-	ServedInDueTime        float64         `json:"served_in_due_time"` // share of the value of all transactions; late answers add a part
-	HandOffsPerTransaction float64         `json:"hand_offs_a_transaction"`
+	ServedInDueTime        float64         `json:"served_in_due_time"`      // share of the value of all transactions; late answers add a part
+	HandOffsPerTransaction float64         `json:"hand_offs_a_transaction"` // per transaction that a client sent to a sentry, that is, per try
 	HandOffsToLaterBuilds  int             `json:"hand_offs_to_later_builds"`
 	WorkersOverloaded      int             `json:"workers_pushed_over"`
 	StatusChanges          []StatusChange  `json:"builds"`
@@ -30,8 +30,8 @@
 	Violated               []int           `json:"rules_broken"`         // numbers of the violated rules
 	Audit                  audit.Report    `json:"finding"`
 	SlackMicros            logic.Micros    `json:"slack_us"`
-	MaxStallMicros         int64           `json:"hiccup_us"` // longest stall of the recording process
-	BrokenRule             string          `json:"broken_on_purpose,omitempty"`
+	MaxStallMicros         int64           `json:"hiccup_us"`                   // longest stall of the recording process
+	InjectedFault          string          `json:"broken_on_purpose,omitempty"` // as in Options
 	SentryStarts           int             `json:"sentry_starts"`
 }
 
@@ -72,7 +72,7 @@
 	maxStall := r.maxStall
 	r.linkMu.Unlock()
 	result := &Result{Scenario: scenario.Name, WorkerSelection: "module", DurationSeconds: seconds(scenario.Duration),
-		BrokenRule: r.options.BrokenRule, MaxStallMicros: maxStall.Microseconds(),
+		InjectedFault: r.options.InjectedFault, MaxStallMicros: maxStall.Microseconds(),
 		SlackMicros: scenario.Slack + logic.Micros(maxStall.Microseconds())}
 	if r.options.RandomWorkers {
 		result.WorkerSelection = "random"
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -21,7 +21,7 @@
 type Options struct {
 	Program       []string                         // command of this program, which `sentry --config FILE` follows
 	Dir           string                           // for the sentries' files and logs
-	BrokenRule    string                           // rule that the first sentry breaks on purpose, empty if none
+	InjectedFault string                           // of the first sentry: the rule that it breaks on purpose, empty if none
 	RandomWorkers bool                             // sentries choose workers at random instead of by the decision module
 	Logf          func(format string, args ...any) // prints the timeline
 }
@@ -45,7 +45,7 @@
 	discovery      *standin.Discovery
 	control        *standin.ControlPlane
 	fleet          *fleet
-	mu             sync.Mutex
+	mu             sync.Mutex // guards the sentries' processes while the timeline runs
 	sentries       []*sentryProcess
 	clientPools    []*standin.ClientPool // by zone
 	linkMu         sync.Mutex            // guards relays, relayAddresses and maxStall only
@@ -89,7 +89,7 @@
 	r.resetLinks()
 }
 
-// resetLinks gives every link between zones its usual delay.
+// resetLinks gives every link between zones its usual delay, and ends interruptions.
 func (r *runner) resetLinks() {
 	for i, row := range r.impairments {
 		for j, impairment := range row {
@@ -201,8 +201,8 @@
 // startSentry starts a sentry's process and waits until it listens.
 func (r *runner) startSentry(s *sentryProcess) error {
 	args := append(append([]string(nil), r.options.Program[1:]...), "sentry", "--config", s.settingsFile)
-	if r.options.BrokenRule != "" && s.position == 0 {
-		args = append(args, "--break", r.options.BrokenRule)
+	if r.options.InjectedFault != "" && s.position == 0 {
+		args = append(args, "--break", r.options.InjectedFault)
 	}
 	if r.options.RandomWorkers {
 		args = append(args, "--random")
--- a/internal/drill/trouble.go
+++ b/internal/drill/trouble.go
@@ -160,7 +160,8 @@
 	}
 }
 
-// runNeighbour simulates a noisy neighbour: it slows some workers and releases them in turns.
+// runNeighbour simulates a noisy neighbour, a program that takes CPU time on some machines at intervals: their workers are
+// slow and normal in alternation, each for five times the fault's delay.
 func (r *runner) runNeighbour(fault Fault) func() {
 	affected := r.fleet.runningWorkers(fault.First, fault.Count, fault.Zone)
 	done := make(chan struct{})
@@ -193,9 +194,9 @@
 	}
 }
 
-// rewriteSettings rewrites the settings files of some sentries at intervals of the fault's delay, every second time with
-// an error in them, and restores them at the end. Every third time the sentry gets a SIGHUP; otherwise it has to notice
-// the change itself.
+// rewriteSettings rewrites the settings files of some sentries at intervals of the fault's delay, the first and then every
+// second time with an error in them, and restores them at the end. Every third time the sentry gets a SIGHUP; otherwise it
+// has to notice the change itself.
 func (r *runner) rewriteSettings(fault Fault) func() {
 	affected := r.claimSentries(fault)
 	originals := make([][]byte, len(affected))
@@ -242,7 +243,7 @@
 	}
 }
 
-// shift moves a share of one zone's traffic to the next zone.
+// shiftTraffic moves a share of one zone's traffic to the next zone, and returns a function that moves it back.
 func (r *runner) shiftTraffic(fault Fault) func() {
 	from := max(0, fault.Zone)
 	to := (from + 1) % len(r.clientPools)
@@ -258,19 +259,19 @@
 }
 
 // impairLinks sets the impairment of the links from a zone to all others, and if bothWays is set, also of those from the
-// others to the zone.
-func (r *runner) impairLinks(fault Fault, delay time.Duration, cut, bothWays bool) func() {
+// others to the zone. It returns a function that gives them their usual delay again.
+func (r *runner) impairLinks(fault Fault, delay time.Duration, blocked, bothWays bool) func() {
 	zone := max(0, fault.Zone)
-	setLinks := func(delay time.Duration, cut bool) {
+	setLinks := func(delay time.Duration, blocked bool) {
 		for other := range r.impairments {
 			if other != zone {
-				r.impairments[zone][other].Set(delay, cut)
+				r.impairments[zone][other].Set(delay, blocked)
 				if bothWays {
-					r.impairments[other][zone].Set(delay, cut)
+					r.impairments[other][zone].Set(delay, blocked)
 				}
 			}
 		}
 	}
-	setLinks(delay, cut)
+	setLinks(delay, blocked)
 	return func() { setLinks(duration(r.scenario.Fleet.LinkDelay), false) }
 }
--- a/internal/drill/trouble_test.go
+++ b/internal/drill/trouble_test.go
@@ -10,8 +10,8 @@
 	"scalechute/standin"
 )
 
-// Each fault that acts on stand-ins has its effects while it lasts, and none after it has ended. Faults that act on
-// sentry processes are tested by the drills.
+// TestFaultsBeginAndEnd checks that each fault that acts on stand-ins has its effects while it lasts, and none after it has
+// ended. Faults that act on sentry processes are tested by the drills.
 func TestFaultsBeginAndEnd(t *testing.T) {
 	source, err := os.ReadFile("../../drills/breach.hcl")
 	if err != nil {
@@ -126,7 +126,7 @@
 	return -1
 }
 
-// Errors in a drill's file are reported, as those in a sentry's settings are.
+// TestInvalidFiles checks that errors in a drill's file are reported, as those in a sentry's settings are.
 func TestInvalidFiles(t *testing.T) {
 	source, err := os.ReadFile("../../drills/breach.hcl")
 	if err != nil {
