--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -22,16 +22,16 @@
 const (
 	TrySent           Kind = iota // a client sent a transaction
 	TryAnswered                   // a client received a final answer
-	TryNotTaken                   // a client received the answer that its transaction was not taken
+	TryNotTaken                   // a client received the answer that its transaction was not taken, or matches no route
 	TryAbandoned                  // a client gave up, or its connection was lost
 	HandOffReceived               // a worker received a hand-off
 	HandOffExecuted               // a worker executed a hand-off: its effect has happened
 	HandOffAnswered               // a worker answered a hand-off
 	HandOffTurnedAway             // a worker turned a hand-off away: it has not run
-	HandOffDropped                // a hand-off was cancelled, or its connection was lost
+	HandOffDropped                // a hand-off was cancelled, expired in the worker's queue, or lost its connection
 	WorkerStarted                 // a worker started; the event carries its speed
 	WorkerStopped                 // a worker stopped
-	WorkerOverloaded              // a cold worker crashed under more work than it can bear
+	WorkerOverloaded              // a cold worker crashed, because it received more work than the cold-load limit
 	ListEntrySent                 // an entry of the worker list was sent to a sentry
 	WorkerListed                  // discovery lists a worker in this state from now on
 	ListWatched                   // a sentry watches the worker list from now on
@@ -466,7 +466,7 @@
 	case t.abandoned != nil:
 		closedAt = t.abandoned.At
 		if closedAt > a.latestReceipt(sent.Sentry, latest) {
-			a.addViolation(1, closedAt, t, "%s: no answer by its deadline", sent.Try)
+			a.addViolation(1, closedAt, t, "%s: no answer by its deadline plus the answer grace", sent.Try)
 		}
 	default:
 		if a.ranThroughout(sent.Sentry, sent.At, latest) {
@@ -764,7 +764,7 @@
 	if maxCap == 0 && sentCount > 0 {
 		a.addViolation(5, h.At, a.tries[h.Try], "sentry %d handed off to build %d at cap 0", sentry, h.Build)
 	} else if float64(sentCount) > a.config.FreeExposure+maxCap*float64(takenCount) {
-		a.addViolation(5, h.At, a.tries[h.Try], "sentry %d handed off %d to build %d within %d us, took %d; free %g, cap %g",
+		a.addViolation(5, h.At, a.tries[h.Try], "sentry %d made %d hand-offs to build %d within %d us and took %d transactions; free exposure %g, cap %g",
 			sentry, sentCount, h.Build, a.config.ExposureWindow, takenCount, a.config.FreeExposure, maxCap)
 	}
 	latest := a.statusAt(sentry, h.At)
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -110,7 +110,7 @@
 		{"not taken", 0, newRecord().send(100, "a", 0).add(101, Event{Kind: TryNotTaken, Try: "a"})},
 		{"not taken, and handed off", 1, newRecord().send(100, "a", 0).receive(100, "a", 0, "w").add(101, Event{Kind: TryNotTaken, Try: "a"})},
 
-		{"non-idempotent, again after an error", 2, newRecord().send(100, "a", 2).receive(101, "a", 2, "w").endLast(110, HandOffAnswered).
+		{"non-idempotent, again after an answer", 2, newRecord().send(100, "a", 2).receive(101, "a", 2, "w").endLast(110, HandOffAnswered).
 			receive(111, "a", 2, "w2").endLast(120, HandOffAnswered).answer(121, "a", Satisfied)},
 		{"non-idempotent, again after it was turned away", 0, newRecord().send(100, "a", 2).receive(101, "a", 2, "w").
 			endLast(110, HandOffTurnedAway).
--- a/internal/drill/result.go
+++ b/internal/drill/result.go
@@ -43,7 +43,7 @@
 	ServedLate      float64 `json:"late"`        // share of the transactions
 	TriesDeferred   int     `json:"tries_deferred"`
 	TriesWrittenOff int     `json:"tries_written_off"`
-	TriesLost       int     `json:"tries_left_or_lost"`
+	TriesLost       int     `json:"tries_left_or_lost"` // abandoned, lost with their connection, not taken, or not sent for lack of one
 	P50Micros       int64   `json:"p50_us"`
 	P99Micros       int64   `json:"p99_us"`
 }
--- a/internal/measure/match.go
+++ b/internal/measure/match.go
@@ -148,7 +148,7 @@
 			"temp": float64(temp), "urgent": true, "id": "drop-1", "age": 3 * time.Second}
 }
 
-// RunMatch measures with n routes.
+// RunMatch measures finding the route of a transaction among n routes, and checks that the three ways find the same.
 func RunMatch(n int) (*MatchResult, error) {
 	source := []byte("profile \"reading\" {}\n" + routesSource(n))
 	result := &MatchResult{RouteCount: n, LoadTime: time.Hour}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -364,6 +364,7 @@
 	}
 }
 
+// connect opens the connections of the pool.
 func (p *clientPool) connect(address string) error {
 	p.reset()
 	for range p.options.Connections {
@@ -379,6 +380,7 @@
 	return nil
 }
 
+// reset sets the counts and the latencies to zero.
 func (p *clientPool) reset() {
 	p.completed.Store(0)
 	p.satisfied.Store(0)
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -18,8 +18,8 @@
 	Unread                    // not read by the process, and the client can tell
 	Cut                       // unanswered at the kill, but sent so early that the protocol allows it
 	Late                      // answered more than maxLateness after its deadline
-	Skipped                   // answered with another request's value; its own value never arrived
-	Swapped                   // answered with another request's value; its own value arrived for another request
+	Skipped                   // answered with another request's value; its own value never arrived on the connection
+	Swapped                   // answered with another request's value; its own value arrived for another request on the connection
 	Dropped                   // read or received by the process, which closed the connection without an answer
 	Killed                    // unanswered at the kill
 	outcomeCount
@@ -27,6 +27,7 @@
 
 var outcomeNames = [outcomeCount]string{"unanswered", "unsent", "served", "refused", "failed", "unread", "cut", "late", "skipped", "swapped", "dropped", "killed"}
 
+// String returns the name of the outcome, as reports print it.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Violation is a violation of a guarantee that does not concern a single request.
@@ -62,6 +63,7 @@
 	return len(r.Violations) == 0
 }
 
+// String returns the plan and the result in one line.
 func (r *Result) String() string {
 	text := r.Plan.String() + ";"
 	for outcome := Unsent + 1; outcome < outcomeCount; outcome++ {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -19,7 +19,7 @@
 // request is a request that a client has written completely, except possibly for its last write.
 type request struct {
 	id         string
-	sentAt     time.Time // when its last part was written
+	sentAt     time.Time // just before its last part was written
 	endOffset  uint64    // offset of its end in the bytes written to the connection
 	answeredAt time.Time // zero if it has no answer
 	outcome    Outcome
@@ -110,7 +110,8 @@
 	}
 }
 
-// writeRequest writes one request. The request is recorded before its last part is written, since its answer may arrive at once.
+// writeRequest writes one request and reports whether it was written completely. The request is recorded before its last part
+// is written, since its answer may arrive at once.
 func (x *connection) writeRequest() bool {
 	x.requestCount++
 	id := fmt.Sprintf("%s.%d", x.name, x.requestCount)
@@ -135,6 +136,7 @@
 	return true
 }
 
+// writeText writes text to the connection and reports whether all of it was written.
 func (x *connection) writeText(text string) bool {
 	n, err := io.WriteString(x.conn, text)
 	x.writtenBytes += uint64(n)
@@ -173,7 +175,7 @@
 	}
 }
 
-// handleAnswer records an answer for the first open request.
+// handleAnswer records an answer for the first open request. It reports false if no request is open.
 func (x *connection) handleAnswer(value *resp.Value) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -234,6 +236,7 @@
 	}
 }
 
+// tcpInfo returns the kernel's figures for the connection, zero if it has none.
 func (x *connection) tcpInfo() *unix.TCPInfo {
 	info := &unix.TCPInfo{}
 	if raw, err := x.conn.SyscallConn(); err == nil {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -24,7 +24,7 @@
 	maxNewConnectionsPeriod = 400 * time.Millisecond
 	// The process may be paused for this long.
 	pauseDuration = 150 * time.Millisecond
-	// An answer that arrives more than this after its deadline counts as lost.
+	// An answer that arrives more than this after its deadline counts as lost; its outcome is Late.
 	maxLateness = 500 * time.Millisecond
 )
 
@@ -36,7 +36,7 @@
 	Clients        []ClientPlan
 	MaxDescriptors int
 	Processes      []ProcessPlan // one for each start of the process, in order
-	InjectedFault  string        // the guarantee that the process is to violate, as its --break flag takes it; empty if none
+	InjectedFault  string        // violates a guarantee of the process, named as its --break flag takes it; empty if none
 }
 
 // ServerPlan is how one server answers.
@@ -164,8 +164,9 @@
 	return min(p.Deadline, maxCountedDeadline) + killAfterDeadline
 }
 
+// String returns the plan's sizes in one line.
 func (p *Plan) String() string {
-	return fmt.Sprintf("seed %d: %d clients, %d servers, deadline %v, %d descriptors, %d lives",
+	return fmt.Sprintf("seed %d: %d clients, %d servers, deadline %v, %d descriptors, %d processes",
 		p.Seed, len(p.Clients), len(p.Servers), p.Deadline, p.MaxDescriptors, len(p.Processes))
 }
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -33,7 +33,7 @@
 	Log     io.Writer // receives the process's log; may be nil
 }
 
-// Run executes a plan.
+// Run executes a plan and returns its result.
 func Run(p *Plan, o Options) (*Result, error) {
 	x := &run{plan: p, attempts: &attemptCounts{counts: map[string]int{}}, done: make(chan struct{}), result: &Result{Plan: p, Violations: map[Violation]int{}}}
 	x.changed = sync.NewCond(&x.mu)
@@ -167,6 +167,7 @@
 	return !x.finished
 }
 
+// finish ends the run: clients write no more requests and open no more connections.
 func (x *run) finish() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -101,6 +101,7 @@
 	text []byte
 }
 
+// serve reads requests from a connection and answers them in their order, each when it is due.
 func (s *server) serve(c net.Conn) {
 	defer c.Close()
 	due := make(chan delayedAnswer, 1024)
@@ -141,6 +142,7 @@
 // encodeKey returns a key that specifies the size of its answer.
 func encodeKey(id string, answerBytes int) string { return id + "/" + strconv.Itoa(answerBytes) }
 
+// decodeAnswerBytes returns the size that a key specifies, within the bounds of the filler.
 func decodeAnswerBytes(key string) int {
 	_, size, _ := strings.Cut(key, "/")
 	n, _ := strconv.Atoi(size)
--- a/standin/address.go
+++ b/standin/address.go
@@ -7,6 +7,7 @@
 	"sync/atomic"
 )
 
+// triedPorts counts the ports that FreeAddress has tried, so that it tries each once before it starts again.
 var triedPorts atomic.Int64
 
 // FreeAddress returns a loopback address on which nobody listens. Its port is below the range of ephemeral ports, so that a
--- a/standin/client.go
+++ b/standin/client.go
@@ -260,7 +260,7 @@
 	return found
 }
 
-// dial connects to a sentry.
+// dial connects to a sentry, if it can.
 func (c *ClientPool) dial(id logic.SentryID) {
 	conn := &sentryConn{sentry: id, open: map[uint64]*clientTry{}, tryNames: map[uint64]string{}}
 	link, err := wire.Dial(c.addresses[id], 100*time.Millisecond, wire.DefaultLimits,
--- a/standin/control_plane.go
+++ b/standin/control_plane.go
@@ -40,13 +40,13 @@
 	statusSince    logic.Micros // when the status last changed
 	bakingSince    logic.Micros // when all workers of the stage were running, 0 before that
 	votes          map[logic.SentryID]activeVote
-	voteTokens     float64
+	voteTokens     float64 // votes that VotesPerSecond still allows
 	tokensFilledAt logic.Micros
 	done           chan struct{}
-	History        []StatusChange
+	History        []StatusChange // all changes of the status, in order
 }
 
-// StatusChange is a change of the newest build's status.
+// StatusChange is the newest build's status from a time on.
 type StatusChange struct {
 	At     logic.Micros
 	Status logic.ReleaseStatus
@@ -198,7 +198,7 @@
 	}
 }
 
-// broadcastStatus sends the current status to all sentries after the delay.
+// broadcastStatus sends the current status, after the delay, to all sentries that are connected then. The lock is held.
 func (c *ControlPlane) broadcastStatus() {
 	status, since := c.status, c.statusSince
 	time.AfterFunc(c.Delay, func() {
@@ -215,7 +215,8 @@
 	})
 }
 
-// broadcastCounts sends the counts of the period that has ended to all sentries after the delay.
+// broadcastCounts sends the counts of the period that has ended, after the delay, to all sentries that are connected then.
+// The lock is held.
 func (c *ControlPlane) broadcastCounts() {
 	m, ended := &pb.Counts{}, c.env.Now()
 	for key, sum := range c.env.takeCounts() {
@@ -247,6 +248,7 @@
 		Phase: uint32(status.Phase), Cap: status.Cap, Age: uint64(c.env.Now() - since), Fate: result})
 }
 
+// accept handles a sentry's connection: it sends the status at a hello, and answers votes.
 func (c *ControlPlane) accept(l *wire.Link) (wire.Handler, func(*wire.Link, error)) {
 	return func(l *wire.Link, kind wire.Kind, body []byte) error {
 			c.mu.Lock()
--- a/standin/discovery.go
+++ b/standin/discovery.go
@@ -17,8 +17,9 @@
 // Discovery is a stand-in for discovery: it keeps the worker list, and sends its changes to the sentries that watch it.
 type Discovery struct {
 	Delay          time.Duration // until a reported worker is listed
-	RefuseRequests bool
-	// AddressFrom returns the address under which the zone from reaches an address in another zone. It must not take a fleet's lock.
+	RefuseRequests bool          // every request for the list fails
+	// AddressFrom returns the address under which the zone from reaches an address in another zone. It is called with the lock
+	// held, and must not take a fleet's lock.
 	AddressFrom func(address, zone, from string) string
 
 	env         *Environment
@@ -120,6 +121,7 @@
 	}
 }
 
+// accept handles a sentry's connection: it answers requests for the list, and notes whether the sentry watches it.
 func (d *Discovery) accept(link *wire.Link) (wire.Handler, func(*wire.Link, error)) {
 	s := &subscriber{}
 	return func(link *wire.Link, kind wire.Kind, body []byte) error {
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Impairment is the delay or the interruption of the network between two places, in one direction.
+// Impairment is the delay and the interruption of the network between two places, in one direction.
 type Impairment struct {
 	mu      sync.Mutex
 	delay   time.Duration
@@ -65,6 +65,7 @@
 	return r, nil
 }
 
+// serve accepts connections and forwards each in both directions until one of these ends.
 func (r *Relay) serve() {
 	for {
 		in, err := r.listener.Accept()
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -19,7 +19,7 @@
 	Speed          float64
 	WarmUp         logic.Micros // time from a start until the worker has its full speed
 	ColdSpeedShare float64      // share of the speed that the worker has at a start
-	MaxQueue       int          // hand-offs that wait for a core; more are turned away
+	MaxQueue       int          // max hand-offs that wait for a core; more are turned away
 
 	// Injected faults.
 	SlowFactor     float64 // multiplies the time of hand-offs; 1 without a fault
@@ -159,6 +159,7 @@
 
 var errIgnoresFrames = errors.New("reads nothing")
 
+// accept handles a sentry's connection. Hand-offs that are queued or run when the connection is lost are recorded as dropped.
 func (w *Worker) accept(l *wire.Link) (wire.Handler, func(*wire.Link, error)) {
 	w.mu.Lock()
 	runNumber, sentry := w.runNumber, logic.SentryID(-1)
@@ -219,12 +220,14 @@
 		}
 }
 
+// inFlight returns the number of hand-offs that run or are queued.
 func (w *Worker) inFlight() uint32 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return uint32(w.busyCores + len(w.queue))
 }
 
+// event returns an event of the hand-off.
 func (j *job) event(k audit.Kind) audit.Event {
 	return audit.Event{Kind: k, Try: j.try, Worker: j.w.Entry.ID, HandOffNumber: j.number, Sentry: j.sentry, Profile: j.profile}
 }
@@ -269,7 +272,8 @@
 	return nil
 }
 
-// isOverloaded records an arrival and reports whether the work that arrived recently makes a cold worker crash.
+// isOverloaded records an arrival and reports whether the work that arrived within the cold-load window makes a cold worker
+// crash. A warm worker never crashes.
 func (w *Worker) isOverloaded(now logic.Micros, work float64) bool {
 	if now-w.started >= w.WarmUp {
 		w.arrivals = nil
