--- a/cmd/scalechute/discovery_outage_test.go
+++ b/cmd/scalechute/discovery_outage_test.go
@@ -14,15 +14,16 @@
 	"time"
 )
 
-// Limits that the operators' pages set: a change of the list counts as known to the process maxNoticeDelay after discovery had
-// it, whether or not it arrived, and requests to a removed server must have stopped drainGrace after that.
+// Limits that the operators' pages set: a change of the list counts as known to the process maxNoticeDelay after
+// discovery had it, whether or not it arrived, and requests to a removed server must have stopped drainGrace after
+// that.
 const (
 	maxNoticeDelay = 6 * time.Second
 	drainGrace     = 2 * time.Second // drain_grace_ns of platformSettings
 )
 
-// fakeDiscovery serves one list on a watch until disconnect is closed, and then resets the connection. It answers each further
-// call with 503 after 300 ms, as an overloaded discovery does. Without a list it answers every call so.
+// fakeDiscovery serves one list on a watch until disconnect is closed, and then resets the connection. It answers each
+// further call with 503 after 300 ms, as an overloaded discovery does. Without a list it answers every call so.
 type fakeDiscovery struct {
 	address    string
 	calls      atomic.Int64
@@ -196,9 +197,9 @@
 	}
 }
 
-// TestRemovedServerAfterDiscoveryIsLost guards against requests to a removed server while discovery is unreachable and the list
-// is stale (incident 1). A server leaves, and another build later answers under its id and address. Once the change counts as
-// known and the drain grace is over, no request may go there.
+// TestRemovedServerAfterDiscoveryIsLost guards against requests to a removed server while discovery is unreachable and
+// the list is stale (incident 1). A server leaves, and another build later answers under its id and address. Once the
+// change counts as known and the drain grace is over, no request may go there.
 func TestRemovedServerAfterDiscoveryIsLost(t *testing.T) {
 	t.Parallel()
 	removed := newFakeServer(t, "127.0.0.1:0")
@@ -236,8 +237,8 @@
 	}
 }
 
-// TestServerThatAnswersOutlivesDiscovery checks that requests continue to a server that still answers on a connection opened
-// before the outage, because it cannot have left. They continue for as long as discovery is unreachable.
+// TestServerThatAnswersOutlivesDiscovery checks that requests continue to a server that still answers on a connection
+// opened before the outage, because it cannot have left. They continue for as long as discovery is unreachable.
 func TestServerThatAnswersOutlivesDiscovery(t *testing.T) {
 	t.Parallel()
 	server := newFakeServer(t, "127.0.0.1:0")
--- a/cmd/scalechute/drill_test.go
+++ b/cmd/scalechute/drill_test.go
@@ -15,8 +15,8 @@
 	"scalechute/internal/sentry"
 )
 
-// TestMain runs the program itself if SCALECHUTE_COMMAND is set, so that tests can start sentries as processes of the test
-// binary.
+// TestMain runs the program itself if SCALECHUTE_COMMAND is set, so that tests can start sentries as processes of the
+// test binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("SCALECHUTE_COMMAND") != "" {
 		main()
@@ -32,7 +32,8 @@
 	return runDrillIn(t, t.TempDir(), scenario, faultName)
 }
 
-// runDrillIn does the same in a given directory. If the drill cannot run, it prints the sentries' logs and fails the test.
+// runDrillIn does the same in a given directory. If the drill cannot run, it prints the sentries' logs and fails the
+// test.
 func runDrillIn(t *testing.T, dir string, scenario *drill.Scenario, faultName string) *drill.Result {
 	t.Helper()
 	executable, err := os.Executable()
@@ -72,9 +73,9 @@
 	return b.String()
 }
 
-// TestShortDay runs a short drill in which one sentry is killed, one is paused for 3 s, all restart in turn, workers crash, a
-// zone is cut off, and one sentry reloads its routes. Transactions carry attributes only. Every transaction must be accounted
-// for, every rule kept, and each transaction must be routed as its client intended.
+// TestShortDay runs a short drill in which one sentry is killed, one is paused for 3 s, all restart in turn, workers
+// crash, a zone is cut off, and one sentry reloads its routes. Transactions carry attributes only. Every transaction
+// must be accounted for, every rule kept, and each transaction must be routed as its client intended.
 func TestShortDay(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -226,7 +227,8 @@
 	}
 }
 
-// TestWatch checks that a hangup, a changed file and a replaced file each cause one call, and that a missing file causes none.
+// TestWatch checks that a hangup, a changed file and a replaced file each cause one call, and that a missing file
+// causes none.
 func TestWatch(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "f")
 	write := func(name, text string) {
--- a/cmd/scalechute/main.go
+++ b/cmd/scalechute/main.go
@@ -1,5 +1,5 @@
-// Command scalechute is the release controller. It runs a sentry, which routes transactions between builds, and has tools to
-// check settings, routes and release plans, to run drills and soak tests, and to measure a sentry.
+// Command scalechute is the release controller. It runs a sentry, which routes transactions between builds, and has
+// tools to check settings, routes and release plans, to run drills and soak tests, and to measure a sentry.
 package main
 
 import (
@@ -123,9 +123,10 @@
 	return c
 }
 
-// watchFiles calls onChange at each hangup and whenever one of the files has changed or has been replaced, until done is closed.
-// It checks the files at the interval, or only at hangups if the interval is 0. onChange returns the files to watch from then
-// on. A file that does not exist at a check, as in the middle of its replacement, counts as unchanged.
+// watchFiles calls onChange at each hangup and whenever one of the files has changed or has been replaced, until done
+// is closed. It checks the files at the interval, or only at hangups if the interval is 0. onChange returns the files
+// to watch from then on. A file that does not exist at a check, as in the middle of its replacement, counts as
+// unchanged.
 func watchFiles(files []string, interval time.Duration, hangups <-chan os.Signal, done <-chan struct{}, onChange func() []string) {
 	var ticks <-chan time.Time
 	if interval > 0 {
--- a/cmd/scalechute/measure.go
+++ b/cmd/scalechute/measure.go
@@ -12,8 +12,8 @@
 	"scalechute/internal/measure"
 )
 
-// measureCommand returns the commands that compare a sentry with a bare relay. docs/sentry.md has the results and describes
-// how they were measured.
+// measureCommand returns the commands that compare a sentry with a bare relay. docs/sentry.md has the results and
+// describes how they were measured.
 func measureCommand() *cobra.Command {
 	c := &cobra.Command{Use: "measure", Short: "Measure a sentry against a bare relay on this machine"}
 	options := measure.Options{Workers: 32}
--- a/cmd/scalechute/platform.go
+++ b/cmd/scalechute/platform.go
@@ -16,9 +16,9 @@
 	"scalechute/internal/sentry"
 )
 
-// servePlatform runs one sentry on the platform, with the configuration that EDGE_CONFIG names. After SIGTERM it drains and
-// returns. The metrics page, the file of the cached list and the watch on the configuration file are off, because the
-// platform makes no provision for them.
+// servePlatform runs one sentry on the platform, with the configuration that EDGE_CONFIG names. After SIGTERM it drains
+// and returns. The metrics page, the file of the cached list and the watch on the configuration file are off, because
+// the platform makes no provision for them.
 func servePlatform(levelName, faultName string) error {
 	// Signals are registered first, so that one that arrives during the start is handled once the sentry runs.
 	signals, hangups := make(chan os.Signal, 1), make(chan os.Signal, 1)
--- a/cmd/scalechute/platform_test.go
+++ b/cmd/scalechute/platform_test.go
@@ -18,9 +18,9 @@
  "limits":{"max_attempts":3,"connect_timeout_ns":250000000,"idle_close_ns":30000000000,"streams_per_conn":32},
  "rules":{"ask_within_ns":8000000000,"drain_grace_ns":2000000000,"warm_up_ns":1000000000,"fall_multiple":4,"fall_ns":2000000000}}`
 
-// startPlatformSentry starts a sentry that reads its configuration from a named pipe, so that the test knows when it reads.
-// configure waits until the sentry opens the pipe, sends it the signal unless that is 0, and then writes the configuration,
-// or the default one if the text is empty.
+// startPlatformSentry starts a sentry that reads its configuration from a named pipe, so that the test knows when it
+// reads. configure waits until the sentry opens the pipe, sends it the signal unless that is 0, and then writes the
+// configuration, or the default one if the text is empty.
 func startPlatformSentry(t *testing.T, listen string) (process *exec.Cmd, configure func(signal syscall.Signal, config string)) {
 	configFile := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(configFile, 0o600); err != nil {
@@ -84,9 +84,9 @@
 	return false
 }
 
-// TestSignalsBeforeReady checks that signals which arrive while the sentry reads its first configuration are handled once it
-// runs: SIGHUP does not end the process, and SIGTERM ends it in order. A configuration that is invalid at SIGHUP leaves the
-// current one in force.
+// TestSignalsBeforeReady checks that signals which arrive while the sentry reads its first configuration are handled
+// once it runs: SIGHUP does not end the process, and SIGTERM ends it in order. A configuration that is invalid at
+// SIGHUP leaves the current one in force.
 func TestSignalsBeforeReady(t *testing.T) {
 	for _, signal := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 		address := freeAddress(t)
--- a/cmd/scalechute/soak_test.go
+++ b/cmd/scalechute/soak_test.go
@@ -21,14 +21,14 @@
 	}
 }
 
-// TestPipelinesEndBeforeTheKill checks that the process has ended by the earliest time at which the protocol allows SIGKILL,
-// while clients with full pipelines use their connections for as long as these stay open. Every request must have its answer,
-// or must be unread in a way that its client sees.
+// TestPipelinesEndBeforeTheKill checks that the process has ended by the earliest time at which the protocol allows
+// SIGKILL, while clients with full pipelines use their connections for as long as these stay open. Every request must
+// have its answer, or must be unread in a way that its client sees.
 //
-// It guards against a drain that closes a connection only when no request on it is open or unread. A client that sends its
-// next request at each answer never leaves such a moment. On connections opened before SIGTERM, the process then read requests
-// sent up to 1.59 s after it and handed them on to servers. It was still running when the kill was due, which left unanswered
-// requests on 9 to 18 of 20 connections. With one open request per connection it left none.
+// It guards against a drain that closes a connection only when no request on it is open or unread. A client that sends
+// its next request at each answer never leaves such a moment. On connections opened before SIGTERM, the process then
+// read requests sent up to 1.59 s after it and handed them on to servers. It was still running when the kill was due,
+// which left unanswered requests on 9 to 18 of 20 connections. With one open request per connection it left none.
 func TestPipelinesEndBeforeTheKill(t *testing.T) {
 	for _, c := range []struct {
 		open  int
--- a/cmd/scalechute/syscall_fault_test.go
+++ b/cmd/scalechute/syscall_fault_test.go
@@ -16,9 +16,9 @@
 // requestsPerCase is the number of requests in each case of TestSystemCallFaults. Every four share a new connection.
 const requestsPerCase = 60
 
-// TestSystemCallFaults injects errors that Linux documents into the system calls of the real program: several in a row, or one
-// call in a few. Each request must get exactly one answer, and the process must go on and serve requests between and after
-// the errors. strace injects them; .ci/run installs it.
+// TestSystemCallFaults injects errors that Linux documents into the system calls of the real program: several in a row,
+// or one call in a few. Each request must get exactly one answer, and the process must go on and serve requests between
+// and after the errors. strace injects them; .ci/run installs it.
 func TestSystemCallFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		inject string
@@ -93,8 +93,8 @@
 	return nil, nil
 }
 
-// startTraced starts the program under strace, which injects an error into its system calls, with one server and a discovery
-// that lists this server. It returns the program's address once the program answers.
+// startTraced starts the program under strace, which injects an error into its system calls, with one server and a
+// discovery that lists this server. It returns the program's address once the program answers.
 func startTraced(t *testing.T, injection string) string {
 	t.Helper()
 	server := newFakeServer(t, "127.0.0.1:0")
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -342,8 +342,9 @@
 	return len(accesses) > 0 && accesses[len(accesses)-1].watching
 }
 
-// addAssumedEntries adds the list entries that count as known to a sentry although none was sent to it. A sentry that does
-// not watch the list, and has not requested it for listAccess.maxAge, is assumed to know what was listed that long ago.
+// addAssumedEntries adds the list entries that count as known to a sentry although none was sent to it. A sentry that
+// does not watch the list, and has not requested it for listAccess.maxAge, is assumed to know what was listed that long
+// ago.
 func (a *auditor) addAssumedEntries() {
 	if !a.config.ListOnRequest {
 		return
@@ -490,8 +491,8 @@
 	return false
 }
 
-// checkEffect checks rule 2: after a hand-off that may have run, a transaction is handed off again or deferred only as its
-// profile allows, and two hand-offs are in flight at once only if hedging is allowed.
+// checkEffect checks rule 2: after a hand-off that may have run, a transaction is handed off again or deferred only as
+// its profile allows, and two hand-offs are in flight at once only if hedging is allowed.
 func (a *auditor) checkEffect(t *tryRecord) {
 	if int(t.sent.Profile) >= len(a.config.Profiles) {
 		return // it was taken under another configuration
@@ -623,8 +624,8 @@
 	}
 }
 
-// knewOfStart reports whether a sentry had received, by a time, a list entry that was sent after a worker's start and says
-// that the worker is ready.
+// knewOfStart reports whether a sentry had received, by a time, a list entry that was sent after a worker's start and
+// says that the worker is ready.
 func (a *auditor) knewOfStart(sentry logic.SentryID, start *Event, at logic.Micros) bool {
 	return slices.ContainsFunc(a.listEntries[sentry][start.Worker], func(e Event) bool {
 		return e.At >= start.At && e.At <= at && e.WorkerState == logic.Ready
@@ -685,8 +686,8 @@
 }
 
 // trialLimits reports whether a hand-off went to a build on trial, the largest cap that may have applied to it, and the
-// time since which hand-offs count against that cap. A later build than that of the latest status counts as on trial in its
-// first stage.
+// time since which hand-offs count against that cap. A later build than that of the latest status counts as on trial in
+// its first stage.
 func (a *auditor) trialLimits(sentry logic.SentryID, h *handOff) (onTrial bool, maxCap float64, since logic.Micros) {
 	latest := a.statusAt(sentry, h.At)
 	if latest == nil {
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -221,8 +221,9 @@
 	return r.endLast(at+10, HandOffAnswered).answer(at+11, "back", Satisfied)
 }
 
-// overload returns a record in which a worker that starts with half the speed of one core gets 202 hand-offs within 202 ms,
-// each of ten times unitWork. At 1000 us that is 2.02 s of work, just over the limit of four times what it can do in 1 s.
+// overload returns a record in which a worker that starts with half the speed of one core gets 202 hand-offs within 202
+// ms, each of ten times unitWork. At 1000 us that is 2.02 s of work, just over the limit of four times what it can do
+// in 1 s.
 func overload(unitWork logic.Micros, by logic.SentryID) *record {
 	r := newRecord()
 	r.add(100, Event{Kind: WorkerStarted, Worker: "c", Speed: 1, ColdSpeedShare: 0.5, WarmUp: 1_000_000 * ms})
--- a/internal/baseline/random.go
+++ b/internal/baseline/random.go
@@ -1,4 +1,5 @@
-// Package baseline holds simple routing policies that drills compare the decision module with. They are not for production.
+// Package baseline holds simple routing policies that drills compare the decision module with. They are not for
+// production.
 package baseline
 
 import (
@@ -8,9 +9,9 @@
 	"scalechute/logic"
 )
 
-// Random hands each transaction to a random ready worker of any build. If the hand-off fails and the transaction may run
-// again, it hands it to another random worker. It sends no transaction twice that must not run twice, and answers each by its
-// deadline. It ignores the caps on trial builds, the warm-up of workers and their load.
+// Random hands each transaction to a random ready worker of any build. If the hand-off fails and the transaction may
+// run again, it hands it to another random worker. It sends no transaction twice that must not run twice, and answers
+// each by its deadline. It ignores the caps on trial builds, the warm-up of workers and their load.
 type Random struct {
 	config       logic.Config
 	rng          *rand.Rand
--- a/internal/benchwire/wire.go
+++ b/internal/benchwire/wire.go
@@ -131,8 +131,8 @@
 	f.decode(i, &v, true)
 }
 
-// handleEvent passes one event to its instance and writes the result. If the module panics, it writes a "die" message, with
-// which the simulator ends the run and names the instance.
+// handleEvent passes one event to its instance and writes the result. If the module panics, it writes a "die" message,
+// with which the simulator ends the run and names the instance.
 func (s *session) handleEvent(f *fieldReader) (err error) {
 	f.requireInteger(0)
 	id := f.integer(0)
@@ -222,8 +222,8 @@
 	return id
 }
 
-// applyEvent decodes one event and makes the module's call for it. It reports whether the kind of event is known; others are
-// ignored.
+// applyEvent decodes one event and makes the module's call for it. It reports whether the kind of event is known;
+// others are ignored.
 func (s *session) applyEvent(inst *instance, f *fieldReader) (result logic.Result, known bool) {
 	sentry, now := inst.sentry, s.now
 	var apply func() logic.Result
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestLoadReports checks that the figures of a load report are found at the indexes that the settings give them, and that a
-// figure which is not reported is below 0.
+// TestLoadReports checks that the figures of a load report are found at the indexes that the settings give them, and
+// that a figure which is not reported is below 0.
 func TestLoadReports(t *testing.T) {
 	for _, c := range []struct {
 		report, values string
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestPanicIsReported checks that a panic of the module is written as a "die" message with the instance's number. The instance
-// has no sentry, so the call for its event panics.
+// TestPanicIsReported checks that a panic of the module is written as a "die" message with the instance's number. The
+// instance has no sentry, so the call for its event panics.
 func TestPanicIsReported(t *testing.T) {
 	var out bytes.Buffer
 	s := &session{out: bufio.NewWriter(&out), instances: map[int64]*instance{7: {id: 7, names: &facts.Names{}}}}
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// DrainBuild implements standin.Fleet: it drains all workers of a build. Machines without a worker of an earlier build get
-// a new one.
+// DrainBuild implements standin.Fleet: it drains all workers of a build. Machines without a worker of an earlier build
+// get a new one.
 func (f *fleet) DrainBuild(build logic.BuildID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,8 +136,8 @@
 	}
 }
 
-// drainWorkers drains the workers of a machine whose builds match. Each is listed as draining at once, turns hand-offs away
-// once the sentries must know, and stops once its hand-offs must have ended. The lock is held.
+// drainWorkers drains the workers of a machine whose builds match. Each is listed as draining at once, turns hand-offs
+// away once the sentries must know, and stops once its hand-offs must have ended. The lock is held.
 func (f *fleet) drainWorkers(m *machine, matches func(logic.BuildID) bool) {
 	config := &f.scenario.Settings.Policy
 	for _, drained := range m.workers {
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -176,9 +176,9 @@
 	return nil
 }
 
-// addressFrom returns the address under which the zone from reaches a worker: its own address within its zone, otherwise
-// that of a relay. It is called on the poller with discovery's lock held. It therefore takes no lock that is ever held for
-// long, and none under which changes are reported to discovery.
+// addressFrom returns the address under which the zone from reaches a worker: its own address within its zone,
+// otherwise that of a relay. It is called on the poller with discovery's lock held. It therefore takes no lock that is
+// ever held for long, and none under which changes are reported to discovery.
 func (r *runner) addressFrom(address, zone, from string) string {
 	fromIndex, toIndex := slices.Index(r.scenario.Settings.Zones, from), slices.Index(r.scenario.Settings.Zones, zone)
 	if fromIndex == toIndex || fromIndex < 0 || toIndex < 0 {
--- a/internal/drill/trouble.go
+++ b/internal/drill/trouble.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// runNeighbour simulates a noisy neighbour, a program that takes CPU time on some machines at intervals: their workers are
-// slow and normal in alternation, each for five times the fault's delay.
+// runNeighbour simulates a noisy neighbour, a program that takes CPU time on some machines at intervals: their workers
+// are slow and normal in alternation, each for five times the fault's delay.
 func (r *runner) runNeighbour(fault Fault) func() {
 	affected := r.fleet.runningWorkers(fault.First, fault.Count, fault.Zone)
 	done := make(chan struct{})
@@ -194,9 +194,9 @@
 	}
 }
 
-// rewriteSettings rewrites the settings files of some sentries at intervals of the fault's delay, the first and then every
-// second time with an error in them, and restores them at the end. Every third time the sentry gets a SIGHUP; otherwise it
-// has to notice the change itself.
+// rewriteSettings rewrites the settings files of some sentries at intervals of the fault's delay, the first and then
+// every second time with an error in them, and restores them at the end. Every third time the sentry gets a SIGHUP;
+// otherwise it has to notice the change itself.
 func (r *runner) rewriteSettings(fault Fault) func() {
 	affected := r.claimSentries(fault)
 	originals := make([][]byte, len(affected))
--- a/internal/drill/trouble_test.go
+++ b/internal/drill/trouble_test.go
@@ -10,8 +10,8 @@
 	"scalechute/standin"
 )
 
-// TestFaultsBeginAndEnd checks that each fault that acts on stand-ins has its effects while it lasts, and none after it has
-// ended. Faults that act on sentry processes are tested by the drills.
+// TestFaultsBeginAndEnd checks that each fault that acts on stand-ins has its effects while it lasts, and none after it
+// has ended. Faults that act on sentry processes are tested by the drills.
 func TestFaultsBeginAndEnd(t *testing.T) {
 	source, err := os.ReadFile("../../drills/breach.hcl")
 	if err != nil {
--- a/internal/measure/bare.go
+++ b/internal/measure/bare.go
@@ -13,9 +13,9 @@
 	"scalechute/internal/wire"
 )
 
-// ServeRelay runs the bare relay. It forwards each frame of a client to a random worker, over connections that are opened for
-// this client alone, and forwards the workers' frames back to the client. It does not decode the bodies of frames, and it
-// looks up, times and retries nothing. It returns only if it cannot listen.
+// ServeRelay runs the bare relay. It forwards each frame of a client to a random worker, over connections that are
+// opened for this client alone, and forwards the workers' frames back to the client. It does not decode the bodies of
+// frames, and it looks up, times and retries nothing. It returns only if it cannot listen.
 func ServeRelay(listen, metrics string, workers []string) error {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
--- a/internal/measure/match.go
+++ b/internal/measure/match.go
@@ -82,8 +82,8 @@
 // depotCount is the number of depots that routes distinguish.
 const depotCount = 200
 
-// routesSource returns the source of the schema and of routes such as a large operator might have: by depot, kind, size and
-// temperature.
+// routesSource returns the source of the schema and of routes such as a large operator might have: by depot, kind, size
+// and temperature.
 func routesSource(routeCount int) string {
 	var b strings.Builder
 	names := make([]string, depotCount)
@@ -128,8 +128,8 @@
 	return encoded
 }
 
-// routeCondition returns the condition of a route. depot and temp are verbs, which differ between this project's language and
-// cel-go's.
+// routeCondition returns the condition of a route. depot and temp are verbs, which differ between this project's
+// language and cel-go's.
 func routeCondition(routeIndex int, depot, temp string) string {
 	return fmt.Sprintf("depot == "+depot+" && kind == \"k%d\" && size >= %d && temp < "+temp,
 		routeIndex%depotCount, routeIndex/depotCount%25, routeIndex/5000*10, 5+routeIndex%7)
@@ -220,8 +220,8 @@
 	return result, nil
 }
 
-// timeCall returns the duration of a call in nanoseconds and its allocations. The duration is the shortest mean of five runs
-// with as many calls as fit into 20 ms.
+// timeCall returns the duration of a call in nanoseconds and its allocations. The duration is the shortest mean of five
+// runs with as many calls as fit into 20 ms.
 func timeCall(call func(i int)) (ns, allocs float64) {
 	calls := 1
 	for start := time.Now(); time.Since(start) < 20*time.Millisecond; calls++ {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,7 +1,7 @@
-// Package measure compares a sentry with a bare netpoll relay that forwards the same frames to a random worker: throughput,
-// CPU time, allocations and latency. Each runs as a process of its own under the load of a client pool in this process.
-// The measurements are not part of the tests, because machines are noisy. A run measures the two in alternation, and the
-// result is their ratio.
+// Package measure compares a sentry with a bare netpoll relay that forwards the same frames to a random worker:
+// throughput, CPU time, allocations and latency. Each runs as a process of its own under the load of a client pool in
+// this process. The measurements are not part of the tests, because machines are noisy. A run measures the two in
+// alternation, and the result is their ratio.
 //
 // It also compares the route index of package match with a linear search and with cel-go (RunMatch).
 package measure
@@ -57,8 +57,8 @@
 	Connections                         int
 }
 
-// startWorkers starts n workers, which answer each request at once. They serve a sentry (KindWork) as well as the relay, which
-// forwards the clients' frames (KindAsk).
+// startWorkers starts n workers, which answer each request at once. They serve a sentry (KindWork) as well as the
+// relay, which forwards the clients' frames (KindAsk).
 func startWorkers(n int) (servers []*wire.Server, err error) {
 	for range n {
 		server, err := wire.Serve("127.0.0.1:0", wire.DefaultLimits, func(*wire.Link) (wire.Handler, func(*wire.Link, error)) {
@@ -334,8 +334,8 @@
 	c.link.Put(wire.KindAsk, message)
 }
 
-// answerHandler returns the handler of a client's frames, which ignores all frames if c is nil. Without a rate, it replaces
-// each answered request by another one.
+// answerHandler returns the handler of a client's frames, which ignores all frames if c is nil. Without a rate, it
+// replaces each answered request by another one.
 func (p *clientPool) answerHandler(c *client) wire.Handler {
 	return func(_ *wire.Link, kind wire.Kind, body []byte) error {
 		var answer wire.Answer
@@ -389,7 +389,8 @@
 	p.mu.Unlock()
 }
 
-// generateLoad sends requests for the duration, then waits up to 5 s for the open ones. It returns the time in which it sent.
+// generateLoad sends requests for the duration, then waits up to 5 s for the open ones. It returns the time in which it
+// sent.
 func (p *clientPool) generateLoad(duration time.Duration) time.Duration {
 	start := time.Now()
 	p.running.Store(true)
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// classifyUnanswered returns the outcome of a request without an answer. A request that reached a server was read. One whose bytes
-// the kernel of the process has acknowledged was read too, unless the connection was reset, as it is when it is closed with
-// unread data.
+// classifyUnanswered returns the outcome of a request without an answer. A request that reached a server was read. One
+// whose bytes the kernel of the process has acknowledged was read too, unless the connection was reset, as it is when
+// it is closed with unread data.
 func (x *run) classifyUnanswered(r *request, end connectionEnd) Outcome {
 	switch {
 	case x.killedAt != (time.Time{}) && !end.at.Before(x.killedAt):
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// writeRequest writes one request and reports whether it was written completely. The request is recorded before its last part
-// is written, since its answer may arrive at once.
+// writeRequest writes one request and reports whether it was written completely. The request is recorded before its
+// last part is written, since its answer may arrive at once.
 func (x *connection) writeRequest() bool {
 	x.requestCount++
 	id := fmt.Sprintf("%s.%d", x.name, x.requestCount)
@@ -218,8 +218,8 @@
 	ackedBytes uint64 // bytes that the process's kernel had acknowledged before the end
 }
 
-// resetTimeout is how long after the end of the stream a reset because of unread data may arrive: the process lingers so that the
-// client can read its answers, and may be paused.
+// resetTimeout is how long after the end of the stream a reset because of unread data may arrive: the process lingers
+// so that the client can read its answers, and may be paused.
 const resetTimeout = 800 * time.Millisecond
 
 // awaitReset waits for a reset after the end of the stream.
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,8 +1,9 @@
-// Package soak runs the real program against stand-in clients, servers and discovery on loopback, sends it SIGHUP and SIGTERM
-// repeatedly, and determines the outcome of every request from the clients' connections.
+// Package soak runs the real program against stand-in clients, servers and discovery on loopback, sends it SIGHUP and
+// SIGTERM repeatedly, and determines the outcome of every request from the clients' connections.
 //
-// A Plan, drawn from a seed, describes the clients, the servers and the signals; Run executes it and returns a Result. Clients use
-// their connections for as long as these stay open, and SIGKILL is sent at the earliest time that the platform's protocol allows.
+// A Plan, drawn from a seed, describes the clients, the servers and the signals; Run executes it and returns a Result.
+// Clients use their connections for as long as these stay open, and SIGKILL is sent at the earliest time that the
+// platform's protocol allows.
 package soak
 
 import (
@@ -67,8 +68,8 @@
 	PauseAfter         time.Duration   // when the process is paused for pauseDuration, counted from SIGTERM; 0 if never
 }
 
-// Limits and values of random plans. Plans whose seed is a multiple of extraClientsSeedInterval have more clients than there may
-// be connections.
+// Limits and values of random plans. Plans whose seed is a multiple of extraClientsSeedInterval have more clients than
+// there may be connections.
 const (
 	maxClients               = 20
 	maxOpenRequests          = 32
@@ -104,8 +105,8 @@
 	return p
 }
 
-// pauseStream is the random stream from which the times of pauses are drawn. It is a separate one, so that pauses do not change
-// the rest of a plan.
+// pauseStream is the random stream from which the times of pauses are drawn. It is a separate one, so that pauses do
+// not change the rest of a plan.
 const pauseStream = 1 << 32
 
 // addRandomPauses pauses the process once in about half of its shutdowns, at a time before it would be killed.
@@ -170,7 +171,8 @@
 		p.Seed, len(p.Clients), len(p.Servers), p.Deadline, p.MaxDescriptors, len(p.Processes))
 }
 
-// PipelinePlan returns a plan in which all clients keep the same number of requests open, with one process and no reloads.
+// PipelinePlan returns a plan in which all clients keep the same number of requests open, with one process and no
+// reloads.
 func PipelinePlan(seed uint64, clients, openRequests int, pause time.Duration, answer int) *Plan {
 	p := &Plan{Seed: seed, Deadline: 900 * time.Millisecond, MaxDescriptors: manyDescriptors, Processes: []ProcessPlan{{TerminateAfter: 2 * time.Second}}}
 	for range 4 {
@@ -182,8 +184,8 @@
 	return p
 }
 
-// FaultPlan returns a plan with a fault injected into the process, in which the fault is likely to show: pipelines are full, and
-// servers answer out of order at times.
+// FaultPlan returns a plan with a fault injected into the process, in which the fault is likely to show: pipelines are
+// full, and servers answer out of order at times.
 func FaultPlan(seed uint64, fault string) *Plan {
 	p := PipelinePlan(seed, 8, 8, 0, smallAnswerBytes)
 	for i := range p.Servers {
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -83,8 +83,8 @@
 // memoryPollInterval is how often the process's memory is measured.
 const memoryPollInterval = 50 * time.Millisecond
 
-// watchMemory records the process's peak memory until it ends. (The peak that the kernel reports after the end is not usable: it
-// includes this program's own memory at the time of the start.)
+// watchMemory records the process's peak memory until it ends. (The peak that the kernel reports after the end is not
+// usable: it includes this program's own memory at the time of the start.)
 func (x *process) watchMemory() {
 	file := fmt.Sprintf("/proc/%d/status", x.command.Process.Pid)
 	for {
--- a/standin/address.go
+++ b/standin/address.go
@@ -10,8 +10,8 @@
 // triedPorts counts the ports that FreeAddress has tried, so that it tries each once before it starts again.
 var triedPorts atomic.Int64
 
-// FreeAddress returns a loopback address on which nobody listens. Its port is below the range of ephemeral ports, so that a
-// process which listened on it can listen on it again after a restart.
+// FreeAddress returns a loopback address on which nobody listens. Its port is below the range of ephemeral ports, so
+// that a process which listened on it can listen on it again after a restart.
 func FreeAddress() (string, error) {
 	const minPort, maxPort = 10_000, 32_000
 	for range maxPort - minPort {
--- a/standin/client.go
+++ b/standin/client.go
@@ -37,8 +37,8 @@
 	MeanWork logic.Micros // on a core of speed one
 }
 
-// ClientPool is an open-loop load generator that sends transactions to a zone's sentries: new transactions start whether or not
-// earlier ones have been answered.
+// ClientPool is an open-loop load generator that sends transactions to a zone's sentries: new transactions start
+// whether or not earlier ones have been answered.
 type ClientPool struct {
 	// Injected faults.
 	LoadFactor      float64 // multiplies the workload; 1 without a fault
@@ -239,8 +239,9 @@
 	c.sendTry(t)
 }
 
-// pickConn returns an open connection to a random sentry, or nil if there is none. It dials missing connections on other
-// goroutines: a dial under the lock would wait for the poller, while the handling of answers on the poller waits for the lock.
+// pickConn returns an open connection to a random sentry, or nil if there is none. It dials missing connections on
+// other goroutines: a dial under the lock would wait for the poller, while the handling of answers on the poller waits
+// for the lock.
 func (c *ClientPool) pickConn() (found *sentryConn) {
 	for _, i := range c.random.Perm(len(c.sentryIDs)) {
 		id, connected := c.sentryIDs[i], false
@@ -315,8 +316,8 @@
 	t.timer = time.AfterFunc(wait, func() { c.abandon(t) })
 }
 
-// encodeAttributes returns the eight attributes from which routes derive a transaction's profile, account and key. The lock is
-// held.
+// encodeAttributes returns the eight attributes from which routes derive a transaction's profile, account and key. The
+// lock is held.
 func (c *ClientPool) encodeAttributes(t *Transaction) (b []byte) {
 	add := func(name string, v match.RawValue) { b = wire.AppendAttribute(b, name, &v) }
 	add("kind", match.RawValue{Text: c.workload.ProfileNames[t.Profile]})
@@ -414,8 +415,8 @@
 	return nil
 }
 
-// retry schedules another try of a transaction if the client may retry it. notRun means that no worker has run the last try:
-// the sentry said so, or was not reached. The lock is held.
+// retry schedules another try of a transaction if the client may retry it. notRun means that no worker has run the last
+// try: the sentry said so, or was not reached. The lock is held.
 func (c *ClientPool) retry(t *Transaction, notRun bool) {
 	profile := &c.env.Config.Profiles[t.Profile]
 	deduplicated := profile.Repeatability == logic.Deduplicated && profile.DedupScope == logic.ScopeAll && c.env.Now()-t.StartedAt < profile.DedupWindow/2
--- a/standin/control_plane.go
+++ b/standin/control_plane.go
@@ -22,8 +22,8 @@
 	DrainBuild(b logic.BuildID)
 }
 
-// ControlPlane is a stand-in for the control plane: it moves a trial through its stages and caps, counts votes, and sends the
-// release status to sentries, delayed if a drill says so.
+// ControlPlane is a stand-in for the control plane: it moves a trial through its stages and caps, counts votes, and
+// sends the release status to sentries, delayed if a drill says so.
 type ControlPlane struct {
 	Delay          time.Duration // of status and counts messages
 	StatusInterval time.Duration // between status messages to all sentries
@@ -215,8 +215,8 @@
 	})
 }
 
-// broadcastCounts sends the counts of the period that has ended, after the delay, to all sentries that are connected then.
-// The lock is held.
+// broadcastCounts sends the counts of the period that has ended, after the delay, to all sentries that are connected
+// then. The lock is held.
 func (c *ControlPlane) broadcastCounts() {
 	m, ended := &pb.Counts{}, c.env.Now()
 	for key, sum := range c.env.takeCounts() {
--- a/standin/discovery.go
+++ b/standin/discovery.go
@@ -18,8 +18,8 @@
 type Discovery struct {
 	Delay          time.Duration // until a reported worker is listed
 	RefuseRequests bool          // every request for the list fails
-	// AddressFrom returns the address under which the zone from reaches an address in another zone. It is called with the lock
-	// held, and must not take a fleet's lock.
+	// AddressFrom returns the address under which the zone from reaches an address in another zone. It is called with the
+	// lock held, and must not take a fleet's lock.
 	AddressFrom func(address, zone, from string) string
 
 	env         *Environment
--- a/standin/environment.go
+++ b/standin/environment.go
@@ -1,8 +1,9 @@
-// Package standin implements stand-ins for what sentries communicate with: clients (ClientPool), workers (Worker), discovery
-// (Discovery), the control plane (ControlPlane) and the network between zones (Relay, Impairment).
+// Package standin implements stand-ins for what sentries communicate with: clients (ClientPool), workers (Worker),
+// discovery (Discovery), the control plane (ControlPlane) and the network between zones (Relay, Impairment).
 //
-// They run on loopback in one process and share an Environment: a clock, the configuration, and a record of the events that they
-// observe on their ends of the connections, which package audit checks. A drill injects faults by setting fields while they run.
+// They run on loopback in one process and share an Environment: a clock, the configuration, and a record of the events
+// that they observe on their ends of the connections, which package audit checks. A drill injects faults by setting
+// fields while they run.
 package standin
 
 import (
@@ -157,8 +158,8 @@
 	e.mu.Unlock()
 }
 
-// isFirstRun reports whether a deduplicated transaction has not run in its worker group within the window, and if so records that
-// it runs now.
+// isFirstRun reports whether a deduplicated transaction has not run in its worker group within the window, and if so
+// records that it runs now.
 func (e *Environment) isFirstRun(group, token string, window logic.Micros) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -40,9 +40,9 @@
 	return i.delay, i.blocked
 }
 
-// Relay forwards connections to an address, delayed or interrupted by an outbound and an inbound Impairment. Data that an
-// interruption holds up never arrives: its connection is closed when the interruption ends, as by a middlebox that has lost its
-// state. A hand-off therefore arrives within the delay or not at all, on which the auditor relies.
+// Relay forwards connections to an address, delayed or interrupted by an outbound and an inbound Impairment. Data that
+// an interruption holds up never arrives: its connection is closed when the interruption ends, as by a middlebox that
+// has lost its state. A hand-off therefore arrives within the delay or not at all, on which the auditor relies.
 type Relay struct {
 	Address           string
 	target            string
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -159,7 +159,8 @@
 
 var errIgnoresFrames = errors.New("reads nothing")
 
-// accept handles a sentry's connection. Hand-offs that are queued or run when the connection is lost are recorded as dropped.
+// accept handles a sentry's connection. Hand-offs that are queued or run when the connection is lost are recorded as
+// dropped.
 func (w *Worker) accept(l *wire.Link) (wire.Handler, func(*wire.Link, error)) {
 	w.mu.Lock()
 	runNumber, sentry := w.runNumber, logic.SentryID(-1)
@@ -232,7 +233,8 @@
 	return audit.Event{Kind: k, Try: j.try, Worker: j.w.Entry.ID, HandOffNumber: j.number, Sentry: j.sentry, Profile: j.profile}
 }
 
-// handleWork handles a hand-off. The payload consists of the client's try and the work, in microseconds on a core of speed one.
+// handleWork handles a hand-off. The payload consists of the client's try and the work, in microseconds on a core of
+// speed one.
 func (w *Worker) handleWork(l *wire.Link, runNumber uint64, sentry logic.SentryID, message *wire.Work) error {
 	j := &job{w: w, runNumber: runNumber, link: l, sentry: sentry, id: message.ID, profile: logic.ProfileID(message.Profile), token: string(message.DeduplicationToken),
 		receivedAt: w.env.Now()}
@@ -272,8 +274,8 @@
 	return nil
 }
 
-// isOverloaded records an arrival and reports whether the work that arrived within the cold-load window makes a cold worker
-// crash. A warm worker never crashes.
+// isOverloaded records an arrival and reports whether the work that arrived within the cold-load window makes a cold
+// worker crash. A warm worker never crashes.
 func (w *Worker) isOverloaded(now logic.Micros, work float64) bool {
 	if now-w.started >= w.WarmUp {
 		w.arrivals = nil
--- a/standin/worker_test.go
+++ b/standin/worker_test.go
@@ -66,8 +66,8 @@
 	return wire.Work{Profile: profile, DeduplicationToken: []byte(token), Payload: []byte(fmt.Sprintf("try %d", us))}
 }
 
-// TestDeduplication checks that a deduplicated transaction runs once within its window, on any worker of the group, and again
-// after the window. An idempotent one runs each time.
+// TestDeduplication checks that a deduplicated transaction runs once within its window, on any worker of the group, and
+// again after the window. An idempotent one runs each time.
 func TestDeduplication(t *testing.T) {
 	env := newTestEnvironment()
 	var workers []*Worker
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestColdWorkerOverload checks that a cold worker which receives more than ColdLoadMultiple times what it can process crashes
-// and stays down. A warm one turns hand-offs away.
+// TestColdWorkerOverload checks that a cold worker which receives more than ColdLoadMultiple times what it can process
+// crashes and stays down. A warm one turns hand-offs away.
 func TestColdWorkerOverload(t *testing.T) {
 	for _, c := range []struct {
 		warm    bool
