--- a/cmd/scalechute/drill_test.go
+++ b/cmd/scalechute/drill_test.go
@@ -15,8 +15,8 @@
 	"scalechute/internal/sentry"
 )
 
-// TestMain runs the program itself if SCALECHUTE_COMMAND is set, so that tests can start sentries as processes of the test
-// binary.
+// TestMain runs the program itself if SCALECHUTE_COMMAND is set, so that tests can start sentries as processes of the
+// test binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("SCALECHUTE_COMMAND") != "" {
 		main()
@@ -26,20 +26,21 @@
 	os.Exit(m.Run())
 }
 
-// runDrill runs a drill in a temporary directory. If a breach is named, the first sentry breaks that rule on purpose.
-func runDrill(t *testing.T, scenario *drill.Scenario, breachName string) *drill.Result {
+// runDrill runs a drill in a temporary directory. If a fault is named, it is injected into the first sentry.
+func runDrill(t *testing.T, scenario *drill.Scenario, faultName string) *drill.Result {
 	t.Helper()
-	return runDrillIn(t, t.TempDir(), scenario, breachName)
+	return runDrillIn(t, t.TempDir(), scenario, faultName)
 }
 
-// runDrillIn runs a drill in a directory. If it cannot run, it logs the sentries' logs.
-func runDrillIn(t *testing.T, dir string, scenario *drill.Scenario, breachName string) *drill.Result {
+// runDrillIn does the same in a given directory. If the drill cannot run, it prints the sentries' logs and fails the
+// test.
+func runDrillIn(t *testing.T, dir string, scenario *drill.Scenario, faultName string) *drill.Result {
 	t.Helper()
 	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := drill.Run(scenario, drill.Options{Program: []string{executable}, Dir: dir, BrokenRule: breachName, Logf: t.Logf})
+	r, err := drill.Run(scenario, drill.Options{Program: []string{executable}, Dir: dir, InjectedFault: faultName, Logf: t.Logf})
 	if err != nil {
 		logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 		for _, l := range logs {
@@ -72,9 +73,9 @@
 	return b.String()
 }
 
-// TestShortDay runs a short drill in which one sentry is killed, one is paused for 3 s, all restart in turn, workers crash, a
-// zone is cut off, and one sentry reloads its routes. Transactions carry attributes only. Every transaction must be accounted
-// for, every rule kept, and each transaction must be routed as its client intended.
+// TestShortDay runs a short drill in which one sentry is killed, one is paused for 3 s, all restart in turn, workers
+// crash, a zone is cut off, and one sentry reloads its routes. Transactions carry attributes only. Every transaction
+// must be accounted for, every rule kept, and each transaction must be routed as its client intended.
 func TestShortDay(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -94,8 +95,8 @@
 	}
 }
 
-// TestBreaches checks that the audit reports the rule that a sentry breaks on purpose, and no other rule.
-func TestBreaches(t *testing.T) {
+// TestInjectedFaults checks that the audit reports the rule that a sentry breaks on purpose, and no other rule.
+func TestInjectedFaults(t *testing.T) {
 	for i, name := range sentry.BreachNames {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -104,7 +105,7 @@
 				t.Errorf("no worker was overloaded\n%s", formatResult(r))
 			}
 			if !slices.Equal(r.Violated, []int{i + 1}) {
-				t.Errorf("rules %v broken, expected %d\n%s", r.Violated, i+1, formatResult(r))
+				t.Errorf("rules %v violated, expected %d\n%s", r.Violated, i+1, formatResult(r))
 			}
 		})
 	}
@@ -226,7 +227,8 @@
 	}
 }
 
-// TestWatch checks that a hangup, a changed file and a replaced file each cause one call, and that a missing file causes none.
+// TestWatch checks that a hangup, a changed file and a replaced file each cause one call, and that a missing file
+// causes none.
 func TestWatch(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "f")
 	write := func(name, text string) {
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -22,16 +22,16 @@
 const (
 	TrySent           Kind = iota // a client sent a transaction
 	TryAnswered                   // a client received a final answer
-	TryNotTaken                   // a client received the answer that its transaction was not taken
+	TryNotTaken                   // a client received the answer that its transaction was not taken, or matches no route
 	TryAbandoned                  // a client gave up, or its connection was lost
 	HandOffReceived               // a worker received a hand-off
 	HandOffExecuted               // a worker executed a hand-off: its effect has happened
 	HandOffAnswered               // a worker answered a hand-off
 	HandOffTurnedAway             // a worker turned a hand-off away: it has not run
-	HandOffDropped                // a hand-off was cancelled, or its connection was lost
+	HandOffDropped                // a hand-off was cancelled, expired in the worker's queue, or lost its connection
 	WorkerStarted                 // a worker started; the event carries its speed
 	WorkerStopped                 // a worker stopped
-	WorkerOverloaded              // a cold worker crashed under more work than it can bear
+	WorkerOverloaded              // a cold worker crashed, because it received more work than the cold-load limit
 	ListEntrySent                 // an entry of the worker list was sent to a sentry
 	WorkerListed                  // discovery lists a worker in this state from now on
 	ListWatched                   // a sentry watches the worker list from now on
@@ -71,7 +71,7 @@
 	Try            string              `json:"try,omitempty"` // the client's name of the try; the hand-offs of the try carry the same name
 	Profile        logic.ProfileID     `json:"profile,omitempty"`
 	Key            logic.Key           `json:"key,omitempty"`
-	Duration       logic.Micros        `json:"span,omitempty"` // TrySent, HandOffReceived: until its deadline
+	Duration       logic.Micros        `json:"span,omitempty"` // TrySent, HandOffReceived: until its deadline; ConfigChanged: until it is applied at the latest
 	Outcome        Outcome             `json:"outcome,omitempty"`
 	Worker         logic.WorkerID      `json:"worker,omitempty"`
 	HandOffNumber  uint64              `json:"hand_off,omitempty"` // number of the hand-off at its worker, the same in all of its events
@@ -97,7 +97,7 @@
 	Timeline    []string     `json:"timeline"`
 }
 
-// String returns the violation with its timeline, a line for each event.
+// String returns the violation and its timeline, with one line for each event.
 func (v Violation) String() string {
 	return fmt.Sprintf("rule %d at %.3f s: %s\n  %s", v.Rule, float64(v.At)/1e6, v.Description, strings.Join(v.Timeline, "\n  "))
 }
@@ -161,7 +161,7 @@
 	maxAge   logic.Micros // without a watch, what was listed this long ago counts as known to the sentry
 }
 
-// auditor holds the events of a record by what the checks look them up by.
+// auditor holds the events of a record, indexed as the checks need them.
 type auditor struct {
 	config           *logic.Config
 	slack            logic.Micros
@@ -221,7 +221,7 @@
 }
 
 // checkUnderConfigs runs a check under each configuration that a sentry may have had between two times. Violations count
-// only if there are some under every one of these configurations.
+// only if every one of these configurations has some; those under the last configuration are then reported.
 func (a *auditor) checkUnderConfigs(sentry logic.SentryID, from, to logic.Micros, check func()) {
 	configs := []*logic.Config{a.config}
 	for i := range a.configChanges[sentry] {
@@ -342,8 +342,9 @@
 	return len(accesses) > 0 && accesses[len(accesses)-1].watching
 }
 
-// addAssumedEntries adds the list entries that count as known to a sentry although none was sent to it: a sentry that
-// does not watch the list, and has not requested it for listAccess.maxAge, is assumed to know what was listed that long ago.
+// addAssumedEntries adds the list entries that count as known to a sentry although none was sent to it. A sentry that
+// does not watch the list, and has not requested it for listAccess.maxAge, is assumed to know what was listed that long
+// ago.
 func (a *auditor) addAssumedEntries() {
 	if !a.config.ListOnRequest {
 		return
@@ -466,7 +467,7 @@
 	case t.abandoned != nil:
 		closedAt = t.abandoned.At
 		if closedAt > a.latestReceipt(sent.Sentry, latest) {
-			a.addViolation(1, closedAt, t, "%s: no answer by its deadline", sent.Try)
+			a.addViolation(1, closedAt, t, "%s: no answer by its deadline plus the answer grace", sent.Try)
 		}
 	default:
 		if a.ranThroughout(sent.Sentry, sent.At, latest) {
@@ -490,7 +491,8 @@
 	return false
 }
 
-// checkEffect checks rule 2: a transaction runs more than once only as far as its profile allows.
+// checkEffect checks rule 2: after a hand-off that may have run, a transaction is handed off again or deferred only as
+// its profile allows, and two hand-offs are in flight at once only if hedging is allowed.
 func (a *auditor) checkEffect(t *tryRecord) {
 	if int(t.sent.Profile) >= len(a.config.Profiles) {
 		return // it was taken under another configuration
@@ -535,7 +537,7 @@
 	}
 }
 
-// checkDrain checks rule 3: after the drain grace a worker that drains or is gone gets no hand-offs.
+// checkDrain checks rule 3: once the drain grace is over, a worker that drains or is gone gets no new hand-offs.
 func (a *auditor) checkDrain() {
 	for _, h := range a.handOffs {
 		a.checkUnderConfigs(h.Sentry, h.At, h.At, func() { a.checkDrained(h) })
@@ -622,7 +624,8 @@
 	}
 }
 
-// knewOfStart reports whether a sentry had received the list entry of a started worker by a time.
+// knewOfStart reports whether a sentry had received, by a time, a list entry that was sent after a worker's start and
+// says that the worker is ready.
 func (a *auditor) knewOfStart(sentry logic.SentryID, start *Event, at logic.Micros) bool {
 	return slices.ContainsFunc(a.listEntries[sentry][start.Worker], func(e Event) bool {
 		return e.At >= start.At && e.At <= at && e.WorkerState == logic.Ready
@@ -671,7 +674,7 @@
 	}
 }
 
-// statusAt returns the latest status that had been sent to a sentry by a time, nil if there was none.
+// statusAt returns the latest valid status that had been sent to a sentry by a time, nil if there was none.
 func (a *auditor) statusAt(sentry logic.SentryID, at logic.Micros) *Event {
 	var latest *Event
 	for i := range a.statuses[sentry] {
@@ -683,7 +686,8 @@
 }
 
 // trialLimits reports whether a hand-off went to a build on trial, the largest cap that may have applied to it, and the
-// time since which hand-offs count against that cap.
+// time since which hand-offs count against that cap. A later build than that of the latest status counts as on trial in
+// its first stage.
 func (a *auditor) trialLimits(sentry logic.SentryID, h *handOff) (onTrial bool, maxCap float64, since logic.Micros) {
 	latest := a.statusAt(sentry, h.At)
 	if latest == nil {
@@ -761,7 +765,7 @@
 	if maxCap == 0 && sentCount > 0 {
 		a.addViolation(5, h.At, a.tries[h.Try], "sentry %d handed off to build %d at cap 0", sentry, h.Build)
 	} else if float64(sentCount) > a.config.FreeExposure+maxCap*float64(takenCount) {
-		a.addViolation(5, h.At, a.tries[h.Try], "sentry %d handed off %d to build %d within %d us, took %d; free %g, cap %g",
+		a.addViolation(5, h.At, a.tries[h.Try], "sentry %d made %d hand-offs to build %d within %d us and took %d transactions; free exposure %g, cap %g",
 			sentry, sentCount, h.Build, a.config.ExposureWindow, takenCount, a.config.FreeExposure, maxCap)
 	}
 	latest := a.statusAt(sentry, h.At)
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Impairment is the delay or the interruption of the network between two places, in one direction.
+// Impairment is the delay and the interruption of the network between two places, in one direction.
 type Impairment struct {
 	mu      sync.Mutex
 	delay   time.Duration
@@ -40,9 +40,9 @@
 	return i.delay, i.blocked
 }
 
-// Relay forwards connections to an address, delayed or interrupted by an outbound and an inbound Impairment. Data that an
-// interruption holds up never arrives: its connection is closed when the interruption ends, as by a middlebox that has lost its
-// state. A hand-off therefore arrives within the delay or not at all, on which the auditor relies.
+// Relay forwards connections to an address, delayed or interrupted by an outbound and an inbound Impairment. Data that
+// an interruption holds up never arrives: its connection is closed when the interruption ends, as by a middlebox that
+// has lost its state. A hand-off therefore arrives within the delay or not at all, on which the auditor relies.
 type Relay struct {
 	Address           string
 	target            string
@@ -65,6 +65,7 @@
 	return r, nil
 }
 
+// serve accepts connections and forwards each in both directions until one of these ends.
 func (r *Relay) serve() {
 	for {
 		in, err := r.listener.Accept()
