--- a/internal/platform/breach.go
+++ b/internal/platform/breach.go
@@ -8,8 +8,8 @@
 	"scalechute/internal/wire"
 )
 
-// Breach is a promise to clients that the process violates on purpose. The soak test injects breaches to show that its
-// auditor finds them; nothing else uses them.
+// Breach names a guarantee to clients that the process violates on purpose, and how. The soak test injects breaches to
+// show that its auditor finds them; nothing else uses them.
 type Breach uint8
 
 // The breaches that can be injected.
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// The time a client has from connecting to its first complete command, and, while the sentry drains, for the rest of
-	// any partial command.
+	// The time from connecting to the first complete command. It also bounds the rest of a partial command once the client
+	// is no longer read beyond that command.
 	firstCommandTimeout = 2700 * time.Millisecond
 	// The time from the first byte of a later command to its last.
 	commandTimeout = 6 * time.Second
@@ -28,7 +28,7 @@
 	maxUnwrittenBytes = 1 << 20
 	// Number of replies over which the mean reply size is averaged, exponentially.
 	meanReplyWindow = 16
-	// Memory of a queued reply beside its text.
+	// Memory that a queued reply takes in addition to its text.
 	replyOverheadBytes = 64
 )
 
@@ -49,9 +49,9 @@
 	overLimit      bool      // accepted beyond the client limit: closed once it has no open commands
 	readStopped    bool      // nothing is read after the partial command
 	finishing      bool      // all replies are queued for writing, and the close has begun
-	payloadBuffer  []byte
+	payloadBuffer  []byte    // reused by handleCommand
 	// progress of an idle client that has unread replies; used only on the poller
-	writeProgress wire.ReadProgress
+	readProgress wire.ReadProgress
 }
 
 // reply is the reply to one command, possibly still awaited.
@@ -90,9 +90,10 @@
 	return server.Address, nil
 }
 
-// admit registers a new client. Beyond the client limit it closes another one: first those that have sent no command,
-// then the longest idle, but never one that has open commands, unread data or unwritten replies. If there is none to
-// close, the new client is closed as soon as it has no open commands. It runs on the poller.
+// admit registers a new client. Beyond the client limit it closes another one: one that has sent no complete command if
+// possible, otherwise the one that has been idle longest. It never closes a client that has open commands, unread data
+// or unwritten replies, nor one that has sent part of a command after its first. If there is none to close, the new
+// client is closed as soon as it has no open commands. It runs on the poller.
 func (p *Platform) admit(c *clientConn) {
 	p.mu.Lock()
 	p.clients[c] = struct{}{}
@@ -205,7 +206,7 @@
 	c.mu.Lock()
 	overdue := !c.partialSince.IsZero() && now.Sub(c.partialSince) > firstCommandTimeout
 	c.mu.Unlock()
-	if !c.CloseIfIdle(wire.ErrClosed, overdue) && c.PeerStalled(&c.writeProgress, now) {
+	if !c.CloseIfIdle(wire.ErrClosed, overdue) && c.PeerStalled(&c.readProgress, now) {
 		c.Close(wire.ErrSlowReader)
 	}
 }
@@ -300,8 +301,8 @@
 	c.handler.TransactionReceived(&parsed.transaction)
 }
 
-// hasReplyBudget reports whether the memory for replies has room for one more: for those that wait to be written, and
-// for those of open requests at the mean size.
+// hasReplyBudget reports whether the memory for replies suffices for one more request. Replies that wait to be written
+// count with their size, those of open requests and of the new one with the mean size.
 func (p *Platform) hasReplyBudget() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -332,7 +333,7 @@
 func (c *clientConn) Answer(a *wire.Answer) bool {
 	c.mu.Lock()
 	index := a.ID - c.firstReplyID
-	if index >= uint64(len(c.replies)) || c.replies[index].ready || c.Dead() {
+	if index >= uint64(len(c.replies)) || c.replies[index].ready || c.IsClosed() {
 		c.mu.Unlock()
 		return false
 	}
@@ -375,7 +376,8 @@
 	}
 }
 
-// writeReady passes the leading replies that are ready to the link. The caller holds c.mu.
+// writeReady passes the leading replies that are ready to the link. It returns false if the link has closed. The caller
+// holds c.mu.
 func (c *clientConn) writeReady() (ok bool) {
 	written := 0
 	ok = true
--- a/internal/platform/command.go
+++ b/internal/platform/command.go
@@ -23,8 +23,8 @@
 	requestID   []byte
 }
 
-// parseCommand parses a Q.ASK or Q.DO command and returns its packed form, appended to payload, as the
-// payload of the transaction. problem describes an invalid command in one line, as the client gets it; it is empty for a
+// parseCommand parses a Q.ASK or Q.DO command. The payload of the returned transaction is payload followed by the packed
+// command (see packCommand). problem describes an invalid command in one line, as the client gets it; it is empty for a
 // valid one.
 func (c *Config) parseCommand(message []resp.Value, payload []byte) (cmd command, problem string) {
 	if n := len(message) - 1; n != 4 && n != 5 { // message[0] is the array itself
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -131,7 +131,8 @@
 	return config, nil
 }
 
-// validateSettings checks that each class and tenant has a name of its own, and that each class has its times.
+// validateSettings checks that each class and tenant has a name of its own, and that each class has a due time and a
+// deadline.
 func validateSettings(config logic.Config, names *facts.Names) error {
 	for _, count := range [...]struct {
 		what         string
--- a/internal/platform/control_plane.go
+++ b/internal/platform/control_plane.go
@@ -27,7 +27,7 @@
 // sentry.
 type controlPlane struct {
 	platform       *Platform
-	mu             sync.Mutex
+	mu             sync.Mutex // guards address, link, pendingReplies and lastReceived
 	address        string
 	link           *wire.Link
 	pendingReplies []uint64 // vote IDs in the order of the replies to come, 0 for WATCH
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -168,7 +168,7 @@
 func (s statusError) Error() string { return fmt.Sprintf("found status %d, expected 200", int(s)) }
 
 // readLists makes a call and delivers each list of its response: the first one, or for a watch all until the response
-// ends. A blank line between lists is a keepalive.
+// ends. A blank line between lists is a keepalive and says that nothing has changed.
 func (d *discovery) readLists(ctx context.Context, c *call, url string) error {
 	silenceTimer := time.AfterFunc(silenceTimeout(), c.cancel)
 	defer silenceTimer.Stop()
@@ -220,7 +220,7 @@
 }
 
 // readList reads one object whose first byte has arrived at started. A list that has begun to arrive counts as
-// received, so the sentry is told if the object is cut off or is incomplete after listReadTimeout.
+// received, so the sentry is notified if the object is cut off or is incomplete after listReadTimeout.
 func (d *discovery) readList(c *call, body *bufio.Reader, started time.Time) ([]byte, error) {
 	reportIncomplete := func() {
 		d.platform.sentry.ListPartlyReceived(time.Since(started), func() bool { return c.addressEpoch == d.addressEpoch && (!c.watch || c == d.watch) })
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -7,10 +7,10 @@
 	"scalechute/logic"
 )
 
-// Draining: after SIGTERM each client connection is read no further, all commands that were read get their replies, and
-// then the connection is closed. Closing a connection only while it has no open commands would not do: a client that
-// keeps requests open would never be closed, and SIGKILL would find its requests unanswered. logic/drain.go sets the
-// times of the steps.
+// Draining: from stopReadingDelay after SIGTERM, client connections are read no further, except for the rest of a partial
+// command. All commands that were read get their replies, and then the connection is closed. Closing a connection only
+// while it has no open commands would not do: a client that keeps requests open would never be closed, and SIGKILL
+// would find its requests unanswered. logic/drain.go sets the times of the steps.
 
 const (
 	stopReadingDelay = time.Duration(logic.StopReadingAfter) * time.Microsecond
--- a/internal/platform/edge_cases_test.go
+++ b/internal/platform/edge_cases_test.go
@@ -115,7 +115,7 @@
 		go env.sentry.Inspect(func() { close(blocked); <-after })
 		time.Sleep(20 * time.Millisecond)
 		close(gate)
-		<-blocked // the loop has said hello to the worker, and handles the ready event before the close
+		<-blocked // the loop has called SendHello, and handles the ready event before the close
 		c.Close()
 		env.waitFor("the close", env.noClients)
 		close(after)
--- a/internal/platform/large_answers_test.go
+++ b/internal/platform/large_answers_test.go
@@ -15,9 +15,9 @@
 // large and have to wait for it; then all replies are written at once. Each reply has to arrive, in order.
 //
 // The test guards against a close of the connection as a slow reader, with all replies lost. It happened when more than
-// 2 MiB of replies became ready at once, since the link refused more than 2 MiB of pending data and its writer had no
-// turn in between: 40 answers of 60 KiB, 60 of 40 KiB and 4 of 900 KiB failed in each run, 60 of 20 KiB and 3 of 900
-// KiB passed. The same fault caused failures of TestFullInboxStopsReading, there only by chance.
+// 2 MiB of replies became ready at once, since the link refused more than 2 MiB of pending data and its writing
+// goroutine did not run in between: 40 answers of 60 KiB, 60 of 40 KiB and 4 of 900 KiB failed in each run, 60 of 20
+// KiB and 3 of 900 KiB passed. The same fault caused failures of TestFullInboxStopsReading, there only by chance.
 func TestLargeAnswersBehindSlowOne(t *testing.T) {
 	for name, c := range map[string]struct{ requests, bytes int }{
 		"40 of 60 KiB": {40, 60 << 10},
--- a/internal/platform/list_staleness_test.go
+++ b/internal/platform/list_staleness_test.go
@@ -11,8 +11,8 @@
 	"scalechute/logic"
 )
 
-// A list that has begun to arrive counts as received: the decision module is told when it is cut off, and soon when it
-// stalls.
+// A list that has begun to arrive counts as received: the decision module is notified when it is cut off, and soon when
+// it stalls.
 func TestIncompleteListReported(t *testing.T) {
 	listed := target{"x", "127.0.0.1:9", "here", "active", 1, 7}
 	partialList := listJSON(51, false, listed)[:30]
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -24,14 +24,14 @@
 	discovery    *discovery
 	controlPlane *controlPlane
 	peers        *peers
-	done         chan struct{}
+	done         chan struct{} // closed by Close
 
 	drainStart atomic.Pointer[time.Time] // with its monotonic reading; nil unless draining
 	// longest deadline in the settings when the drain began, in microseconds; 0 unless draining
 	drainDeadlineMicros atomic.Int64
 	wallClock           *clock.WallClock
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards clients, openRequests and meanReplyBytes
 	breachTrigger  trigger
 	replyBudget    *wire.BufferBudget // for replies that wait to be written
 	clients        map[*clientConn]struct{}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -187,7 +187,7 @@
 
 func (n answerRecorder) Answer(a *wire.Answer) bool { n.answers <- string(a.Payload); return true }
 func (answerRecorder) Flush()                       {}
-func (answerRecorder) Dead() bool                   { return false }
+func (answerRecorder) IsClosed() bool               { return false }
 func (answerRecorder) Close(error)                  {}
 func (answerRecorder) RemoteAddr() string           { return "recorder" }
 
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -40,7 +40,8 @@
 	return string(must(json.Marshal(map[string]any{"rev": rev, "all": all, "targets": targets}))) + "\n"
 }
 
-// workerHasBuild returns a condition: in the last list that has the worker, it has this build; 0 if no list has it.
+// workerHasBuild returns a condition that holds if the last list that has the worker gives it this build. Build 0 stands
+// for a worker that is in no list.
 func (e *testEnv) workerHasBuild(id logic.WorkerID, build logic.BuildID) func() bool {
 	return func() bool {
 		last := logic.BuildID(0)
--- a/internal/sentry/transport.go
+++ b/internal/sentry/transport.go
@@ -37,7 +37,7 @@
 type ClientConn interface {
 	Answer(*wire.Answer) bool // false if the connection has ended
 	Flush()
-	Dead() bool
+	IsClosed() bool
 	Close(reason error)
 	RemoteAddr() string
 }
@@ -60,7 +60,7 @@
 	AnswerStarted(id uint64) bool   // whether a hand-off's answer has arrived in part, or could not be parsed
 	SendProbe(id uint64)
 	Flush()
-	Dead() bool
+	IsClosed() bool
 	Close(reason error)
 }
 
--- a/internal/sentry/upstream.go
+++ b/internal/sentry/upstream.go
@@ -59,7 +59,7 @@
 		link.Close(wire.ErrClosed)
 		return
 	}
-	if err != nil || link.Dead() {
+	if err != nil || link.IsClosed() {
 		s.handleUpstreamFailed(u, err)
 		return
 	}
--- a/internal/sentry/workers.go
+++ b/internal/sentry/workers.go
@@ -99,7 +99,7 @@
 // closeIfClientGone ends a transaction whose client has closed its connection, even if that event is still in the
 // inbox: a hand-off written now would start after the client has left.
 func (s *Sentry) closeIfClientGone(t *transaction) {
-	if !t.closed && t.client.link.Dead() {
+	if !t.closed && t.client.link.IsClosed() {
 		s.handleClientLeft(t)
 	}
 }
@@ -282,7 +282,7 @@
 func (s *Sentry) handleDialed(e *event) {
 	c := e.conn
 	s.dials--
-	if e.err != nil || c.closed || e.workerLink.Dead() {
+	if e.err != nil || c.closed || e.workerLink.IsClosed() {
 		c.closed = true
 		s.handleDialFailed(e.worker)
 		return
@@ -344,7 +344,7 @@
 	for len(w.queue) > 0 {
 		x := w.queue[0]
 		if x.isOpen() {
-			if x.t.closed || x.t.client.link.Dead() {
+			if x.t.closed || x.t.client.link.IsClosed() {
 				w.queue = w.queue[1:]
 				if s.closeIfClientGone(x.t); x.isOpen() { // the module may have cancelled it
 					s.endHandOff(x.t, x.index, logic.Unsent, logic.NoLoad)
--- a/internal/wire/attributes.go
+++ b/internal/wire/attributes.go
@@ -63,6 +63,7 @@
 	return size + 1 + protowire.SizeBytes(len(value.Text))
 }
 
+// listSize returns the encoded size of a list's elements in bytes.
 func listSize(items []match.RawValue) (size int) {
 	for i := range items {
 		size += 1 + protowire.SizeBytes(attributeSize("", &items[i]))
@@ -214,6 +215,7 @@
 	return name, nil
 }
 
+// readList decodes the elements of a list into r.items, at most maxListItems of them.
 func (r *AttributeReader) readList(b []byte) error {
 	return forEachAttribute(b, func(body []byte) error {
 		if len(r.items) >= maxListItems {
--- a/internal/wire/detach.go
+++ b/internal/wire/detach.go
@@ -37,6 +37,7 @@
 	lastID int32
 }
 
+// globalWatcher is the process's watcher, once it is created.
 var globalWatcher struct {
 	sync.Mutex
 	*watcher
@@ -58,6 +59,7 @@
 	return globalWatcher.watcher
 }
 
+// run handles epoll events for as long as the process runs, on a goroutine of its own.
 func (w *watcher) run() {
 	events := make([]unix.EpollEvent, 64)
 	for {
@@ -153,7 +155,7 @@
 }
 
 // StopReadingAtMessageEnd stops reading after the rest of a partial message. It is called once, on the poller. missingBytes
-// returns the least number of bytes that a partial message still lacks. StopReadingAtMessageEnd returns false if the link could
+// returns the minimum number of bytes that a partial message still lacks. StopReadingAtMessageEnd returns false if the link could
 // not be detached, because its descriptor is closed or the system has none left; the caller may retry.
 func (l *Link) StopReadingAtMessageEnd(missingBytes func(partial []byte) int) bool {
 	l.missingBytes, l.readStopped = missingBytes, true
@@ -203,6 +205,7 @@
 	l.stopPartialRead()
 }
 
+// stopPartialRead stops reading the rest of a partial message. The link's readMu is held.
 func (l *Link) stopPartialRead() {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
@@ -250,6 +253,7 @@
 	return true
 }
 
+// isReadingPartial reports whether the watcher is to read the rest of a partial message.
 func (l *Link) isReadingPartial() bool {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
--- a/internal/wire/detach_race_test.go
+++ b/internal/wire/detach_race_test.go
@@ -10,9 +10,9 @@
 // Clients reset their connections while reading from them stops and resumes repeatedly: no socket is closed twice, none is left
 // open, and no descriptor is used after its number was reused.
 //
-// It guards against a data race that the race detector reported in TestBeyondTheBound, between Detach and netFD.Close: netpoll
-// closes connections that the peer has closed on a goroutine of its own, not on the poller, and checks only while it closes the
-// socket whether the connection was detached.
+// It guards against a data race that the race detector reported in a CI run of TestClientLimitWithAllBusy, between netpoll's
+// Detach and netFD.Close: netpoll closes connections that the peer has closed on a goroutine of its own, not on the poller, and
+// checks only while it closes the socket whether the connection was detached.
 func TestResetWhileReadingStops(t *testing.T) {
 	var mu sync.Mutex
 	links := map[*Link]bool{}
--- a/internal/wire/detach_test.go
+++ b/internal/wire/detach_test.go
@@ -115,11 +115,11 @@
 	if _, err := conn.Read(answer); !errors.Is(err, io.EOF) {
 		t.Errorf("%v at the end of the stream", err)
 	}
-	if l.Dead() {
+	if l.IsClosed() {
 		t.Error("the link closed before the client has closed its end")
 	}
 	conn.Close()
-	for end := time.Now().Add(500 * time.Millisecond); !l.Dead(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(500 * time.Millisecond); !l.IsClosed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the link does not detect that the client has closed")
 		}
@@ -133,7 +133,7 @@
 	runOnPollerAndWait(func() { l.StopReadingAtMessageEnd(func([]byte) int { return 1 }) })
 	conn.Write([]byte("unread"))
 	conn.Close()
-	for end := time.Now().Add(time.Second); !l.Dead(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(time.Second); !l.IsClosed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the link does not detect that the client has closed")
 		}
--- a/internal/wire/dial_test.go
+++ b/internal/wire/dial_test.go
@@ -101,7 +101,7 @@
 
 // A permanent error is returned as it is, after one socket. A transient error that persists is returned at the timeout, after few
 // sockets.
-func TestDialTellsFaults(t *testing.T) {
+func TestDialReturnsErrors(t *testing.T) {
 	address, stop := serveEcho(t)
 	defer stop()
 	for _, fault := range []error{syscall.ECONNREFUSED, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ETIMEDOUT} {
@@ -117,7 +117,7 @@
 }
 
 // A dial to a port without a listener is refused.
-func TestDialNobody(t *testing.T) {
+func TestDialRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/wire/flow.go
+++ b/internal/wire/flow.go
@@ -76,8 +76,9 @@
 	since        time.Time // zero before the first check
 }
 
-// PeerStalled reports whether the peer is not reading: for the link's SlowReaderTimeout, data has waited for it, its socket has
-// accepted none of it, and its kernel has acknowledged nothing. Each period in which data waits needs a new ReadProgress.
+// PeerStalled reports whether the peer is not reading: for the link's SlowReaderTimeout, data has waited for it, the link's
+// socket has accepted none of it, and the peer's kernel has acknowledged nothing. Each period in which data waits needs a
+// new ReadProgress.
 func (l *Link) PeerStalled(progress *ReadProgress, now time.Time) bool {
 	unacknowledged := l.unacknowledgedBytes()
 	l.mu.Lock()
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -81,6 +81,7 @@
 	return append(buf, 0, 0, 0, 0, byte(kind)), start
 }
 
+// finishFrame fills in the length of the frame that begins at start and ends at the end of buf.
 func finishFrame(buf []byte, start int) {
 	binary.BigEndian.PutUint32(buf[start:], uint32(len(buf)-start-4))
 }
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -71,15 +71,15 @@
 	peerAddr    net.Addr
 
 	mu           sync.Mutex
-	pending      []byte
-	reusable     []byte
-	flushing     bool
+	pending      []byte // bytes that were put and are not being written yet
+	reusable     []byte // a buffer that was written, for pending to reuse
+	flushing     bool   // a goroutine is writing
 	closed       bool
 	whenWritten  []func() // called once everything is written
 	putBytes     int64    // total bytes put
 	buffered     int64    // bytes that the owner buffers for the peer and has not put yet
-	budgeted     int64    // bytes that the budget accounts for this link
-	readPaused   bool     // too much waits to be written for reading to go on
+	budgeted     int64    // bytes counted against the budget for this link
+	readPaused   bool     // reading is to be paused, since too much waits to be written
 	sendingBytes int64    // of putBytes, those passed to the kernel or being passed to it
 	writtenBytes int64    // of putBytes, those that the kernel has accepted
 	writeFailed  bool     // the last write failed, possibly after a part of its data
@@ -116,6 +116,7 @@
 // DefaultLimits are limits that suit every role.
 var DefaultLimits = Limits{MaxFrameBytes: MaxFrameBytes, MaxPendingBytes: 8 << 20}
 
+// newLink makes a link of a connection. Its handler may be set later, but before data can arrive.
 func newLink(conn netpoll.Connection, limits Limits, handle DataHandler, onClosed func(*Link, error)) *Link {
 	l := &Link{conn: conn, handle: handle, onClosed: onClosed, maxPending: limits.MaxPendingBytes, slowReaderTimeout: cmp.Or(limits.SlowReaderTimeout, defaultSlowReaderTimeout), budget: limits.Budget, peerAddr: conn.RemoteAddr()}
 	l.flushFn = l.flush
@@ -357,12 +358,14 @@
 	}
 }
 
+// isFDClosed reports whether the descriptor is closed or about to be.
 func (l *Link) isFDClosed() bool {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
 	return l.fdClosed
 }
 
+// isDetached reports whether netpoll no longer owns the connection.
 func (l *Link) isDetached() bool {
 	l.fdMu.Lock()
 	defer l.fdMu.Unlock()
@@ -385,8 +388,8 @@
 // HasPartialMessage reports whether an incomplete message has been received. It is called on the poller.
 func (l *Link) HasPartialMessage() bool { return len(l.partial) > 0 }
 
-// Dead reports whether the link has closed.
-func (l *Link) Dead() bool {
+// IsClosed reports whether the link has closed.
+func (l *Link) IsClosed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed
--- a/internal/wire/listen_test.go
+++ b/internal/wire/listen_test.go
@@ -10,7 +10,7 @@
 //
 // It guards against "readdirent: bad file descriptor", as a test's clean-up failed in a CI run: netpoll's listener
 // (net_listener.go) closes its descriptor twice, once by number and once through its os.File, and between the two closes the
-// number may be reused by another file.
+// number may be reused by another file. With that listener this test fails.
 func TestServerClosesItsDescriptorOnce(t *testing.T) {
 	done := make(chan struct{})
 	var readers sync.WaitGroup
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -14,7 +14,7 @@
 	Profile            uint32
 	Account            uint32 // index plus one, 0 if none
 	Key                []byte
-	Timeout            uint64 // after which the client gives up this try
+	Timeout            uint64 // after which the client gives up this attempt
 	ExpectedWork       uint64 // 0 if unknown
 	Retry              bool
 	DeduplicationToken []byte // by which workers recognise retries of a deduplicated transaction
@@ -63,6 +63,7 @@
 // Message is a message that Link.Put can encode.
 type Message interface{ appendTo([]byte) []byte }
 
+// appendNumber appends a varint field, unless the value is 0.
 func appendNumber(b []byte, field protowire.Number, v uint64) []byte {
 	if v == 0 {
 		return b
@@ -70,6 +71,7 @@
 	return protowire.AppendVarint(protowire.AppendTag(b, field, protowire.VarintType), v)
 }
 
+// appendBytes appends a bytes field, unless the value is empty.
 func appendBytes(b []byte, field protowire.Number, v []byte) []byte {
 	if len(v) == 0 {
 		return b
--- a/internal/wire/poller.go
+++ b/internal/wire/poller.go
@@ -17,6 +17,7 @@
 	pending []func()
 }
 
+// getPollerQueue returns the process's queue, or nil if its eventfd can't be created or passed to netpoll.
 var getPollerQueue = sync.OnceValue(func() *pollerQueue {
 	fd, _, errno := syscall.Syscall(syscall.SYS_EVENTFD2, 0, syscall.O_NONBLOCK|syscall.O_CLOEXEC, 0)
 	if errno != 0 {
@@ -34,11 +35,12 @@
 	return q
 })
 
-// RunOnPoller calls f on the poller and does not wait for it. While f runs, no handler runs: all data that was read has passed
-// through the handlers, and all other data is still unread in the sockets. f must not block.
+// RunOnPoller calls f on the poller and does not wait for it. While f runs, no handler runs, except for the
+// rest of a partial message that the watcher reads. All data that netpoll has read has passed through the handlers, and all
+// other data is still unread in the sockets; only on the poller can the two be told apart. f must not block.
 func RunOnPoller(f func()) {
 	q := getPollerQueue()
-	if q == nil { // the eventfd could not be created: no descriptor was left
+	if q == nil { // probably no descriptor was left when the queue was first needed
 		go f()
 		return
 	}
@@ -52,6 +54,7 @@
 	}
 }
 
+// run calls the pending functions, on the poller.
 func (q *pollerQueue) run(_ context.Context, conn netpoll.Connection) error {
 	r := conn.Reader()
 	if err := r.Skip(r.Len()); err != nil {
--- a/internal/wire/send.go
+++ b/internal/wire/send.go
@@ -57,7 +57,7 @@
 			continue
 		case !isTransient(err):
 			return err
-		case l.Dead():
+		case l.IsClosed():
 			return net.ErrClosed
 		case l.PeerStalled(&progress, time.Now()):
 			return ErrSlowReader
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -18,9 +18,9 @@
 	listener    *listener
 	mu          sync.Mutex
 	links       map[*Link]struct{}
-	openSockets int
+	openSockets int // including those of links that are closing
 
-	acceptedCount atomic.Int64
+	acceptedCount atomic.Int64 // connections accepted so far
 
 	rejecting bool // new connections are closed at once
 }
--- a/standin/client.go
+++ b/standin/client.go
@@ -245,7 +245,7 @@
 	for _, i := range c.random.Perm(len(c.sentryIDs)) {
 		id, connected := c.sentryIDs[i], false
 		for _, conn := range c.connections {
-			if conn.sentry == id && !conn.link.Dead() {
+			if conn.sentry == id && !conn.link.IsClosed() {
 				connected = true
 				if found == nil {
 					found = conn
