--- a/cmd/scalechute/drill.go
+++ b/cmd/scalechute/drill.go
@@ -21,7 +21,7 @@
 		Short: "Run a scripted drill with faults on loopback and audit the five rules; exit 0 only if the drill passes",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if _, err := sentry.ParseBreach(faultName); err != nil {
+			if _, err := sentry.ParseFault(faultName); err != nil {
 				return err
 			}
 			scenario, err := drill.Load(args[0])
--- a/cmd/scalechute/drill_test.go
+++ b/cmd/scalechute/drill_test.go
@@ -81,7 +81,7 @@
 	dir := t.TempDir()
 	r := runDrillIn(t, dir, loadScenario(t, "short-day.hcl"), "")
 	log, err := os.ReadFile(filepath.Join(dir, "sentry-2.log")) // whose settings file is rewritten, every second time with an error
-	for _, message := range []string{"orders loaded", "orders refused, the old ones stay", "block route has 0 labels"} {
+	for _, message := range []string{"settings reloaded", "settings rejected; keeping the current ones", "block route has 0 labels"} {
 		if n := strings.Count(string(log), message); err != nil || n < 3 {
 			t.Errorf("the log has %q %d times, expected at least 3: %v", message, n, err)
 		}
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestInjectedFaults checks that the audit reports the rule that a sentry breaks on purpose, and no other rule.
+// TestInjectedFaults checks that the audit reports the rule that each injected fault breaks, and no other rule.
 func TestInjectedFaults(t *testing.T) {
-	for i, name := range sentry.BreachNames {
+	for i, name := range sentry.FaultNames {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := runDrill(t, loadScenario(t, "breach.hcl"), name)
--- a/cmd/scalechute/main.go
+++ b/cmd/scalechute/main.go
@@ -62,14 +62,14 @@
 			if err != nil {
 				return fmt.Errorf("level: found %q, expected debug, info, warn or error", levelName)
 			}
-			fault, err := sentry.ParseBreach(faultName)
+			fault, err := sentry.ParseFault(faultName)
 			if err != nil {
 				return err
 			}
 			zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
 			log := zerolog.New(os.Stderr).Level(level).With().Timestamp().
 				Int("sentry", int(settings.Policy.Position)).Logger()
-			if fault != sentry.NoBreach {
+			if fault != sentry.NoFault {
 				log.Warn().Str("rule", faultName).Msg("injected fault: this sentry breaks a rule on purpose")
 			}
 			if profileFile != "" {
@@ -86,7 +86,7 @@
 			signals, hangups := make(chan os.Signal, 1), make(chan os.Signal, 1)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 			signal.Notify(hangups, syscall.SIGHUP)
-			options := sentry.Options{Log: log, Breach: fault}
+			options := sentry.Options{Log: log, InjectedFault: fault}
 			if random {
 				log.Warn().Msg("choosing workers at random, as a baseline")
 				options.Decide = baseline.NewRandom(settings.Policy, settings.Endpoints.Seed).Apply
--- a/cmd/scalechute/platform.go
+++ b/cmd/scalechute/platform.go
@@ -40,7 +40,7 @@
 	debug.SetMemoryLimit(config.MemoryMB << 20 * 6 / 10)
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
 	log := zerolog.New(os.Stderr).Level(level).With().Timestamp().Str("sentry", config.Name).Logger()
-	fault, err := platform.ParseBreach(faultName)
+	fault, err := platform.ParseFault(faultName)
 	if err != nil {
 		return err
 	}
@@ -48,8 +48,8 @@
 	if err != nil {
 		return err
 	}
-	transport.SetBreach(fault)
-	if fault != platform.NoBreach {
+	transport.SetInjectedFault(fault)
+	if fault != platform.NoFault {
 		log.Warn().Str("promise", faultName).Msg("injected fault: this sentry violates a guarantee on purpose")
 	}
 	s, err := sentry.Start(config.Settings, sentry.Options{Log: log, Transport: transport, CachedList: config.InitialList})
--- a/cmd/scalechute/soak.go
+++ b/cmd/scalechute/soak.go
@@ -25,7 +25,7 @@
 		Short: "Run the real process under SIGHUP, SIGTERM and SIGKILL and print one line per run; exit 0 only if every guarantee holds",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if _, err := platform.ParseBreach(faultName); err != nil {
+			if _, err := platform.ParseFault(faultName); err != nil {
 				return err
 			}
 			executable, err := os.Executable()
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -21,7 +21,7 @@
 type Options struct {
 	Program       []string                         // command of this program, which `sentry --config FILE` follows
 	Dir           string                           // for the sentries' files and logs
-	InjectedFault string                           // of the first sentry: the rule that it breaks on purpose, empty if none
+	InjectedFault string                           // of the first sentry, named as its --break flag takes it; empty if none
 	RandomWorkers bool                             // sentries choose workers at random instead of by the decision module
 	Logf          func(format string, args ...any) // prints the timeline
 }
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -61,7 +61,7 @@
 	ready     bool
 	counted   bool // its size is counted as buffered on the link
 
-	skipped bool // not written, because of an injected breach
+	skipped bool // not written, because of an injected fault
 }
 
 // size returns the memory that the reply takes, in bytes.
@@ -382,7 +382,7 @@
 	written := 0
 	ok = true
 	for written < len(c.replies) && c.replies[written].ready {
-		c.applyBreach(c.replies[written:])
+		c.injectFault(c.replies[written:])
 		r := &c.replies[written]
 		if r.counted {
 			c.AddBuffered(-r.size())
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -32,7 +32,7 @@
 	wallClock           *clock.WallClock
 
 	mu             sync.Mutex // guards clients, openRequests and meanReplyBytes
-	breachTrigger  trigger
+	faultTrigger   trigger
 	replyBudget    *wire.BufferBudget // for replies that wait to be written
 	clients        map[*clientConn]struct{}
 	openRequests   map[string]struct{} // ids of open requests
--- a/internal/sentry/breach.go
+++ b/internal/sentry/fault.go
@@ -8,45 +8,46 @@
 	"scalechute/logic"
 )
 
-// Breach is a rule that the sentry breaks on purpose, bypassing the decision module, to test that the auditor finds
-// it. It has no other use.
-type Breach int
+// InjectedFault is a fault that makes the sentry break a rule, bypassing the decision module. It exists only to test
+// that the audit reports the violation.
+type InjectedFault int
 
-// The rules that can be broken (rules 1 to 5 of package audit), and NoBreach for none.
+// NoFault is no fault. The others are in the order of the rules that they break, rules 1 to 5 of package audit.
 const (
-	NoBreach       Breach = iota
-	BreachAnswer          // a second final answer
-	BreachEffect          // a second hand-off of a transaction that is not idempotent
-	BreachDrain           // a hand-off to a worker that drains or is gone, after the drain grace
-	BreachCold            // many hand-offs at once to a worker that is still cold
-	BreachExposure        // more hand-offs to the build on trial than its cap allows
+	NoFault              InjectedFault = iota
+	DuplicateAnswer                    // a second final answer
+	DuplicateHandOff                   // a second hand-off of a transaction that is not idempotent
+	HandOffAfterDrain                  // a hand-off to a worker that drains or is gone, after the drain grace
+	HandOffsToColdWorker               // many hand-offs at once to a worker that is still cold
+	HandOffsOverTrialCap               // more hand-offs to the build on trial than its cap allows
 )
 
-// BreachNames lists the names of the breaches, starting with BreachAnswer.
-var BreachNames = []string{"answer", "effect", "drain", "cold", "exposure"}
+// FaultNames lists the names of the faults, starting with DuplicateAnswer.
+var FaultNames = []string{"answer", "effect", "drain", "cold", "exposure"}
 
-// ParseBreach returns the breach of a name, NoBreach for an empty one.
-func ParseBreach(name string) (Breach, error) {
+// ParseFault returns the fault with the given name, or NoFault if the name is empty.
+func ParseFault(name string) (InjectedFault, error) {
 	if name == "" {
-		return NoBreach, nil
+		return NoFault, nil
 	}
-	i := slices.Index(BreachNames, name)
+	i := slices.Index(FaultNames, name)
 	if i < 0 {
-		return NoBreach, fmt.Errorf("break: found %q, expected one of %v", name, BreachNames)
+		return NoFault, fmt.Errorf("break: found %q, expected one of %v", name, FaultNames)
 	}
-	return Breach(i + 1), nil
+	return InjectedFault(i + 1), nil
 }
 
-// breachAnswerRule answers one transaction in 20 a second time.
-func (s *Sentry) breachAnswerRule(t *transaction, a *wire.Answer) {
-	if s.breach == BreachAnswer && s.transactionSeq%20 == 0 {
+// injectDuplicateAnswer answers one transaction in 20 a second time if DuplicateAnswer is injected.
+func (s *Sentry) injectDuplicateAnswer(t *transaction, a *wire.Answer) {
+	if s.injectedFault == DuplicateAnswer && s.transactionSeq%20 == 0 {
 		s.queueAnswer(t.client, a)
 	}
 }
 
-// breachHandOffRules sends a transaction's work to a worker again, once or many times, after its first hand-off.
-func (s *Sentry) breachHandOffRules(t *transaction, action *logic.Action) {
-	if s.breach < BreachEffect || len(t.handOffs) != 1 || t.closed {
+// injectHandOffFault sends a transaction's work to a worker again, once or many times, after its first hand-off. It
+// does so if one of the faults from DuplicateHandOff on is injected.
+func (s *Sentry) injectHandOffFault(t *transaction, action *logic.Action) {
+	if s.injectedFault < DuplicateHandOff || len(t.handOffs) != 1 || t.closed {
 		return
 	}
 	repeatability := s.config.Profiles[t.profile].Repeatability
@@ -57,25 +58,25 @@
 	isOrdinary := func(w *worker) bool {
 		return w.info.State == logic.Ready && w.info.Build < s.workerList.releaseStatus.Build && s.isWarm(w)
 	}
-	switch s.breach {
-	case BreachEffect:
+	switch s.injectedFault {
+	case DuplicateHandOff:
 		if repeatability == logic.NonIdempotent {
 			s.sendExtraHandOffs(t, 1, func(w *worker) bool { return isOrdinary(w) && w.id != action.Worker })
 		}
-	case BreachDrain:
+	case HandOffAfterDrain:
 		if repeatability == logic.Idempotent {
 			s.sendExtraHandOffs(t, 1, func(w *worker) bool {
 				return w.info.State != logic.Ready && s.now-w.stateSince > s.config.DrainGrace &&
 					w.info.Build < s.workerList.releaseStatus.Build
 			})
 		}
-	case BreachCold:
+	case HandOffsToColdWorker:
 		if repeatability == logic.Idempotent {
 			s.sendExtraHandOffs(t, 20, func(w *worker) bool {
 				return w.info.State == logic.Ready && w.info.Build < s.workerList.releaseStatus.Build && !s.isWarm(w)
 			})
 		}
-	case BreachExposure:
+	case HandOffsOverTrialCap:
 		if repeatability == logic.Idempotent && s.workerList.releaseStatus.Phase == logic.OnTrial && s.transactionSeq%2 == 0 {
 			s.sendExtraHandOffs(t, 1, func(w *worker) bool {
 				return w.info.State == logic.Ready && w.info.Build == s.workerList.releaseStatus.Build && s.isWarm(w)
@@ -108,7 +109,7 @@
 		return 1
 	})
 	w := candidates[int(s.transactionSeq/2)%len(candidates)]
-	if s.breach == BreachCold {
+	if s.injectedFault == HandOffsToColdWorker {
 		w = candidates[0]
 	}
 	if len(w.conns) == 0 {
--- a/internal/sentry/routing.go
+++ b/internal/sentry/routing.go
@@ -152,9 +152,9 @@
 func (s *Sentry) RecordReload(settings *orders.Settings, err error) {
 	if err != nil {
 		s.metrics.settingsRefused.Inc()
-		s.log.Error().Err(err).Msg("orders refused, the old ones stay")
+		s.log.Error().Err(err).Msg("settings rejected; keeping the current ones")
 		return
 	}
 	s.metrics.settingsLoaded.Inc()
-	s.log.Info().Str("routes", settings.Routes.Summary()).Msg("orders loaded")
+	s.log.Info().Str("routes", settings.Routes.Summary()).Msg("settings reloaded")
 }
--- a/internal/sentry/sentry.go
+++ b/internal/sentry/sentry.go
@@ -28,20 +28,20 @@
 
 // Sentry is one running sentry. Start creates it.
 type Sentry struct {
-	settings   *orders.Settings
-	config     *logic.Config
-	log        zerolog.Logger
-	clock      clock
-	inbox      *inbox
-	transport  Transport
-	address    string
-	metrics    *metrics
-	done       chan struct{}
-	record     func(*input.Input, *logic.Result)
-	breach     Breach
-	killed     atomic.Bool
-	routing    atomic.Pointer[routing]
-	listWrites sync.WaitGroup // of the worker list's file
+	settings      *orders.Settings
+	config        *logic.Config
+	log           zerolog.Logger
+	clock         clock
+	inbox         *inbox
+	transport     Transport
+	address       string
+	metrics       *metrics
+	done          chan struct{}
+	record        func(*input.Input, *logic.Result)
+	injectedFault InjectedFault
+	killed        atomic.Bool
+	routing       atomic.Pointer[routing]
+	listWrites    sync.WaitGroup // of the worker list's file
 
 	// The fields below are accessed by the event loop only.
 	decide           func(*input.Input) logic.Result
@@ -83,12 +83,12 @@
 
 // Options are what a caller may set in addition to a sentry's settings.
 type Options struct {
-	Log        zerolog.Logger
-	Record     func(*input.Input, *logic.Result) // called on the event loop for each input with the module's result
-	Breach     Breach                            // breaks a rule on purpose, to test the auditor
-	Decide     func(*input.Input) logic.Result   // replaces the decision module, for baselines and tests
-	Transport  Transport                         // nil for the frame protocol
-	CachedList *pb.Report                        // initial worker list, used in place of the file
+	Log           zerolog.Logger
+	Record        func(*input.Input, *logic.Result) // called on the event loop for each input with the module's result
+	InjectedFault InjectedFault                     // makes the sentry break a rule, to test the audit
+	Decide        func(*input.Input) logic.Result   // replaces the decision module, for baselines and tests
+	Transport     Transport                         // nil for the frame protocol
+	CachedList    *pb.Report                        // initial worker list, used in place of the file
 }
 
 // transaction is one that a client sent and the sentry accepted.
@@ -137,7 +137,7 @@
 func Start(settings *orders.Settings, opts Options) (*Sentry, error) {
 	s := &Sentry{
 		settings: settings, config: &settings.Policy, log: opts.Log, clock: newClock(), done: make(chan struct{}),
-		record: opts.Record, breach: opts.Breach,
+		record: opts.Record, injectedFault: opts.InjectedFault,
 		transactions: map[logic.TransactionID]*transaction{}, workers: map[logic.WorkerID]*worker{}, pendingVotes: map[uint64]bool{},
 		idPrefix: strconv.FormatInt(time.Now().UnixMicro(), 36) + "-" + strconv.Itoa(int(settings.Policy.Position)) + "-", // wall clock: a name
 	}
@@ -512,7 +512,7 @@
 		switch action.Kind {
 		case logic.HandOff:
 			s.handOff(t, action)
-			s.breachHandOffRules(t, action)
+			s.injectHandOffFault(t, action)
 		case logic.CancelHandOff:
 			s.cancelHandOff(t, action.HandOffNumber)
 		case logic.Defer:
@@ -715,7 +715,7 @@
 	*a = wire.Answer{ID: t.idAtClient, Outcome: uint32(o), RetryAfter: uint64(retryAfter), Payload: payload, Worker: worker,
 		Profile: t.profile}
 	s.queueAnswer(t.client, a)
-	s.breachAnswerRule(t, a)
+	s.injectDuplicateAnswer(t, a)
 	s.setTimer(t)
 }
 
--- a/internal/sentry/switch_test.go
+++ b/internal/sentry/switch_test.go
@@ -88,7 +88,7 @@
 // plane and load reports without the number of hand-offs. In between there are invalid files and changes that a
 // running sentry cannot apply, each of which must be refused with file, line and what was expected. Every transaction
 // must have one final answer, and the auditor must find each rule kept under the settings of its time. With stricter
-// settings and earlier drains it must find rules broken in the same record.
+// settings and earlier drains it must find violations in the same record.
 func TestSwitchesUnderLoad(t *testing.T) {
 	r := newRig(t, rigOptions{handOffs: 3})
 	r.environment.SetBuildBehavior(11, standin.BuildBehavior{RelativeSpeed: 1, ErrorShare: 0.02, FailingProfile: -1})
@@ -177,8 +177,8 @@
 	if n := r.s.CounterValues("orders_refused_total")["0"]; n != 100 || findings.TriesUnclosed > 0 || len(findings.Violations) > 0 {
 		t.Errorf("%v refused, %d unclosed, violations %v", n, findings.TriesUnclosed, findings.Violations[:min(3, len(findings.Violations))])
 	}
-	if broken := audit.Check(&strict, 60_000, early).ViolatedRules(); !slices.Equal(broken, []int{3, 5}) {
-		t.Errorf("rules %v found broken, expected rules 3 and 5", broken)
+	if violated := audit.Check(&strict, 60_000, early).ViolatedRules(); !slices.Equal(violated, []int{3, 5}) {
+		t.Errorf("rules %v violated, expected rules 3 and 5", violated)
 	}
 	if findings.TriesAnswered < 400 || seen["to the trial"] < 50 || seen["loads without a number"] < 50 || r.seen(input.CountsReceived) < 10 {
 		t.Errorf("too few events for this test to be meaningful: %d counts, %v", r.seen(input.CountsReceived), seen)
--- a/internal/sentry/worker_list.go
+++ b/internal/sentry/worker_list.go
@@ -23,7 +23,7 @@
 	lines         []*pb.Line // in the order in which the workers were first listed, without those that are gone
 	lineIndex     map[logic.WorkerID]int
 	instances     map[logic.WorkerID]workerInstance
-	releaseStatus logic.ReleaseStatus // as last received, for Breach
+	releaseStatus logic.ReleaseStatus // as last received, for fault injection
 	unsaved       bool                // the timer to save it is set, or it has changed while it was being written
 	writing       bool
 }
--- a/internal/wire/poller.go
+++ b/internal/wire/poller.go
@@ -37,7 +37,7 @@
 
 // RunOnPoller calls f on the poller and does not wait for it. While f runs, no handler runs, except for the
 // rest of a partial message that the watcher reads. All data that netpoll has read has passed through the handlers, and all
-// other data is still unread in the sockets; only on the poller can the two be told apart. f must not block.
+// other data is still unread in the sockets; only on the poller can the two be distinguished. f must not block.
 func RunOnPoller(f func()) {
 	q := getPollerQueue()
 	if q == nil { // probably no descriptor was left when the queue was first needed
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// Frames arrive in order in both directions, each side is told once that the other has closed, and an error names what is wrong
-// with a frame.
+// Frames arrive in order in both directions, each side is notified once that the other has closed, and an error names
+// what is wrong with a frame.
 func TestLink(t *testing.T) {
 	type end struct {
 		l      *Link
