--- a/logic/logic.go
+++ b/logic/logic.go
@@ -41,10 +41,11 @@
 	rollBackExcess   = 4.0 // a higher excess sum leads to a vote to roll back
 	maxAdvanceExcess = 2.0 // a lower excess sum allows a vote to advance
 	minSampleSize    = 20  // outcomes to judge before a vote to advance
-	// Durations of younger workers are not judged. A vote to advance comes no sooner than this after the start of the
-	// trial's youngest worker.
+	// Durations of younger workers are not judged. A vote to advance comes no sooner than this after the stage began
+	// and the trial's youngest worker started.
 	settleTime = 3 * second
-	// This long after that start, a vote to advance needs no minimum of outcomes.
+	// At the earliest this long after both, a vote to advance needs no minimum of outcomes. isJudging holds for twice
+	// this time after a change of phase.
 	observationTime = 5 * second
 	initialMissRate = 0.05 // assumed until outcomes have been seen
 
@@ -57,7 +58,7 @@
 	// Before the last vote to advance, the trial carries all traffic for the warm-up time divided by this.
 	lastStageWarmUpDivisor = 2
 	refusedShareSmoothing  = 0.1 // also the refusedShare above which all candidates are compared
-	// The load score of a worker that needs a new connection grows by this times refusedShare.
+	// The load score of a worker that needs a new connection is multiplied by 1 + this x refusedShare.
 	newConnectionPenalty    = 20.0
 	zoneLatencySmoothing    = 0.25
 	maxZoneLatencyRatio     = 10.0 // also counts for a connection that could not be opened in time
@@ -81,12 +82,13 @@
 	failureRateSmoothing    = 0.25
 	otherLoadSmoothing      = 0.4
 	downAfterFailures       = 3 // failures to reach a worker, seconds apart, after which it counts as having been down
-	ejectFailureRate        = 0.5
-	nonLoadFailureWeight    = 6.0        // factor of the rate of failures that no load explains, on the load score
-	loadTTL                 = 3 * second // how long a worker's reported load counts
-	slowTTLTransactions     = 20.0       // a slow worker is remembered for at least this many transactions
-	toleratedLatencyRatio   = 1.5        // latency ratio up to which a worker's slowness counts as chance
-	initialSubsetSize       = 2
+	// Also the refusedShare above which an open connection matters more than load.
+	ejectFailureRate      = 0.5
+	nonLoadFailureWeight  = 6.0        // weight, in the load score, of the rate of failures that no load explains
+	loadTTL               = 3 * second // how long a worker's reported load counts
+	slowTTLTransactions   = 20.0       // a slow worker is remembered for at least this many transactions
+	toleratedLatencyRatio = 1.5        // latency ratio up to which a worker's slowness counts as chance
+	initialSubsetSize     = 2
 	// The random rank of a worker in another zone is higher by this share, so that it joins the subset later.
 	otherZoneRankPenalty = 1.0
 	// Random candidates to compare for a hand-off, scaled with the candidates per sentry. With more, all sentries
@@ -144,8 +146,8 @@
 	})
 }
 
-// handleEvent handles one event: it sets the clock, applies the event, requests the list and updates the vote when
-// these are due, and returns the result.
+// handleEvent handles one event: it advances the sentry's time, applies the event, requests the list and updates the
+// vote when these are due, and returns the result.
 func (s *Sentry) handleEvent(now Micros, apply func()) Result {
 	if s.firstCallAt > 0 && now > s.now+second { // the process was stalled: calls come more often otherwise
 		s.stalledAt = now
@@ -194,8 +196,8 @@
 	})
 }
 
-// admit takes in a new transaction. It passes it on if the concurrency limit allows, and queues it or gives it up
-// otherwise.
+// admit takes in a new transaction. It passes the transaction on if the concurrency limit allows, and otherwise queues
+// it or gives it up.
 func (s *Sentry) admit(t *transaction) bool {
 	t.slot = s.random.Intn(100)
 	s.arrivalTimes = dropUpTo(append(s.arrivalTimes, s.now), s.now-s.arrivalWindow)
@@ -227,24 +229,24 @@
 	retryBudgetShare = 0.05 // retries and hedges allowed per transaction taken
 	maxRetryBudget   = 10
 
-	// Open hand-offs per ready worker: the limit at the start, and its lower bound for this sentry's part of the
-	// workers.
+	// Open hand-offs per ready worker in the limit at the start. The limit's lower bound is this times the sentry's part
+	// of the workers, or times the hand-offs that its usual traffic has open if these are more.
 	minConcurrencyPerWorker = 2.0
 	// Open hand-offs per ready worker: the upper bound of the limit.
 	maxConcurrencyPerWorker = 8.0
-	// The limit may be exceeded while the group has fewer open hand-offs than this at a worker.
+	// The limit may be exceeded while the other sentries of the group have fewer open hand-offs than this at a worker.
 	maxIdleGroupOpen   = 1.0
 	retryReservedShare = 0.5 // share of the limit that retries leave free
 	// Lower bound, in open hand-offs, of the limit that follows from a sentry's own traffic.
 	minOwnTrafficLimit = 9.0
-	// Change of the limit for each answer in time while the limit is used, and for each failure from overload.
+	// Change of the limit for each answer in time while most of the limit is used, and for each sign of overload.
 	concurrencyIncrease, concurrencyDecrease = 0.1, 1.0
 )
 
 // adjustConcurrencyLimit adapts the limit on open hand-offs to how answers come: it rises with answers in time and
-// falls with signs of overload. It also bounds the limit by what this sentry's own traffic fills in the longest due
-// time: hundreds of sentries that each send a little too much congest the fleet before any of them has seen late
-// answers. The limit guards against overload of any cause. It can do harm where failures are quick, hence its lower
+// falls with signs of overload. The limit is also bounded by the number of transactions that this sentry receives in the
+// longest due time: hundreds of sentries that each send a little too much congest the fleet before any of them has seen
+// late answers. The limit guards against overload of any cause. It can do harm where failures are quick, hence its lower
 // bound.
 func (s *Sentry) adjustConcurrencyLimit(stats *profileStats, w int, end HandOffEnd) {
 	// Lists arrive before the release status that explains them, so either build may be gone from the list already.
@@ -308,7 +310,7 @@
 	return false
 }
 
-// queueDeadline returns the time until which a transaction stays queued: then an answer in time is unlikely.
+// queueDeadline returns the time until which a transaction stays queued. After it, an answer in time is unlikely.
 func (s *Sentry) queueDeadline(t *transaction) Micros {
 	return min(t.arrivedAt+t.profile.DueTime/4, t.Deadline-s.config.TimerGranularity)
 }
@@ -368,9 +370,10 @@
 }
 
 // chooseWorker returns the least loaded worker of the subset, or -1. The subset is the first ready workers in this
-// sentry's own order, and grows by one whenever all its workers are busy. The orders are drawn at random, weighted by
-// worker size, so that hundreds of sentries with little traffic spread over the fleet. It can do harm where the
-// subset happens to be shared with busy sentries and no load report shows that.
+// sentry's own order, at least those of its group. Whenever all its workers are busy, it grows by one, and an eligible
+// worker from there on is returned. The orders are drawn at random, weighted by worker size, so that hundreds of
+// sentries with little traffic spread over the fleet. Subsetting can do harm where the subset happens to be shared with
+// busy sentries and no load report shows that.
 func (s *Sentry) chooseWorker(t *transaction, build BuildID) int {
 	workers := s.buildWorkers[build]
 	if workers == nil {
@@ -468,7 +471,7 @@
 // slowRecency returns how much of what is known of a worker's latency still counts, from 1 down to 0.
 func (s *Sentry) slowRecency(w int) float64 { return max(0, 1-float64(s.now-s.seenAt[w])/s.slowTTL()) }
 
-// slowTTL returns how long a slow worker is remembered: longer for a sentry with little traffic.
+// slowTTL returns how long a slow worker is remembered, in microseconds: longer for a sentry with little traffic.
 func (s *Sentry) slowTTL() float64 {
 	return max(float64(loadTTL), slowTTLTransactions*float64(s.arrivalWindow)/float64(1+len(s.arrivalTimes)))
 }
@@ -629,9 +632,9 @@
 }
 
 // atColdLimit reports whether a cold worker has got this sentry's part of what all sentries together may send it.
-// That is half of ColdLoadMultiple times what a worker of its size usually gets of this sentry's traffic. A random
-// allowance stands in for fractions of a hand-off. It guards against bursts, retries and newly started fleets that
-// hit a few workers, however many sentries there are.
+// That is half of ColdLoadMultiple times what a worker of its size and warm-up usually gets of this sentry's traffic. A
+// random allowance stands in for fractions of a hand-off. The limit guards against bursts, retries and newly started
+// fleets that hit a few workers, however many sentries there are.
 func (s *Sentry) atColdLimit(w int) bool {
 	capacity := s.warmUpCapacity(w, s.now)
 	if capacity >= 1 {
@@ -718,15 +721,15 @@
 	}
 }
 
-// eject ejects a worker for at least a second, or longer for a sentry with little traffic. It then comes last in the
+// eject ejects a worker for a second, or longer for a sentry with little traffic. The worker then comes last in the
 // order, and is chosen only where no other worker will do.
 func (s *Sentry) eject(w int) {
 	s.ejectedUntil[w] = max(s.ejectedUntil[w], s.now+max(second, Micros(s.slowTTL()/4)))
 }
 
-// ejectOverdue ejects workers that take work and do not answer, which a time-out would show much later. It counts
-// lost hand-offs, which are no load. Once many workers are ejected, a worker that has answered since the overdue
-// hand-off was sent stays in use.
+// ejectOverdue ejects workers that take work and do not answer, which a time-out would show much later. It also
+// counts lost hand-offs, which load no worker. Once many workers are ejected, a worker that has answered since the
+// overdue hand-off was sent stays in use.
 func (s *Sentry) ejectOverdue() {
 	s.lostHandOffs = 0
 	fewEjected := s.ejectedCount()*fewEjectedDivisor < s.readyCount(s.earlierBuild)
@@ -792,7 +795,8 @@
 	}
 }
 
-// refreshBuilds finds the earlier build and updates the trial's share, after a release status or a list.
+// refreshBuilds finds the earlier build, updates the trial's share and runs the queue, after a release status, a list or
+// a new configuration.
 func (s *Sentry) refreshBuilds() {
 	s.refreshReadyWorkers()
 	s.earlierBuild = s.findEarlierBuild()
@@ -801,8 +805,8 @@
 	s.runQueued()
 }
 
-// findEarlierBuild returns the released build, or else the older build, not rolled back, whose ready workers have the
-// most capacity, or -1 if there is none.
+// findEarlierBuild returns the newest build if it is released. Otherwise it returns, of the older builds that were not
+// rolled back, the one whose ready workers have the most capacity, or -1 if there is none.
 func (s *Sentry) findEarlierBuild() BuildID {
 	if s.release.Valid && s.release.Phase == Released {
 		return s.release.Build
@@ -820,7 +824,7 @@
 }
 
 // rampTrialSlots raises the number of slots that go to the trial with the capacity of its workers, up to the cap. It
-// never lowers it while the cap stands, so that a key that was sent to the trial stays there.
+// lowers it only when the cap falls, so that a key that was sent to the trial stays there.
 func (s *Sentry) rampTrialSlots() {
 	trial, onTrial := s.trialBuild()
 	if !onTrial {
@@ -832,14 +836,14 @@
 		trialCapacity = workers.warmCapacity
 	}
 	// Where the earlier workers all stay, they have little to do. If the total left out the trial's capacity, the trial's
-	// workers would carry far more than they do, and a good build would look late. A third of it counts there.
+	// workers would carry far more than these, and a good build would look late. A third of it counts there.
 	totalCapacity += trialCapacity * (1 - oneIf(s.config.EarlierWorkersStay && totalCapacity > 0)*2/3)
 	share := trialShareFactor * trialCapacity / max(totalCapacity, 1e-9)
 	s.trialSlots = min(max(s.trialSlots, percent(share)), percent(s.release.Cap))
 }
 
 // trialBuild returns the newest build and whether hand-offs may go to it as the trial: while it is on trial, and
-// while it rolls back as long as its cap is above 0 and no earlier worker is ready.
+// while it is being rolled back if its cap is above 0 and there is no earlier build to use.
 func (s *Sentry) trialBuild() (BuildID, bool) {
 	lastResort := s.release.Phase == RollingBack && s.release.Cap > 0 && s.earlierBuild < 0
 	return s.release.Build, s.release.Valid && (s.release.Phase == OnTrial || lastResort)
@@ -899,7 +903,7 @@
 		if warm {
 			s.judgeFleetLatency(stats, duration)
 		}
-		// Also for a build that was released just now and is itself the earlier build.
+		// After a release the new build is itself the earlier one. Its errors still count as the trial's if it was judged.
 		ofTrial := h.build != s.earlierBuild || ofNewest && s.judgedOutcomes > 0
 		s.recordOutcome(t.Profile, errorMiss, ofTrial, failed, weight)
 		if warm {
@@ -928,8 +932,8 @@
 	s.judgeOutcomes(profileID, kind, ofTrial, 1, oneIf(missed)*weight)
 }
 
-// judgeOutcomes takes outcomes of one build, of which misses failed or were late. Those of the earlier build update
-// its miss rate. The trial's excess over that rate is added to the excess sums, which do not fall below 0.
+// judgeOutcomes takes a number of outcomes of one build and how many of them were misses. Those of the earlier build
+// update its miss rate. The trial's excess over that rate is added to the excess sums, which do not fall below 0.
 func (s *Sentry) judgeOutcomes(profileID ProfileID, kind missKind, ofTrial bool, outcomes, misses float64) {
 	stats, total := &s.profiles[profileID], &s.allProfiles
 	if !ofTrial {
@@ -940,6 +944,7 @@
 	}
 	excess := errorWeight * (misses - outcomes*(stats.earlierMissRate[errorMiss]+toleratedErrorShare))
 	if kind == lateMiss {
+		// Lateness shows nothing where the earlier build gives nothing to compare with, or is late itself.
 		if s.now-s.earlierOutcomeAt >= second || stats.earlierMissRate[lateMiss] >= overloadLateRate {
 			return
 		}
@@ -1006,15 +1011,16 @@
 	return s.ownLoad() / s.baselineLoad
 }
 
-// isJudging reports whether the newest build is on trial, or was released recently, and there is something to judge.
+// isJudging reports whether the newest build is on trial, or its phase changed recently (to released, for instance), and
+// there is something to judge.
 // Hundreds of sentries together see what is slow in the fleet long before each of them has seen the trial itself.
 func (s *Sentry) isJudging() bool {
 	onTrial := s.release.Phase == OnTrial
 	return (s.judgedOutcomes > 0 || onTrial && s.cooperates()) && (onTrial || s.now-s.statusSince <= 2*observationTime)
 }
 
-// lowerQuartileLatencyRatio returns the lower quartile of the latency ratios of the ready workers in the subsets that
-// are warm and were used recently, or 1 if there are none.
+// lowerQuartileLatencyRatio returns the lower quartile of the latency ratios of the subsets' workers that are warm and
+// were used recently, or 1 if there are none.
 func (s *Sentry) lowerQuartileLatencyRatio() float64 {
 	ratios := []float64{1}
 	for build, workers := range s.buildWorkers {
@@ -1029,10 +1035,10 @@
 	return ratios[min(len(ratios)-1, (len(ratios)+3)/4)]
 }
 
-// missWeight returns the weight of one outcome. A miss of a trial worker weighs less the more this worker has missed
-// beyond its even share of all misses. It guards against a machine's own trouble (fast failures, slowness, a machine
-// shared with another program). It costs time where a bad build has very few workers and one of them gets most of the
-// traffic.
+// missWeight returns the weight of one outcome. A miss of a trial worker is counted, and weighs less the more this
+// worker has missed beyond its even share of all misses. The weight guards against a machine's own trouble (fast
+// failures, slowness, a machine shared with another program). It costs time where a bad build has very few workers and
+// one of them gets most of the traffic.
 func (s *Sentry) missWeight(w int, kind missKind, missed bool) float64 {
 	if !missed {
 		return 1
@@ -1082,9 +1088,10 @@
 	manySentries = 20 // from this number on, the sentries cooperate
 	// Bounds of the share of slow answers that is tolerated where sentries cooperate.
 	minToleratedSlowShare, maxToleratedSlowShare = 0.45, 0.9
-	collectorCount                               = 3          // sentries that judge the counts of all
-	maxReportedWorkers                           = 20         // workers in a report, with their misses
-	collectorVerdictLifetime                     = 3 * second // how long a collector's verdict counts
+	collectorCount                               = 3 // sentries that judge the counts of all
+	// Workers in a report, with their misses. A worker with misses of both kinds counts twice.
+	maxReportedWorkers       = 20
+	collectorVerdictLifetime = 3 * second // how long a collector's verdict counts
 )
 
 // cooperates reports whether the sentries judge together and share load in groups: there are so many that only all of
@@ -1100,12 +1107,11 @@
 	return positions
 }
 
-// isCollector reports whether this sentry is one of the collectors.
 func (s *Sentry) isCollector() bool { return slices.Contains(s.collectors(), s.config.Position) }
 
-// sendReports sends this sentry's counts to the collectors, and a collector's verdict to all. A report holds all
-// counts of the trial each time, so that a lost message or a restart of either side loses nothing for long. It guards
-// against judging on very little. Where messages are lost, each sentry judges by itself.
+// sendReports sends this sentry's counts to the collectors, and if it is one of them, its verdict to all. A report
+// holds all counts of the trial each time, so that a lost message or a restart of either side loses nothing for long.
+// Pooling the counts guards against judging on very little. Where messages are lost, each sentry judges by itself.
 func (s *Sentry) sendReports(verdict Verdict) {
 	if !s.config.MayMessage || s.now < s.nextReportAt {
 		return
@@ -1139,7 +1145,6 @@
 	groupOpenTTL = 20.0
 )
 
-// groupCount returns the number of groups.
 func (s *Sentry) groupCount() int { return max(1, s.config.Sentries/sentriesPerGroup) }
 
 // inGroup reports whether this sentry is in a group with enough workers.
@@ -1249,7 +1254,7 @@
 }
 
 // addPeriodMean adds a mean duration to the means of its period over all profiles: of the trial, corrected for the
-// warm-up of its workers, and of all builds.
+// warm-up of its workers, and of all builds. A mean of the earlier build also updates what is usual for the profile.
 func (s *Sentry) addPeriodMean(stats *profileStats, answers, mean float64, ofNewest bool, at Micros) {
 	if answers <= 0 || mean <= 0 {
 		return
@@ -1296,8 +1301,9 @@
 	}
 }
 
-// updateVote forms this sentry's verdict, and votes when it has changed or is about to expire. It runs each quarter
-// second.
+// updateVote forms this sentry's verdict, and votes when it has changed or its last vote is about to expire. It runs each
+// quarter second, and first brings up to date what changes with time: ejections, ready workers, the log
+// of leases, the platform's means and the usual load.
 func (s *Sentry) updateVote() {
 	if s.now < s.nextVoteAt {
 		return
@@ -1335,6 +1341,7 @@
 //
 //   - the collectors' verdict if one came recently, or nothing if the collectors' own votes are enough;
 //   - RollBack once an excess sum has passed the limit, and then until the next trial, or while complaints count enough;
+//   - NoVerdict if the build is released or has no ready worker;
 //   - with ControlTimer, Hold while an excess sum is too high to advance;
 //   - without it, Advance if the excess sums are low and the trial has been observed for long enough;
 //   - NoVerdict otherwise.
--- a/logic/port.go
+++ b/logic/port.go
@@ -356,7 +356,7 @@
 	Actions   []Action
 	Votes     []Vote
 	WatchList bool       // subscribe to changes of the list
-	FetchList bool       // request the whole list once
+	FetchList bool       // request the whole list once; no decision asks for it
 	Probes    []WorkerID // workers to probe; no decision asks for probes
 	Messages  []Message
 	LogLines  []string
--- a/logic/state.go
+++ b/logic/state.go
@@ -41,7 +41,7 @@
 }
 
 // profileStats is what a sentry knows of the transactions of one profile. The earlier build and the trial are
-// measured separately. A miss is a failed or late outcome.
+// measured separately. A miss is a failed or late outcome. Durations are in microseconds.
 type profileStats struct {
 	*Profile                 // replaced by a new configuration
 	expectedDuration float64 // usual duration of an answer of the earlier build
@@ -80,7 +80,7 @@
 	formerBounds               []exposureBound // bounds of former configurations, each in force for its window
 	maxRuleWindow              Micros          // the longest window of a rule in any configuration so far
 	maxDueTime                 Micros          // the longest due time of the profiles
-	maxDeadline                Micros          // the longest deadline of any transaction
+	maxDeadline                Micros          // the longest MaxDeadline of a profile in any configuration so far
 	arrivalWindow              Micros          // how long arrivalTimes and handOffTimes go back
 	arrivalTimes               []Micros
 	handOffTimes               []Micros
@@ -122,7 +122,7 @@
 
 	usualLoad       float64 // smoothed: this sentry's hand-offs in arrivalWindow per unit of fleet capacity
 	buildWorkers    map[BuildID]*buildWorkers
-	fleetCapacity   float64 // what all ready workers can do now, cold ones less
+	fleetCapacity   float64 // capacity of all builds together, as in buildWorkers
 	usualWorkerLoad float64 // smoothed number of transactions that a worker reports
 
 	// The worker list.
@@ -195,7 +195,7 @@
 type buildWorkers struct {
 	ready      []int   // in this sentry's order, ejected workers last
 	subsetSize int     // the subset is the first so many
-	capacity   float64 // what the workers can do now, cold ones less
+	capacity   float64 // what the workers can do now: cold ones less, ones that could not be reached last nothing
 	// What the trial's share of traffic may rely on: cold workers count only by their progress, since they are
 	// mostly at their limit and the warm ones would carry their part.
 	warmCapacity  float64
@@ -250,7 +250,8 @@
 	return misses
 }
 
-// appendMisses appends this sentry's misses to a report, for as many workers as allowed.
+// appendMisses appends this sentry's misses to a report, for as many workers as allowed. A worker with misses of both
+// kinds counts twice.
 func (s *Sentry) appendMisses(values []uint64, maxWorkers int) []uint64 {
 	for kind := range missKinds {
 		for w, count := range s.ownMisses[kind] {
@@ -288,8 +289,8 @@
 	at   Micros
 }
 
-// addWorker gives a new worker an index, one of a worker gone for long if there is one, and its place in this
-// sentry's order.
+// addWorker gives a new worker its place in this sentry's order, and an index: that of a worker that is long gone if
+// there is one.
 func (s *Sentry) addWorker(listed Worker, rank float64) int {
 	w := 0
 	for w < len(s.workers) &&
@@ -395,7 +396,7 @@
 	return 0
 }
 
-// capacity returns what the ready workers of a build that are not known to be down can do now.
+// capacity returns what the ready workers of a build can do now, without those that could not be reached last.
 func (s *Sentry) capacity(build BuildID) float64 {
 	if workers := s.buildWorkers[build]; workers != nil {
 		return workers.capacity
@@ -438,7 +439,7 @@
 // workerStart returns when a worker started, or answered again after it had been down.
 func (s *Sentry) workerStart(w int) Micros { return max(s.workers[w].Started, s.recoveredAt[w]) }
 
-// missKind is the kind of a miss: an error, or a late answer.
+// missKind is the kind of a miss: an error, or an answer that came late or not at all.
 type missKind int
 
 const (
@@ -486,7 +487,7 @@
 	return ProfileID(index / 4 / int(missKinds)), missKind(index / 4 % int(missKinds)), index/2%2 == 1, index == length-4
 }
 
-// updateWorker takes over a line of the list, and forgets what was known of a worker that has restarted.
+// updateWorker takes over an entry of the list, and forgets what was known of a worker that has restarted.
 func (s *Sentry) updateWorker(w int, listed Worker) {
 	if listed.State == Gone {
 		s.goneSince[w] = s.now
@@ -552,7 +553,7 @@
 	return t.IsRetry
 }
 
-// markAllGone marks every worker as gone, until a full list names it.
+// markAllGone marks every worker as gone, until a list names it.
 func (s *Sentry) markAllGone() {
 	for w := range s.workers {
 		if s.workers[w].State != Gone {
