--- a/logic/logic.go
+++ b/logic/logic.go
@@ -37,17 +37,18 @@
 const (
 	second = Micros(1_000_000)
 
-	// Limits that the design page (docs/design.md) states.
+	// Limits that the DESIGN page (DESIGN-scalechute.md) gives.
 	rollBackExcess   = 4.0 // a higher excess sum leads to a vote to roll back
 	maxAdvanceExcess = 2.0 // a lower excess sum allows a vote to advance
 	minSampleSize    = 20  // outcomes to judge before a vote to advance
-	// Durations of younger workers are not judged, and the trial is observed at least this long before a vote to advance.
+	// Durations of younger workers are not judged. A vote to advance comes no sooner than this after the start of the
+	// trial's youngest worker.
 	settleTime = 3 * second
-	// After this time, a vote to advance needs no minimum of outcomes.
+	// This long after that start, a vote to advance needs no minimum of outcomes.
 	observationTime = 5 * second
 	initialMissRate = 0.05 // assumed until outcomes have been seen
 
-	// Limits, weights and smoothing factors that the design page leaves open. A smoothing factor is the weight of a new
+	// Limits, weights and smoothing factors that the DESIGN page leaves open. A smoothing factor is the weight of a new
 	// value in an exponentially weighted moving average.
 
 	// For a released build, the limit for a vote to roll back is higher by this share: it has passed its trial, and
@@ -844,7 +845,7 @@
 	return s.release.Build, s.release.Valid && (s.release.Phase == OnTrial || lastResort)
 }
 
-// hashSlot is the two-build hash of the design page (docs/design.md). It returns a slot from 0 to 99.
+// hashSlot is the two-build hash of the DESIGN page. It returns a slot from 0 to 99.
 func hashSlot(key Key, earlier, trial BuildID) int {
 	sum := md5.Sum([]byte(string(key) + "-" + strconv.Itoa(int(earlier)) + "-" + strconv.Itoa(int(trial))))
 	return int(binary.BigEndian.Uint64(sum[:8]) % 100)
